--- a/crates/stand-ins/src/script.rs
+++ b/crates/stand-ins/src/script.rs
@@ -3,6 +3,7 @@
 
 use std::{
     collections::BTreeMap,
+    fmt,
     sync::{Arc, Mutex},
     time::Duration,
 };
@@ -106,6 +107,33 @@
     pub starts: usize,
     /// Changes asked of the state service.
     pub changes: usize,
+    /// Changes made there, by the kind of record: `+` written, `-` removed.
+    pub changes_by_kind: BTreeMap<String, usize>,
+    /// Machines ever rented.
+    pub rented: usize,
+    /// What each job's user was told last.
+    pub outcomes: BTreeMap<JobId, String>,
+}
+
+impl fmt::Display for Measured {
+    /// One line of figures: two versions of the code that act alike give the same.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "failed={} starts={} rented={} changes={}",
+            self.wrong.len(),
+            self.starts,
+            self.rented,
+            self.changes
+        )?;
+        for (kind, count) in &self.changes_by_kind {
+            write!(f, " {kind}={count}")?;
+        }
+        for (job, outcome) in &self.outcomes {
+            write!(f, " {job}={outcome}")?;
+        }
+        Ok(())
+    }
 }
 
 pub struct Script {
@@ -317,6 +345,9 @@
             used,
             starts: world.starts(),
             changes: world.state.changes(),
+            changes_by_kind: world.state.changes_by_kind(),
+            rented: world.rented(),
+            outcomes: world.told.lock().expect("told").clone(),
         }
     }
 }
--- a/crates/stand-ins/src/state.rs
+++ b/crates/stand-ins/src/state.rs
@@ -47,6 +47,8 @@
     too_large: Vec<String>,
     /// Changes asked for, those of failed transactions included.
     changes: usize,
+    /// Changes made, by the kind of record: `+` written, `-` removed.
+    changes_by_kind: BTreeMap<String, usize>,
 }
 
 /// A limit a second, with bursts of one second's worth.
@@ -195,6 +197,13 @@
         }
         self.ledger += 1;
         for change in commit.then {
+            let (sign, key) = match &change {
+                Change::Set { set, .. } => ('+', set),
+                Change::Drop { drop } => ('-', drop),
+            };
+            let kind = key.split('/').next().unwrap_or(key);
+            let made = self.changes_by_kind.entry(format!("{sign}{kind}"));
+            *made.or_default() += 1;
             let event = match change {
                 Change::Set { set, data, tether } => {
                     let event = json!({"set": set, "data": data, "mark": self.ledger});
@@ -259,6 +268,11 @@
         self.lock().changes
     }
 
+    /// Changes made, by the kind of record: `+` written, `-` removed.
+    pub fn changes_by_kind(&self) -> BTreeMap<String, usize> {
+        self.lock().changes_by_kind.clone()
+    }
+
     /// Answers this node with 503 only.
     pub fn set_refused(&self, node: &str, refused: bool) {
         let mut inner = self.lock();
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,5 +1,9 @@
 //! Plays every scenario under `tests/scenarios/` against the stand-ins, which
 //! check PROTOCOL's rules in each.
+//!
+//! `SCENARIO_FIGURES=file` writes what each scenario measured to that file, one line a
+//! scenario. The clock is paused and the seeds are fixed, so that a change of the code
+//! which is to change no behaviour gives the same lines as the code before it.
 
 use std::{fs, path::Path, thread};
 
@@ -34,13 +38,20 @@
                 .to_string_lossy()
                 .into_owned();
             let text = fs::read_to_string(&path).expect("a scenario");
-            let played = thread::spawn(move || Script::parse(&text).play());
+            let played = thread::spawn(move || Script::parse(&text).measure());
             (name, played)
         })
         .collect();
     let mut failed = 0;
+    let mut figures = String::new();
     for (name, played) in playing {
-        let wrong = played.join().unwrap_or_else(|_| vec!["panicked".into()]);
+        let wrong = match played.join() {
+            Ok(measured) => {
+                figures += &format!("{name}: {measured}\n");
+                measured.wrong
+            }
+            Err(_) => vec!["panicked".into()],
+        };
         println!(
             "{name}: {}",
             if wrong.is_empty() { "holds" } else { "FAILS" }
@@ -50,5 +61,8 @@
         }
         failed += usize::from(!wrong.is_empty());
     }
+    if let Some(path) = std::env::var_os("SCENARIO_FIGURES") {
+        fs::write(path, figures).expect("the figures are written");
+    }
     assert_eq!(failed, 0, "scenarios that fail");
 }
