--- a/crates/quota-report/src/cases.rs
+++ b/crates/quota-report/src/cases.rs
@@ -4,7 +4,7 @@
 use std::{thread, time::Duration};
 
 use hdrhistogram::Histogram;
-use stand_ins::script::{Measured, Script};
+use simulator::scenario::{Measured, Scenario};
 
 /// Controllers and teams of a case, and whether controllers transfer quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -168,7 +168,7 @@
     let playing: Vec<_> = (1..=seeds)
         .map(|seed| {
             let text = case.scenario(seed);
-            thread::spawn(move || Script::parse(&text).measure())
+            thread::spawn(move || Scenario::parse(&text).measure())
         })
         .collect();
     let mut result = CaseResult {
--- a/crates/quota/src/deficit.rs
+++ b/crates/quota/src/deficit.rs
@@ -10,7 +10,7 @@
 /// A request without an answer by now is taken for lost.
 const ANSWER_PATIENCE: Duration = Duration::from_millis(1500);
 /// A shortage that nobody has named for this long is over.
-const SHORTAGE_LIFE: Duration = Duration::from_secs(3);
+const DEFICIT_TTL: Duration = Duration::from_secs(3);
 /// A controller that had nothing to spare is not asked again for this long.
 const REFUSED_PAUSE: Duration = Duration::from_millis(400);
 /// ... that gave no answer, or was not ready.
@@ -46,7 +46,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Shortage {
+struct Deficit {
     amount: Quota,
     since: Instant,
     named: Instant,
@@ -63,16 +63,16 @@
 /// What one controller lacks, and whom it has asked. One request is under way at a time:
 /// each transfer changes the recipient's own record, which voids its placements under way.
 #[derive(Clone, Debug)]
-pub struct Shortages<C, T> {
+pub struct Deficits<C, T> {
     recipient: C,
     process: u64,
     last_number: u64,
-    lacking: BTreeMap<T, Shortage>,
+    lacking: BTreeMap<T, Deficit>,
     pending: Option<Pending<C>>,
     avoided: BTreeMap<C, Instant>,
 }
 
-impl<C: Clone + Ord, T: Clone + Ord> Shortages<C, T> {
+impl<C: Clone + Ord, T: Clone + Ord> Deficits<C, T> {
     /// Of this process of a controller.
     pub fn new(recipient: C, process: u64) -> Self {
         Self {
@@ -92,18 +92,18 @@
             return;
         }
         let since = self.lacking.get(team).map_or(now, |known| known.since);
-        let shortage = Shortage {
+        let deficit = Deficit {
             amount,
             since,
             named: now,
         };
-        self.lacking.insert(team.clone(), shortage);
+        self.lacking.insert(team.clone(), deficit);
     }
 
     /// Nothing of this team's limit is lacking any more. Returns for how long it was.
     pub fn met(&mut self, team: &T, now: Instant) -> Option<Duration> {
-        let shortage = self.lacking.remove(team)?;
-        Some(now.saturating_duration_since(shortage.since))
+        let deficit = self.lacking.remove(team)?;
+        Some(now.saturating_duration_since(deficit.since))
     }
 
     /// Whether anything is lacking.
@@ -113,7 +113,7 @@
 
     /// For how long the oldest shortage has lasted.
     pub fn oldest(&self, now: Instant) -> Option<Duration> {
-        let since = self.lacking.values().map(|shortage| shortage.since).min()?;
+        let since = self.lacking.values().map(|deficit| deficit.since).min()?;
         Some(now.saturating_duration_since(since))
     }
 
@@ -180,9 +180,9 @@
     }
 
     fn reduce(&mut self, team: &T, amount: &Quota) {
-        if let Some(shortage) = self.lacking.get_mut(team) {
-            shortage.amount = shortage.amount.minus(amount).at_least_zero();
-            if !shortage.amount.is_askable() {
+        if let Some(deficit) = self.lacking.get_mut(team) {
+            deficit.amount = deficit.amount.minus(amount).at_least_zero();
+            if !deficit.amount.is_askable() {
                 self.lacking.remove(team);
             }
         }
@@ -191,7 +191,7 @@
     fn forget_outdated(&mut self, now: Instant) {
         self.avoided.retain(|_, until| *until > now);
         self.lacking
-            .retain(|_, shortage| now.duration_since(shortage.named) < SHORTAGE_LIFE);
+            .retain(|_, deficit| now.duration_since(deficit.named) < DEFICIT_TTL);
         let is_lost = |pending: &mut Pending<C>| {
             now.saturating_duration_since(pending.sent) > ANSWER_PATIENCE
         };
@@ -205,11 +205,11 @@
     fn wanted_from(&self, view: &DonorView<C, T>) -> BTreeMap<T, Quota> {
         self.lacking
             .iter()
-            .filter(|(team, shortage)| {
+            .filter(|(team, deficit)| {
                 let spare = view.spare.get(*team).copied().unwrap_or_default();
-                shortage.amount.min(&spare).exceeds(0.0)
+                deficit.amount.min(&spare).exceeds(0.0)
             })
-            .map(|(team, shortage)| (team.clone(), shortage.amount))
+            .map(|(team, deficit)| (team.clone(), deficit.amount))
             .collect()
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -24,20 +24,20 @@
 #![deny(missing_docs)]
 
 mod amount;
+mod deficit;
 mod donor;
 mod linear;
 mod plain;
 mod request;
 mod shares;
-mod shortage;
 mod targets;
 mod transfer;
 
 pub use amount::{AMOUNT_SLACK, Quota};
+pub use deficit::{Addressed, Deficits, DonorView, Outcome};
 pub use donor::{Donor, Holding, PENDING_REQUESTS};
 pub use linear::{LinearLimits, NotSolved};
 pub use request::{Refusal, TransferRequest};
 pub use shares::{Method, ShareProblem, Shares, TeamTerms, divide};
-pub use shortage::{Addressed, DonorView, Outcome, Shortages};
-pub use targets::{Division, TargetProblem, TeamDemand, Wanted, plan_targets};
+pub use targets::{Division, TargetProblem, TaskDemand, TeamDemand, plan_targets};
 pub use transfer::{Allocations, Condition, Transfer};
--- a/crates/quota/src/targets.rs
+++ b/crates/quota/src/targets.rs
@@ -10,7 +10,7 @@
 
 /// Tasks that some controllers have room for and that wait for quota.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wanted<C> {
+pub struct TaskDemand<C> {
     /// How many tasks each controller has room for.
     pub parts: Vec<(C, u32)>,
     /// What one of them takes.
@@ -31,7 +31,7 @@
     /// Each controller's allocation.
     pub allocated: BTreeMap<C, Quota>,
     /// What waits, the most pressing first.
-    pub wanted: Vec<Wanted<C>>,
+    pub wanted: Vec<TaskDemand<C>>,
 }
 
 /// All that targets depend on.
@@ -188,7 +188,7 @@
         }
     }
 
-    fn assign_whole(&mut self, at: usize, wanted: &Wanted<C>) {
+    fn assign_whole(&mut self, at: usize, wanted: &TaskDemand<C>) {
         let tasks: u32 = self.waiting[at].iter().sum();
         if tasks == 0 || tasks_in(&self.left, &wanted.per_task) < tasks {
             return;
--- a/crates/quota/tests/exchange.rs
+++ b/crates/quota/tests/exchange.rs
@@ -10,8 +10,8 @@
 };
 
 use quota::{
-    Addressed, Allocations, Condition, Donor, DonorView, Holding, Outcome, Quota, Refusal,
-    Shortages, Transfer, TransferRequest,
+    Addressed, Allocations, Condition, Deficits, Donor, DonorView, Holding, Outcome, Quota,
+    Refusal, Transfer, TransferRequest,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -105,7 +105,7 @@
     process: u64,
     replica: Store,
     donor: Donor<usize, &'static str>,
-    shortages: Shortages<usize, &'static str>,
+    deficits: Deficits<usize, &'static str>,
     must_void: bool,
 }
 
@@ -145,7 +145,7 @@
         process,
         replica: store.clone(),
         donor: Donor::new((0..CONTROLLERS).filter(|other| *other != id), [TEAM]),
-        shortages: Shortages::new(id, process),
+        deficits: Deficits::new(id, process),
         must_void: false,
     }
 }
@@ -243,9 +243,7 @@
         if replica.used_by(c) + TASK > seat.budget + 1e-6 {
             let lacking = replica.used_by(c) + TASK - seat.budget;
             let now = self.now();
-            self.controllers[c]
-                .shortages
-                .note(&TEAM, cpus(lacking), now);
+            self.controllers[c].deficits.note(&TEAM, cpus(lacking), now);
             return;
         }
         let process = self.controllers[c].process;
@@ -386,7 +384,7 @@
                 }
             })
             .collect();
-        let request = self.controllers[c].shortages.next_request(&views, now);
+        let request = self.controllers[c].deficits.next_request(&views, now);
         if let Some(Addressed { donor, request }) = request {
             self.messages.push(Message::Ask { donor, request });
         }
@@ -397,15 +395,15 @@
             return;
         }
         let at = self.dice.random_range(0..self.messages.len());
-        let fate = self
+        let outcome = self
             .dice
             .random_range(0..if with_troubles { 10 } else { 1 });
-        let message = match fate {
+        let message = match outcome {
             // Repeated.
             8 => self.messages[at].clone(),
             _ => self.messages.swap_remove(at),
         };
-        if fate == 9 {
+        if outcome == 9 {
             return;
         }
         match message {
@@ -430,7 +428,7 @@
                 let now = self.now();
                 if self.controllers[to].process == process {
                     self.controllers[to]
-                        .shortages
+                        .deficits
                         .answered(number, &outcome, now);
                     if matches!(outcome, Outcome::Granted(_)) {
                         self.refresh(to);
@@ -547,8 +545,8 @@
             return;
         }
         let process = seat.process;
-        let is_unheld = |m: &&mut Machine| m.controller == c && m.process != process;
-        if let Some(machine) = self.store.machines.iter_mut().find(is_unheld) {
+        let is_unowned = |m: &&mut Machine| m.controller == c && m.process != process;
+        if let Some(machine) = self.store.machines.iter_mut().find(is_unowned) {
             machine.process = process;
             machine.revision = revision;
         }
@@ -713,7 +711,7 @@
             let now = model.now();
             let missing = LIMIT - model.store.seats[0].budget;
             model.controllers[0]
-                .shortages
+                .deficits
                 .note(&TEAM, cpus(missing), now);
             model.ask(0);
             model.deliver(false);
--- a/crates/quota/tests/targets.rs
+++ b/crates/quota/tests/targets.rs
@@ -4,8 +4,8 @@
 
 use proptest::prelude::*;
 use quota::{
-    LinearLimits, Method, NotSolved, Quota, ShareProblem, TargetProblem, TeamDemand, TeamTerms,
-    Wanted, divide, plan_targets,
+    LinearLimits, Method, NotSolved, Quota, ShareProblem, TargetProblem, TaskDemand, TeamDemand,
+    TeamTerms, divide, plan_targets,
 };
 
 const SLACK: f64 = 1e-2;
@@ -172,7 +172,7 @@
                     limit: cpus(guaranteed + more),
                     fixed: fixed.map(cpus).enumerate().collect(),
                     allocated: (0..controllers).map(|c| (c, cpus(each))).collect(),
-                    wanted: vec![Wanted {
+                    wanted: vec![TaskDemand {
                         parts: waiting.into_iter().enumerate().collect(),
                         per_task: cpus(SIZE),
                         is_whole: false,
@@ -195,7 +195,7 @@
 /// `transfers-last-slot` starved by it.
 #[test]
 fn the_last_of_a_limit_is_given_in_whole_tasks() {
-    let wanted = |controller, tasks, is_whole| Wanted {
+    let wanted = |controller, tasks, is_whole| TaskDemand {
         parts: vec![(controller, tasks)],
         per_task: cpus(4.0),
         is_whole,
--- a/crates/simulator/src/agent.rs
+++ b/crates/simulator/src/agent.rs
@@ -1,4 +1,4 @@
-//! Workers' stand-ins: machines with leases, tokens, sessions and tasks.
+//! Agents' simulator: machines with leases, tokens, epochs and tasks.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,15 +8,15 @@
 
 use serde_json::{Value, json};
 use stallcove::{
-    protocol::workers::{Answer, Call, Orders},
-    storage::{JobKind, JobSpec, MachineId, TaskId, chance},
+    protocol::agents::{Answer, Call, Orders},
+    storage::{JobKind, JobSpec, MachineId, TaskId, jitter},
 };
 use tokio::time::Instant;
 
 use crate::{
     gangs::{Next, WAIT},
     rules::{Event, Place, Room},
-    world::World,
+    simulation::Simulation,
 };
 
 #[derive(Clone, Debug, PartialEq)]
@@ -39,21 +39,21 @@
 }
 
 struct Inner {
-    session: u64,
+    epoch: u64,
     sequence: u64,
     token: u64,
     answered: Instant,
-    last_report: Instant,
-    next_report: Instant,
+    last_heartbeat: Instant,
+    next_heartbeat: Instant,
     changed: bool,
     in_flight: bool,
     target: usize,
     tasks: BTreeMap<(TaskId, u64), Stage>,
     images: BTreeSet<String>,
     hung_until: Option<Instant>,
-    /// Until then its reports get out, but nothing gets in.
+    /// Until then its heartbeats get out, but nothing gets in.
     deaf_until: Option<Instant>,
-    /// Until then it can open no connection, while orders reach it.
+    /// Until then it can open no connection, while commands reach it.
     mute_until: Option<Instant>,
     taken_at: Option<Instant>,
     gone: bool,
@@ -61,7 +61,7 @@
 
 pub struct Machine {
     pub id: String,
-    /// Where its worker listens, if it has an address of its own.
+    /// Where its agent listens, if it has an address of its own.
     pub address: OnceLock<String>,
     pub place: Place,
     cpus: f64,
@@ -82,18 +82,18 @@
             place,
             cpus,
             memory,
-            speed: chance::share(0.9, 1.1),
+            speed: jitter::uniform(0.9, 1.1),
             faulty,
             inner: Mutex::new(Inner {
-                session: 1,
+                epoch: 1,
                 sequence: 0,
                 token: 0,
                 answered: now,
-                last_report: now,
-                next_report: now,
+                last_heartbeat: now,
+                next_heartbeat: now,
                 changed: false,
                 in_flight: false,
-                target: chance::share(0.0, 100.0) as usize,
+                target: jitter::uniform(0.0, 100.0) as usize,
                 tasks: BTreeMap::new(),
                 images: BTreeSet::new(),
                 hung_until: None,
@@ -132,8 +132,13 @@
     }
 
     /// What is left of it for others, if it works as it should.
-    pub fn room(&self, world: &World) -> Option<Room> {
-        if self.faulty || self.is_hung() || self.is_deaf() || self.is_mute() || self.is_gone() {
+    pub fn room(&self, simulation: &Simulation) -> Option<Room> {
+        if self.faulty
+            || self.is_hung()
+            || self.is_command_path_lost()
+            || self.is_mute()
+            || self.is_gone()
+        {
             return None;
         }
         let inner = self.lock();
@@ -147,7 +152,7 @@
         };
         for ((task, _), stage) in &inner.tasks {
             if !matches!(stage, Stage::Exited(_))
-                && let Some(spec) = world.spec(&task.job)
+                && let Some(spec) = simulation.spec(&task.job)
             {
                 room.cpus -= spec.per_task.cpus;
                 room.memory -= spec.per_task.memory;
@@ -166,7 +171,7 @@
             .collect()
     }
 
-    fn is_deaf(&self) -> bool {
+    fn is_command_path_lost(&self) -> bool {
         self.lock()
             .deaf_until
             .is_some_and(|until| until > Instant::now())
@@ -182,7 +187,7 @@
         self.lock().gone
     }
 
-    pub fn vanish(&self, world: &World) {
+    pub fn vanish(&self, simulation: &Simulation) {
         let mut inner = self.lock();
         if inner.gone {
             return;
@@ -192,8 +197,8 @@
         drop(inner);
         for ((task, attempt), stage) in tasks {
             if stage.is_on() {
-                world.leave_gang(&task, attempt);
-                world.see(Event::Off(task, MachineId::new(self.id.as_str())));
+                simulation.leave_gang(&task, attempt);
+                simulation.see(Event::Off(task, MachineId::new(self.id.as_str())));
             }
         }
     }
@@ -206,16 +211,16 @@
 
     /// Does not answer, as long as it hangs or is gone.
     async fn awake(&self) {
-        while self.is_gone() || self.is_hung() || self.is_deaf() {
+        while self.is_gone() || self.is_hung() || self.is_command_path_lost() {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
 
-    fn off(&self, world: &World, task: &TaskId) {
-        world.see(Event::Off(task.clone(), MachineId::new(self.id.as_str())));
+    fn off(&self, simulation: &Simulation, task: &TaskId) {
+        simulation.see(Event::Off(task.clone(), MachineId::new(self.id.as_str())));
     }
 
-    fn report(&self, inner: &mut Inner) -> Value {
+    fn heartbeat(&self, inner: &mut Inner) -> Value {
         inner.sequence += 1;
         let strides: Vec<Value> = inner
             .tasks
@@ -237,11 +242,11 @@
         let recall = inner.taken_at.map(|at| (at - Instant::now()).as_secs_f64());
         json!({"mount": self.id, "addr": self.address(), "breed": self.place.kind,
             "paddock": self.place.zone, "loaners": self.place.spot,
-            "tenure": inner.session, "tally": inner.sequence, "bridle": inner.token,
+            "tenure": inner.epoch, "tally": inner.sequence, "bridle": inner.token,
             "recall_s": recall, "strides": strides})
     }
 
-    fn execute(&self, world: &World, inner: &mut Inner, token: u64, calls: &[Call]) {
+    fn execute(&self, simulation: &Simulation, inner: &mut Inner, token: u64, calls: &[Call]) {
         let now = Instant::now();
         if token > inner.token {
             inner.token = token;
@@ -252,17 +257,17 @@
             let key = (task.clone(), call.heat);
             match call.call.as_str() {
                 "start" if !inner.tasks.contains_key(&key) => {
-                    let stage = self.start(world, inner, &task, now);
+                    let stage = self.start(simulation, inner, &task, now);
                     inner.tasks.insert(key, stage);
                     inner.changed = true;
                 }
                 "start" => {}
                 "kill" => {
-                    let saves = world.spec(&task.job).is_some_and(|spec| {
+                    let saves = simulation.spec(&task.job).is_some_and(|spec| {
                         !spec.checkpoint.is_zero()
                             && call.cooldown_s.unwrap_or(0.0) >= spec.save.as_secs_f64()
                     });
-                    let save = world
+                    let save = simulation
                         .spec(&task.job)
                         .map_or(Duration::ZERO, |spec| spec.save);
                     if let Some(stage) = inner.tasks.get_mut(&key) {
@@ -271,17 +276,17 @@
                             Stage::Running(_) if saves => *stage = Stage::Saving(now + save),
                             Stage::Running(_) | Stage::Saving(_) => {
                                 *stage = Stage::Exited("halted");
-                                self.off(world, &task);
+                                self.off(simulation, &task);
                             }
                             Stage::Together if saves => {
-                                world.stop_gang(&task, call.heat);
+                                simulation.stop_gang(&task, call.heat);
                                 *stage = Stage::SavingTogether(now + save);
                             }
                             Stage::SavingTogether(_) if saves => continue,
                             Stage::Waiting(_) | Stage::Together | Stage::SavingTogether(_) => {
                                 *stage = Stage::Exited("halted");
-                                world.leave_gang(&task, call.heat);
-                                self.off(world, &task);
+                                simulation.leave_gang(&task, call.heat);
+                                self.off(simulation, &task);
                             }
                             Stage::Fetching(_) => *stage = Stage::Exited("halted"),
                             Stage::Exited(_) => continue,
@@ -300,8 +305,8 @@
         }
     }
 
-    fn start(&self, world: &World, inner: &Inner, task: &TaskId, now: Instant) -> Stage {
-        let Some(spec) = world.spec(&task.job) else {
+    fn start(&self, simulation: &Simulation, inner: &Inner, task: &TaskId, now: Instant) -> Stage {
+        let Some(spec) = simulation.spec(&task.job) else {
             return Stage::Exited("unknown");
         };
         let alive = |stage: &Stage| !matches!(stage, Stage::Exited(_));
@@ -312,7 +317,7 @@
         let mut memory = spec.per_task.memory;
         for ((other, _), stage) in &inner.tasks {
             if alive(stage)
-                && let Some(other) = world.spec(&other.job)
+                && let Some(other) = simulation.spec(&other.job)
             {
                 cpus += other.per_task.cpus;
                 memory += other.per_task.memory;
@@ -336,50 +341,50 @@
         }
     }
 
-    fn progress(&self, world: &Arc<World>) {
+    fn progress(&self, simulation: &Arc<Simulation>) {
         let now = Instant::now();
         let mut inner = self.lock();
         if inner.taken_at.is_some_and(|at| at <= now) {
             drop(inner);
-            self.vanish(world);
+            self.vanish(simulation);
             return;
         }
-        if now > inner.answered + world.lease {
+        if now > inner.answered + simulation.lease {
             // The lease has run out: everything is killed and forgotten.
             for ((task, attempt), stage) in std::mem::take(&mut inner.tasks) {
                 if stage.is_on() {
-                    world.leave_gang(&task, attempt);
-                    self.off(world, &task);
+                    simulation.leave_gang(&task, attempt);
+                    self.off(simulation, &task);
                 }
             }
-            inner.session += 1;
+            inner.epoch += 1;
             inner.answered = now;
             inner.changed = true;
         }
         let keys: Vec<(TaskId, u64)> = inner.tasks.keys().cloned().collect();
         for key in keys {
-            let Some(spec) = world.spec(&key.0.job) else {
+            let Some(spec) = simulation.spec(&key.0.job) else {
                 continue;
             };
             let stage = inner.tasks[&key].clone();
             let next = match stage {
                 Stage::Fetching(until) if until <= now => {
                     inner.images.insert(spec.image.to_string());
-                    world.see(Event::On(
+                    simulation.see(Event::On(
                         key.0.clone(),
                         MachineId::new(self.id.as_str()),
                         self.place.clone(),
                     ));
                     let gang = spec.kind == JobKind::Gang;
-                    if gang && !world.is_completed(&key.0) && !world.fails(&key.0.job) {
-                        world.join_gang(&key.0, key.1);
+                    if gang && !simulation.is_completed(&key.0) && !simulation.fails(&key.0.job) {
+                        simulation.join_gang(&key.0, key.1);
                         inner.tasks.insert(key, Stage::Waiting(now));
                         inner.changed = true;
                         continue;
                     }
-                    let time = if world.is_completed(&key.0) {
+                    let time = if simulation.is_completed(&key.0) {
                         Duration::ZERO
-                    } else if self.faulty || world.fails(&key.0.job) {
+                    } else if self.faulty || simulation.fails(&key.0.job) {
                         Duration::from_secs(1)
                     } else {
                         self.run_time(&spec)
@@ -387,21 +392,21 @@
                     Stage::Running(now + time)
                 }
                 Stage::Running(until) if until <= now => {
-                    self.off(world, &key.0);
-                    let fails = self.faulty || world.fails(&key.0.job);
-                    if fails && !world.is_completed(&key.0) {
+                    self.off(simulation, &key.0);
+                    let fails = self.faulty || simulation.fails(&key.0.job);
+                    if fails && !simulation.is_completed(&key.0) {
                         Stage::Exited("error")
                     } else {
-                        world.complete(&key.0);
+                        simulation.complete(&key.0);
                         Stage::Exited("done")
                     }
                 }
                 Stage::Waiting(since) => {
-                    if world.wait_in_gang(&key.0, key.1, &spec) == Next::Run {
+                    if simulation.wait_in_gang(&key.0, key.1, &spec) == Next::Run {
                         Stage::Together
                     } else if now.duration_since(since) > WAIT {
-                        world.leave_gang(&key.0, key.1);
-                        self.off(world, &key.0);
+                        simulation.leave_gang(&key.0, key.1);
+                        self.off(simulation, &key.0);
                         Stage::Exited("alone")
                     } else {
                         continue;
@@ -409,20 +414,20 @@
                 }
                 Stage::Together | Stage::SavingTogether(_) => {
                     let saved = matches!(stage, Stage::SavingTogether(until) if until <= now);
-                    let cause = match world.run_in_gang(&key.0, key.1, &spec, saved) {
+                    let cause = match simulation.run_in_gang(&key.0, key.1, &spec, saved) {
                         Next::Done => "done",
                         Next::Saved => "halted",
                         Next::MatesGone => "mates_gone",
                         Next::Stay | Next::Run => continue,
                     };
-                    self.off(world, &key.0);
+                    self.off(simulation, &key.0);
                     if cause == "done" {
-                        world.complete(&key.0);
+                        simulation.complete(&key.0);
                     }
                     Stage::Exited(cause)
                 }
                 Stage::Saving(until) if until <= now => {
-                    self.off(world, &key.0);
+                    self.off(simulation, &key.0);
                     Stage::Exited("halted")
                 }
                 _ => continue,
@@ -433,61 +438,63 @@
     }
 
     /// The machine's life from its boot on.
-    pub async fn live(self: Arc<Self>, world: Arc<World>) {
+    pub async fn live(self: Arc<Self>, simulation: Arc<Simulation>) {
         while !self.is_gone() {
             tokio::time::sleep(Duration::from_millis(50)).await;
             if self.is_hung() {
                 continue;
             }
-            self.progress(&world);
+            self.progress(&simulation);
             let now = Instant::now();
             let body = {
                 let mut inner = self.lock();
-                let early = inner.changed && now >= inner.last_report + Duration::from_millis(500);
-                if inner.gone || inner.in_flight || !(early || now >= inner.next_report) {
+                let early =
+                    inner.changed && now >= inner.last_heartbeat + Duration::from_millis(500);
+                if inner.gone || inner.in_flight || !(early || now >= inner.next_heartbeat) {
                     continue;
                 }
                 inner.in_flight = true;
                 inner.changed = false;
-                inner.last_report = now;
-                inner.next_report = now + world.report.mul_f64(chance::share(0.75, 1.25));
-                self.report(&mut inner)
+                inner.last_heartbeat = now;
+                inner.next_heartbeat =
+                    now + simulation.heartbeat.mul_f64(jitter::uniform(0.75, 1.25));
+                self.heartbeat(&mut inner)
             };
-            let (machine, world) = (self.clone(), world.clone());
-            tokio::spawn(async move { machine.send_report(&world, body, now).await });
+            let (machine, simulation) = (self.clone(), simulation.clone());
+            tokio::spawn(async move { machine.send_heartbeat(&simulation, body, now).await });
         }
     }
 
-    async fn send_report(&self, world: &Arc<World>, body: Value, sent: Instant) {
+    async fn send_heartbeat(&self, simulation: &Arc<Simulation>, body: Value, sent: Instant) {
         if self.is_mute() {
             tokio::time::sleep_until(sent + Duration::from_secs(1)).await;
             let mut inner = self.lock();
             inner.target += 1;
             inner.in_flight = false;
-            inner.next_report = Instant::now();
+            inner.next_heartbeat = Instant::now();
             return;
         }
-        let session = body["tenure"].as_u64();
+        let epoch = body["tenure"].as_u64();
         let target = self.lock().target;
-        let names = world.node_names();
+        let names = simulation.controller_names();
         let name = names[target % names.len()].clone();
-        world.copy_of_report(&self.tags(), &body.to_string());
+        simulation.copy_of_heartbeat(&self.tags(), &body.to_string());
         let answer = tokio::time::timeout(
             Duration::from_secs(4),
-            world.to_node(&self.tags(), &name, "POST", "/hello", body.to_string()),
+            simulation.to_controller(&self.tags(), &name, "POST", "/hello", body.to_string()),
         )
         .await;
         if self.is_hung() || self.is_gone() {
             self.lock().in_flight = false;
             return;
         }
-        if self.is_deaf() {
-            // The answer does not arrive: the next node is tried after 4 s.
+        if self.is_command_path_lost() {
+            // The answer does not arrive: the next controller is tried after 4 s.
             tokio::time::sleep_until(sent + Duration::from_secs(5)).await;
             let mut inner = self.lock();
             inner.target += 1;
             inner.in_flight = false;
-            inner.next_report = Instant::now();
+            inner.next_heartbeat = Instant::now();
             return;
         }
         let mut pause = Duration::from_secs(1);
@@ -495,12 +502,12 @@
             Ok(Some((200, text))) => {
                 let answer: Answer = serde_json::from_str(&text).expect("an answer to a report");
                 let mut inner = self.lock();
-                if Some(inner.session) == session && answer.bridle >= inner.token {
+                if Some(inner.epoch) == epoch && answer.bridle >= inner.token {
                     inner.answered = inner.answered.max(sent);
-                    self.execute(world, &mut inner, answer.bridle, &answer.calls);
-                } else if Some(inner.session) == session {
-                    // Allowed when a newer holder was quicker, but not for long.
-                    world.note_dropped(&self.id);
+                    self.execute(simulation, &mut inner, answer.bridle, &answer.calls);
+                } else if Some(inner.epoch) == epoch {
+                    // Allowed when a newer owner was quicker, but not for long.
+                    simulation.note_dropped(&self.id);
                 }
                 inner.in_flight = false;
                 return;
@@ -524,25 +531,30 @@
         tokio::time::sleep(pause).await;
         let mut inner = self.lock();
         inner.in_flight = false;
-        inner.next_report = Instant::now();
+        inner.next_heartbeat = Instant::now();
     }
 
     pub fn tags(&self) -> Vec<String> {
         vec![self.id.clone(), "workers".into(), self.place.zone.clone()]
     }
 
-    pub async fn handle(&self, world: &Arc<World>, path: &str, body: &[u8]) -> (u16, Value) {
+    pub async fn handle(
+        &self,
+        simulation: &Arc<Simulation>,
+        path: &str,
+        body: &[u8],
+    ) -> (u16, Value) {
         self.awake().await;
         let mut inner = self.lock();
         match path {
-            "/inspect" => (200, self.report(&mut inner)),
+            "/inspect" => (200, self.heartbeat(&mut inner)),
             "/orders" => {
                 let orders: Orders = serde_json::from_slice(body).expect("orders");
-                if orders.bridle < inner.token || orders.tenure != inner.session {
-                    return (409, self.report(&mut inner));
+                if orders.bridle < inner.token || orders.tenure != inner.epoch {
+                    return (409, self.heartbeat(&mut inner));
                 }
-                self.execute(world, &mut inner, orders.bridle, &orders.calls);
-                (200, self.report(&mut inner))
+                self.execute(simulation, &mut inner, orders.bridle, &orders.calls);
+                (200, self.heartbeat(&mut inner))
             }
             _ => (404, json!({})),
         }
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -5,9 +5,9 @@
     time::Duration,
 };
 
-use stallcove::storage::{JobId, JobSpec, chance};
+use stallcove::storage::{JobId, JobSpec, jitter};
 
-use crate::{users, world::World};
+use crate::{simulation::Simulation, users};
 
 /// A share of messages that is held up, by at most this long.
 #[derive(Clone, Copy, Debug, Default)]
@@ -23,16 +23,16 @@
 
     /// How long this message is held up; none: not at all.
     pub fn draw(&self, least: Duration) -> Option<Duration> {
-        if self.share <= 0.0 || chance::share(0.0, 1.0) >= self.share {
+        if self.share <= 0.0 || jitter::uniform(0.0, 1.0) >= self.share {
             return None;
         }
         let rest = self.most.saturating_sub(least);
-        Some(least + rest.mul_f64(chance::share(0.0, 1.0)))
+        Some(least + rest.mul_f64(jitter::uniform(0.0, 1.0)))
     }
 }
 
-/// A report that is delivered again.
-pub struct ReportCopy {
+/// A heartbeat that is delivered again.
+pub struct HeartbeatCopy {
     pub tags: Vec<String>,
     pub body: String,
 }
@@ -44,7 +44,7 @@
 /// Questions that a close look asks of each controller.
 const LOOKS: usize = 3;
 
-/// How machines that are rented now come up.
+/// How machines that are provisioned now come up.
 #[derive(Clone, Copy, Debug)]
 pub struct Boots {
     /// Times the usual boot time.
@@ -64,19 +64,19 @@
 
 /// The state of these troubles.
 #[derive(Default)]
-pub struct Troubles {
+pub struct FaultInjection {
     boots: Mutex<Boots>,
     /// Pause between two questions about each job; none: the usual one.
     question_pause: Mutex<Option<Duration>>,
     late_orders: Mutex<Delay>,
-    /// Copies of reports are kept for the next leader.
+    /// Copies of heartbeats are kept for the next leader.
     for_next: Mutex<bool>,
-    kept: Mutex<Vec<ReportCopy>>,
+    entry: Mutex<Vec<HeartbeatCopy>>,
     leader: Mutex<Option<String>>,
     close_looks: Mutex<bool>,
 }
 
-impl Troubles {
+impl FaultInjection {
     /// A share of the direct commands is unanswered and carried out late.
     pub fn set_late_orders(&self, delay: Delay) {
         *self.late_orders.lock().expect("delay") = delay;
@@ -92,13 +92,13 @@
         *self.boots.lock().expect("boots") = boots;
     }
 
-    /// The boot time of a machine that is rented now; none: it never comes up.
+    /// The boot time of a machine that is provisioned now; none: it never comes up.
     pub fn boot_time(&self, usual: f64) -> Option<Duration> {
         let boots = *self.boots.lock().expect("boots");
-        if boots.never > 0.0 && chance::share(0.0, 1.0) < boots.never {
+        if boots.never > 0.0 && jitter::uniform(0.0, 1.0) < boots.never {
             return None;
         }
-        let share = chance::share(0.6, 1.5);
+        let share = jitter::uniform(0.6, 1.5);
         Some(Duration::from_secs_f64(usual * boots.factor * share))
     }
 
@@ -108,35 +108,35 @@
 
     /// How long a user waits before the next question about a job.
     pub fn question_pause(&self) -> Duration {
-        let usual = Duration::from_secs_f64(chance::share(4.0, 6.0));
+        let usual = Duration::from_secs_f64(jitter::uniform(4.0, 6.0));
         self.question_pause.lock().expect("pause").unwrap_or(usual)
     }
 
-    /// Copies of reports are kept until another leader begins.
+    /// Copies of heartbeats are kept until another leader begins.
     pub fn set_for_next(&self, on: bool) {
         *self.for_next.lock().expect("flag") = on;
     }
 
     /// Keeps a copy for the next leader, if copies are kept now.
-    pub fn keep(&self, copy: ReportCopy) -> Option<ReportCopy> {
+    pub fn keep(&self, copy: HeartbeatCopy) -> Option<HeartbeatCopy> {
         if !*self.for_next.lock().expect("flag") {
             return Some(copy);
         }
-        let mut kept = self.kept.lock().expect("copies");
-        if kept.len() < COPIES_KEPT {
-            kept.push(copy);
+        let mut entry = self.entry.lock().expect("copies");
+        if entry.len() < COPIES_KEPT {
+            entry.push(copy);
         }
         None
     }
 
     /// The copies that are due as this leader begins.
-    fn due(&self, leader: Option<String>) -> Vec<ReportCopy> {
+    fn due(&self, leader: Option<String>) -> Vec<HeartbeatCopy> {
         let mut known = self.leader.lock().expect("leader");
         if leader.is_none() || *known == leader {
             return Vec::new();
         }
         *known = leader;
-        std::mem::take(&mut *self.kept.lock().expect("copies"))
+        std::mem::take(&mut *self.entry.lock().expect("copies"))
     }
 
     /// Users ask at all controllers as soon as they are told something new.
@@ -149,14 +149,16 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// As a leader begins, every controller gets the copies that were kept.
     pub fn deliver_kept_copies(self: &Arc<Self>) {
-        for copy in self.troubles.due(self.leader_life()) {
-            for name in self.node_names() {
-                let (world, tags, body) = (self.clone(), copy.tags.clone(), copy.body.clone());
+        for copy in self.faults.due(self.leader_life()) {
+            for name in self.controller_names() {
+                let (simulation, tags, body) = (self.clone(), copy.tags.clone(), copy.body.clone());
                 tokio::spawn(async move {
-                    world.to_node(&tags, &name, "POST", "/hello", body).await;
+                    simulation
+                        .to_controller(&tags, &name, "POST", "/hello", body)
+                        .await;
                 });
             }
         }
@@ -165,20 +167,20 @@
     /// A user who was just told something asks at all controllers, several times within
     /// milliseconds, and repeats the submission at one of them.
     pub fn look_closely(self: &Arc<Self>, job: &JobId) {
-        for name in self.node_names() {
+        for name in self.controller_names() {
             for _ in 0..LOOKS {
-                let (world, job, name) = (self.clone(), job.clone(), name.clone());
+                let (simulation, job, name) = (self.clone(), job.clone(), name.clone());
                 tokio::spawn(async move {
-                    tokio::time::sleep(chance::millis(0, 12)).await;
-                    users::look(&world, &name, &job).await;
+                    tokio::time::sleep(jitter::millis(0, 12)).await;
+                    users::look(&simulation, &name, &job).await;
                 });
             }
         }
-        let (world, job) = (self.clone(), job.clone());
+        let (simulation, job) = (self.clone(), job.clone());
         tokio::spawn(async move {
-            tokio::time::sleep(chance::millis(0, 12)).await;
-            if let Some(spec) = world.spec(&job) {
-                users::submit_at_once(&world, &job, &spec).await;
+            tokio::time::sleep(jitter::millis(0, 12)).await;
+            if let Some(spec) = simulation.spec(&job) {
+                users::submit_at_once(&simulation, &job, &spec).await;
             }
         });
     }
@@ -193,11 +195,11 @@
                 stream.spec.clone(),
                 false,
             ));
-            if chance::share(0.0, 1.0) < stream.cancelled {
-                let (world, pause) = (self.clone(), chance::millis(0, 9_000));
+            if jitter::uniform(0.0, 1.0) < stream.cancelled {
+                let (simulation, pause) = (self.clone(), jitter::millis(0, 9_000));
                 tokio::spawn(async move {
                     tokio::time::sleep(pause).await;
-                    users::abort(world, job).await;
+                    users::abort(simulation, job).await;
                 });
             }
             tokio::time::sleep(stream.every).await;
--- a/crates/simulator/src/gangs.rs
+++ b/crates/simulator/src/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs as workers play them: the tasks of an attempt find each other, start and
+//! Gangs as agents play them: the tasks of an attempt find each other, start and
 //! complete together, and notice when one of them is gone.
 
 use std::{
@@ -24,7 +24,7 @@
     stopped: Option<Instant>,
     told: BTreeSet<u32>,
     saved: BTreeSet<u32>,
-    kept: bool,
+    entry: bool,
     over: bool,
 }
 
@@ -58,7 +58,7 @@
     pub fn leave(&mut self, job: &JobId, attempt: u64, task: u32) {
         if let Some(gang) = self.attempts.get_mut(&(job.clone(), attempt)) {
             gang.members.remove(&task);
-            let runs = gang.started.is_some() && !gang.done && !gang.kept;
+            let runs = gang.started.is_some() && !gang.done && !gang.entry;
             if runs && gang.lost.is_none() {
                 gang.lost = Some(Instant::now());
                 gang.over = true;
@@ -110,7 +110,7 @@
         if gang.done {
             return Next::Done;
         }
-        if gang.kept {
+        if gang.entry {
             return Next::Saved;
         }
         let silent = |at: &Instant| now.duration_since(*at) > PEER / 2;
@@ -138,7 +138,7 @@
                 gang.saved.insert(task);
             }
             if gang.saved.len() as u32 == spec.tasks {
-                gang.kept = true;
+                gang.entry = true;
                 gang.over = true;
                 self.progress.insert(job.clone(), reached);
                 return Next::Saved;
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,15 +1,15 @@
-//! Stand-ins for everything around the controllers.
+//! Simulator for everything around the controllers.
 
+pub mod agent;
+pub mod faults;
 pub mod gangs;
 pub mod loopback;
 pub mod rules;
-pub mod script;
-pub mod state;
-pub mod troubles;
+pub mod scenario;
+pub mod simulation;
+pub mod state_service;
 pub mod users;
 pub mod versions;
-pub mod worker;
-pub mod world;
 
 /// Logs to standard output at the level that SCENARIO_LOG names.
 pub fn start_logging() {
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -1,5 +1,5 @@
 //! Real sockets in place of the simulated network: each controller is a thread with a
-//! runtime of its own, and the state service, the cloud and the workers listen on
+//! runtime of its own, and the state service, the cloud and the agents listen on
 //! addresses of the loopback range. Time is real.
 
 use std::{
@@ -22,15 +22,14 @@
     response::{IntoResponse, Response},
 };
 use stallcove::{
-    coordination::{Config, Node},
-    storage::NodeName,
+    coordination::{Config, Controller},
+    storage::ControllerName,
     transport::{
         Call, Network,
+        clients::{HttpAgentClient, HttpCloudClient, HttpKeyValueStore, TcpPeerClient},
         http::HttpNetwork,
-        links,
         network::{Method, Target},
-        ports::{HttpCloud, HttpState, HttpWorkers, LinkPeers},
-        server,
+        peer_connections, server,
         sockets::Sockets,
     },
 };
@@ -38,8 +37,8 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    worker::Machine,
-    world::{SimNet, World},
+    agent::Machine,
+    simulation::{SimNet, Simulation},
 };
 
 /// Ports of each controller's address.
@@ -52,7 +51,7 @@
 const MACHINES: u8 = 250;
 /// Sockets that a controller may have open.
 const SOCKETS: usize = 500;
-/// A request that the stand-ins leave unanswered ends by then.
+/// A request that the simulator leave unanswered ends by then.
 const UNANSWERED: Duration = Duration::from_secs(6);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 const BODY_LIMIT: usize = 1 << 20;
@@ -62,7 +61,7 @@
     /// Two bytes that tell this test process from others on the machine.
     network: [u8; 2],
     next_machine: AtomicU16,
-    /// For users and workers.
+    /// For users and agents.
     client: HttpNetwork,
 }
 
@@ -84,22 +83,22 @@
     }
 
     /// Controllers are named `n0`, `n1` and so on.
-    fn of_node(&self, name: &str, port: u16) -> SocketAddr {
+    fn of_controller(&self, name: &str, port: u16) -> SocketAddr {
         let number: u8 = name[1..].parse().expect("a controller's number");
         self.address(number + 1, port)
     }
 
-    /// A request of a user or a worker to a controller; none: no answer.
+    /// A request of a user or an agent to a controller; none: no answer.
     pub async fn request(
         &self,
-        node: &str,
+        controller: &str,
         method: &str,
         path: &str,
         body: String,
     ) -> Option<(u16, String)> {
         let call = Call {
             target: Target::Service,
-            address: self.of_node(node, PUBLIC).to_string(),
+            address: self.of_controller(controller, PUBLIC).to_string(),
             method: if method == "GET" {
                 Method::Get
             } else {
@@ -117,23 +116,27 @@
     }
 
     /// Lets the state service and the cloud listen for one controller.
-    pub async fn serve_services(&self, world: &Arc<World>, node: &str) {
+    pub async fn serve_services(&self, simulation: &Arc<Simulation>, controller: &str) {
         for (service, port) in [("state", STATE), ("cloud", CLOUD)] {
             let gateway = Gateway {
-                world: world.clone(),
-                node: node.to_owned(),
+                simulation: simulation.clone(),
+                controller: controller.to_owned(),
                 service,
             };
             let router = Router::new().fallback(forward).with_state(gateway);
-            serve(self.of_node(node, port), router).await;
+            serve(self.of_controller(controller, port), router).await;
         }
     }
 
-    /// Lets a machine's worker listen; its address.
-    pub async fn serve_machine(&self, world: &Arc<World>, machine: &Arc<Machine>) -> String {
+    /// Lets a machine's agent listen; its address.
+    pub async fn serve_machine(
+        &self,
+        simulation: &Arc<Simulation>,
+        machine: &Arc<Machine>,
+    ) -> String {
         let port = self.next_machine.fetch_add(1, Ordering::Relaxed);
         let address = self.address(MACHINES, port);
-        let state = (world.clone(), machine.clone());
+        let state = (simulation.clone(), machine.clone());
         let router = Router::new().fallback(answer_for_machine).with_state(state);
         serve(address, router).await;
         address.to_string()
@@ -141,32 +144,32 @@
 
     /// Starts a controller's process. `before`: the process that had its addresses.
     pub fn start(&self, config: Config, before: Option<JoinHandle<()>>) -> Process {
-        let name = config.node.as_str();
+        let name = config.name.as_str();
         let addresses = Addresses {
-            public: self.of_node(name, PUBLIC),
-            private: self.of_node(name, PRIVATE),
-            state: self.of_node(name, STATE),
-            cloud: self.of_node(name, CLOUD),
+            public: self.of_controller(name, PUBLIC),
+            private: self.of_controller(name, PRIVATE),
+            state: self.of_controller(name, STATE),
+            cloud: self.of_controller(name, CLOUD),
             peers: config
                 .peers
                 .iter()
                 .map(|(peer, _)| {
                     (
                         peer.clone(),
-                        self.of_node(peer.as_str(), PRIVATE).to_string(),
+                        self.of_controller(peer.as_str(), PRIVATE).to_string(),
                     )
                 })
                 .collect(),
         };
         let stop = CancellationToken::new();
-        let (started, node) = mpsc::channel();
+        let (started, controller) = mpsc::channel();
         let thread = {
             let stop = stop.clone();
             std::thread::spawn(move || run(config, addresses, before, stop, &started))
         };
-        let (node, handle) = node.recv().expect("the process starts");
+        let (controller, handle) = controller.recv().expect("the process starts");
         Process {
-            node,
+            controller,
             handle,
             stop,
             thread,
@@ -179,12 +182,12 @@
     private: SocketAddr,
     state: SocketAddr,
     cloud: SocketAddr,
-    peers: HashMap<NodeName, String>,
+    peers: HashMap<ControllerName, String>,
 }
 
 /// A controller, as a thread with a runtime of its own.
 pub struct Process {
-    pub node: Arc<Node>,
+    pub controller: Arc<Controller>,
     handle: Handle,
     stop: CancellationToken,
     thread: JoinHandle<()>,
@@ -208,7 +211,7 @@
     addresses: Addresses,
     before: Option<JoinHandle<()>>,
     stop: CancellationToken,
-    started: &mpsc::Sender<(Arc<Node>, Handle)>,
+    started: &mpsc::Sender<(Arc<Controller>, Handle)>,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -216,24 +219,24 @@
         .expect("a runtime");
     let sockets = Sockets::new(SOCKETS);
     let net: Arc<dyn Network> = Arc::new(HttpNetwork::new(sockets.clone()));
-    let node = Node::new(
+    let controller = Controller::new(
         config,
-        Box::new(HttpState {
+        Box::new(HttpKeyValueStore {
             net: net.clone(),
             address: addresses.state.to_string(),
         }),
-        Box::new(HttpWorkers { net: net.clone() }),
-        Box::new(HttpCloud {
+        Box::new(HttpAgentClient { net: net.clone() }),
+        Box::new(HttpCloudClient {
             net: net.clone(),
             address: addresses.cloud.to_string(),
         }),
-        Box::new(LinkPeers {
+        Box::new(TcpPeerClient {
             net,
             addresses: addresses.peers,
         }),
         stop.clone(),
     );
-    let _ = started.send((node.clone(), runtime.handle().clone()));
+    let _ = started.send((controller.clone(), runtime.handle().clone()));
     if let Some(before) = before {
         // One that stands still keeps its addresses until it goes on.
         before.join().expect("the process before ends in order");
@@ -246,8 +249,8 @@
             .await
             .expect("a free port");
         let mut duties = JoinSet::new();
-        node.start(&mut duties);
-        let router = server::router(node.clone(), sockets.clone());
+        controller.start(&mut duties);
+        let router = server::router(controller.clone(), sockets.clone());
         duties.spawn({
             let (sockets, stop) = (sockets.clone(), stop.clone());
             async move {
@@ -256,9 +259,9 @@
             }
         });
         duties.spawn({
-            let (node, stop) = (node.clone(), stop.clone());
+            let (controller, stop) = (controller.clone(), stop.clone());
             async move {
-                links::serve(node, private, sockets, stop).await;
+                peer_connections::serve(controller, private, sockets, stop).await;
                 "links"
             }
         });
@@ -271,8 +274,8 @@
 /// What a service answers to one controller.
 #[derive(Clone)]
 struct Gateway {
-    world: Arc<World>,
-    node: String,
+    simulation: Arc<Simulation>,
+    controller: String,
     service: &'static str,
 }
 
@@ -308,7 +311,7 @@
         timeout: UNANSWERED,
     };
     let held = call.path.starts_with("/follow");
-    let network = SimNet::of_living(&gateway.world, &gateway.node);
+    let network = SimNet::of_living(&gateway.simulation, &gateway.controller);
     let answer = async {
         match network {
             Some(network) => network.send(call).await.ok(),
@@ -324,7 +327,7 @@
 }
 
 async fn answer_for_machine(
-    State((world, machine)): State<(Arc<World>, Arc<Machine>)>,
+    State((simulation, machine)): State<(Arc<Simulation>, Arc<Machine>)>,
     request: Request<Body>,
 ) -> Response {
     let path = request.uri().path().to_owned();
@@ -334,7 +337,7 @@
     if machine.is_gone() {
         std::future::pending::<()>().await;
     }
-    let (status, value) = machine.handle(&world, &path, &body).await;
+    let (status, value) = machine.handle(&simulation, &path, &body).await;
     reply_with(status, Bytes::from(value.to_string()))
 }
 
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -137,8 +137,12 @@
             Event::Reused(task, attempt) => {
                 self.breach(at, "reused", format!("{task} joins attempt {attempt}"));
             }
-            Event::Unreadable(node) => {
-                self.breach(at, "unreadable", format!("{node} cannot read a message"));
+            Event::Unreadable(controller) => {
+                self.breach(
+                    at,
+                    "unreadable",
+                    format!("{controller} cannot read a message"),
+                );
             }
             Event::OddAnswered(what, expected, code) => {
                 if code != expected && !matches!(code, 429 | 503) {
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -12,11 +12,11 @@
 use tokio::time::Instant;
 
 use crate::{
-    state::Limits,
-    troubles::{Boots, Delay, Stream},
+    faults::{Boots, Delay, Stream},
+    simulation::{Cut, Simulation, TypeSpec},
+    state_service::Limits,
     users,
     versions::Version,
-    world::{Cut, TypeSpec, World},
 };
 
 type Words<'a> = BTreeMap<&'a str, &'a str>;
@@ -78,12 +78,12 @@
             .contains_key("deadline")
             .then(|| seconds(words, "deadline", 0.0)),
         accepted_ms: 0,
-        home: None,
+        assigned_zone: None,
     }
 }
 
 #[derive(Clone, Debug)]
-struct Timed {
+struct TimedAction {
     at: Duration,
     words: Vec<String>,
     line: String,
@@ -109,7 +109,7 @@
     pub changes: usize,
     /// Changes made there, by the kind of record: `+` written, `-` removed.
     pub changes_by_kind: BTreeMap<String, usize>,
-    /// Machines ever rented.
+    /// Machines ever provisioned.
     pub rented: usize,
     /// What each job's user was told last.
     pub outcomes: BTreeMap<JobId, String>,
@@ -136,13 +136,13 @@
     }
 }
 
-pub struct Script {
+pub struct Scenario {
     seed: u64,
     zones: Vec<String>,
-    nodes: usize,
+    controllers: usize,
     teams: Vec<Team>,
     types: Vec<TypeSpec>,
-    timed: Vec<Timed>,
+    timed: Vec<TimedAction>,
     until: Duration,
     /// The state service's requests and changes a second.
     limits: (f64, f64),
@@ -154,12 +154,12 @@
     tuning: Tuning,
 }
 
-impl Script {
+impl Scenario {
     pub fn parse(text: &str) -> Self {
-        let mut script = Script {
+        let mut scenario = Scenario {
             seed: 1,
             zones: vec!["a".into()],
-            nodes: 3,
+            controllers: 3,
             teams: Vec::new(),
             types: Vec::new(),
             timed: Vec::new(),
@@ -176,33 +176,33 @@
                 continue;
             };
             match *verb {
-                "seed" => script.seed = rest[0].parse().expect("a seed"),
-                "zones" => script.zones = rest.iter().map(|s| (*s).to_owned()).collect(),
-                "nodes" => script.nodes = rest[0].parse().expect("a number of nodes"),
+                "seed" => scenario.seed = rest[0].parse().expect("a seed"),
+                "zones" => scenario.zones = rest.iter().map(|s| (*s).to_owned()).collect(),
+                "nodes" => scenario.controllers = rest[0].parse().expect("a number of nodes"),
                 "until" => {
-                    script.until = Duration::from_secs_f64(rest[0].parse().expect("seconds"));
+                    scenario.until = Duration::from_secs_f64(rest[0].parse().expect("seconds"));
                 }
                 "limits" => {
                     let words = words(rest);
-                    script.limits = (
+                    scenario.limits = (
                         number(&words, "rps", 400.0),
                         number(&words, "writes", 200.0),
                     );
                 }
                 "next" => {
                     let words = words(rest);
-                    script.next = Limits {
+                    scenario.next = Limits {
                         rps: number(&words, "rps", 400.0),
                         writes: number(&words, "writes", 200.0),
                         ops: number(&words, "ops", 16.0) as usize,
                         value: number(&words, "value", 8192.0) as usize,
                     };
                 }
-                "transfers" => script.tuning.quota_transfers = true,
-                "old" => script.version = Version::named(rest.first().copied()),
+                "transfers" => scenario.tuning.quota_transfers = true,
+                "old" => scenario.version = Version::named(rest.first().copied()),
                 "team" => {
                     let words = words(&rest[1..]);
-                    script.teams.push(Team {
+                    scenario.teams.push(Team {
                         name: TeamName::new(rest[0]),
                         guaranteed: Quota {
                             cpus: number(&words, "guaranteed", 0.0),
@@ -213,7 +213,7 @@
                 }
                 "type" => {
                     let words = words(&rest[1..]);
-                    script.types.push(TypeSpec {
+                    scenario.types.push(TypeSpec {
                         name: rest[0].into(),
                         cpus: number(&words, "cpus", 8.0),
                         memory: number(&words, "memory", 64.0),
@@ -227,7 +227,7 @@
                         spot_count: number(&words, "spot_count", 0.0) as usize,
                     });
                 }
-                "at" => script.timed.push(Timed {
+                "at" => scenario.timed.push(TimedAction {
                     at: Duration::from_secs_f64(rest[0].parse().expect("a time")),
                     words: rest[1..].iter().map(|s| (*s).to_owned()).collect(),
                     line: line.to_owned(),
@@ -235,8 +235,8 @@
                 other => panic!("unknown statement {other}"),
             }
         }
-        script.timed.sort_by_key(|timed| timed.at);
-        script
+        scenario.timed.sort_by_key(|timed| timed.at);
+        scenario
     }
 
     /// When the last trouble is over: what users were refused until then is
@@ -259,7 +259,7 @@
 
     /// Plays the scenario as [`Self::play`] does; what was seen in it.
     pub fn measure(self) -> Measured {
-        chance::seed(self.seed);
+        jitter::seed(self.seed);
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .start_paused(true)
@@ -285,7 +285,7 @@
         let calm_at = self.calm_at();
         let Self {
             zones,
-            nodes,
+            controllers,
             teams,
             types,
             limits,
@@ -296,58 +296,59 @@
             until,
             ..
         } = self;
-        let mut world = World::new(zones, nodes, teams, types, limits, next, tuning);
+        let mut simulation =
+            Simulation::new(zones, controllers, teams, types, limits, next, tuning);
         if loopback {
-            let world = Arc::get_mut(&mut world).expect("nobody else has it yet");
-            world.use_loopback();
+            let simulation = Arc::get_mut(&mut simulation).expect("nobody else has it yet");
+            simulation.use_loopback();
         }
-        world.serve_services().await;
-        for name in world.node_names() {
-            world.set_version(&name, version);
-            world.boot_node(&name);
+        simulation.serve_services().await;
+        for name in simulation.controller_names() {
+            simulation.set_version(&name, version);
+            simulation.boot_controller(&name);
         }
         let start = Instant::now();
         let mut wrong = Vec::new();
         let use_of_limits: Arc<Mutex<Vec<UseOfLimits>>> = Arc::default();
         let ticker = {
-            let (world, samples) = (world.clone(), use_of_limits.clone());
+            let (simulation, samples) = (simulation.clone(), use_of_limits.clone());
             tokio::spawn(async move {
                 loop {
                     tokio::time::sleep(Duration::from_millis(250)).await;
-                    world.tick();
+                    simulation.tick();
                     let sample = UseOfLimits {
-                        at: world.at(),
-                        used: world.used(),
+                        at: simulation.at(),
+                        used: simulation.used(),
                     };
                     samples.lock().expect("samples").push(sample);
                 }
             })
         };
         {
-            let world = world.clone();
-            later(calm_at, move || world.calm());
+            let simulation = simulation.clone();
+            later(calm_at, move || simulation.calm());
         }
         for timed in &timed {
             tokio::time::sleep_until(start + timed.at).await;
             let parts: Vec<&str> = timed.words.iter().map(String::as_str).collect();
-            if let Err(what) = act(&world, &parts) {
+            if let Err(what) = act(&simulation, &parts) {
                 wrong.push(format!("{}: {what}", timed.line));
             }
         }
         tokio::time::sleep_until(start + until).await;
         ticker.abort();
-        world.finish();
-        wrong.extend(world.broken());
+        simulation.finish();
+        wrong.extend(simulation.broken());
         let used = std::mem::take(&mut *use_of_limits.lock().expect("samples"));
         Measured {
             wrong,
-            waits: world.waits(),
+            waits: simulation.waits(),
             used,
-            starts: world.starts(),
-            changes: world.state.changes(),
-            changes_by_kind: world.state.changes_by_kind(),
-            rented: world.rented(),
-            outcomes: world.told.lock().expect("told").clone(),
+            starts: simulation.starts(),
+            changes: simulation.state.changes(),
+            changes_by_kind: simulation.state.changes_by_kind(),
+            rented: simulation.rented(),
+            outcomes: simulation.told.lock().expect("told").clone(),
         }
     }
 }
@@ -360,7 +361,7 @@
 }
 
 /// Does one timed statement; an expectation that fails is an error.
-fn act(world: &Arc<World>, parts: &[&str]) -> Result<(), String> {
+fn act(simulation: &Arc<Simulation>, parts: &[&str]) -> Result<(), String> {
     let words = words(&parts[1..]);
     let time = seconds(&words, "for", 0.0);
     match parts[0] {
@@ -368,7 +369,7 @@
             let job = JobId::parse(parts[1]).expect("a job id");
             let spec = job_spec(&words);
             let fails = words.contains_key("fails");
-            tokio::spawn(users::submit(world.clone(), job, spec, fails));
+            tokio::spawn(users::submit(simulation.clone(), job, spec, fails));
         }
         "stream" => {
             let first = parts[1].strip_prefix("job-").and_then(|n| n.parse().ok());
@@ -378,115 +379,123 @@
                 cancelled: number(&words, "cancelled", 0.25),
                 spec: job_spec(&words),
             };
-            tokio::spawn(world.clone().stream(first.expect("a job id"), stream));
+            tokio::spawn(simulation.clone().stream(first.expect("a job id"), stream));
         }
         "looks" => {
-            world.troubles.set_close_looks(true);
-            let world = world.clone();
-            later(time, move || world.troubles.set_close_looks(false));
+            simulation.faults.set_close_looks(true);
+            let simulation = simulation.clone();
+            later(time, move || simulation.faults.set_close_looks(false));
         }
         "orders" => {
             let late = seconds(&words, "late", 16.0);
             let delay = Delay::new(number(&words, "share", 0.3), late);
-            world.troubles.set_late_orders(delay);
-            let world = world.clone();
+            simulation.faults.set_late_orders(delay);
+            let simulation = simulation.clone();
             later(time, move || {
-                world.troubles.set_late_orders(Delay::default())
+                simulation.faults.set_late_orders(Delay::default())
             });
         }
         "resubmit" => {
             let job = JobId::parse(parts[1]).expect("a job id");
-            let spec = world.spec(&job).expect("a job submitted before");
-            let world = world.clone();
-            tokio::spawn(async move { users::submit_once(&world, &job, &spec).await });
+            let spec = simulation.spec(&job).expect("a job submitted before");
+            let simulation = simulation.clone();
+            tokio::spawn(async move { users::submit_once(&simulation, &job, &spec).await });
         }
         "abort" if parts[1] == "running" => {
             let count = number(&words, "count", 3.0) as usize;
-            world.abort_running(count, seconds(&words, "hang", 0.0));
+            simulation.abort_running(count, seconds(&words, "hang", 0.0));
         }
         "abort" if parts[1] == "ending" => {
-            world.set_abort_at_end(number(&words, "share", 0.5));
-            let world = world.clone();
-            later(time, move || world.set_abort_at_end(0.0));
+            simulation.set_abort_at_end(number(&words, "share", 0.5));
+            let simulation = simulation.clone();
+            later(time, move || simulation.set_abort_at_end(0.0));
         }
         "odd" => {
-            tokio::spawn(users::odd(world.clone(), job_spec(&words)));
+            tokio::spawn(users::odd(simulation.clone(), job_spec(&words)));
         }
         "abort" => {
             let job = JobId::parse(parts[1]).expect("a job id");
-            tokio::spawn(users::abort(world.clone(), job));
+            tokio::spawn(users::abort(simulation.clone(), job));
         }
         "crash" => {
             let names = match parts[1] {
-                "all" => world.node_names(),
-                "leader" => world.leader().into_iter().collect(),
+                "all" => simulation.controller_names(),
+                "leader" => simulation.leader().into_iter().collect(),
                 name => vec![name.to_owned()],
             };
             for name in names {
-                world.kill_node(&name);
-                let world = world.clone();
-                later(seconds(&words, "for", 5.0), move || world.boot_node(&name));
+                simulation.kill_controller(&name);
+                let simulation = simulation.clone();
+                later(seconds(&words, "for", 5.0), move || {
+                    simulation.boot_controller(&name)
+                });
             }
         }
         // It comes back with the version that knows nothing of quota transfers.
         "downgrade" => {
             let name = parts[1].to_owned();
-            world.kill_node(&name);
-            world.set_version(&name, Version::BeforeTransfers);
-            let world = world.clone();
-            later(seconds(&words, "for", 5.0), move || world.boot_node(&name));
+            simulation.kill_controller(&name);
+            simulation.set_version(&name, Version::BeforeTransfers);
+            let simulation = simulation.clone();
+            later(seconds(&words, "for", 5.0), move || {
+                simulation.boot_controller(&name)
+            });
         }
         // It comes back with the new version.
         "upgrade" => {
             let name = parts[1].to_owned();
-            world.kill_node(&name);
-            world.set_version(&name, Version::Current);
-            let world = world.clone();
-            later(seconds(&words, "for", 5.0), move || world.boot_node(&name));
+            simulation.kill_controller(&name);
+            simulation.set_version(&name, Version::Current);
+            let simulation = simulation.clone();
+            later(seconds(&words, "for", 5.0), move || {
+                simulation.boot_controller(&name)
+            });
         }
         "state" => match parts[1] {
-            "lowers" => world.lower_limits(),
+            "lowers" => simulation.lower_limits(),
             "down" => {
-                world.state.set_down(true);
-                let world = world.clone();
-                later(time, move || world.state.set_down(false));
+                simulation.state.set_down(true);
+                let simulation = simulation.clone();
+                later(time, move || simulation.state.set_down(false));
             }
             "refuses" => {
-                let node = match parts[2] {
-                    "leader" => match world.leader() {
+                let controller = match parts[2] {
+                    "leader" => match simulation.leader() {
                         Some(leader) => leader,
                         None => return Ok(()),
                     },
                     name => name.to_owned(),
                 };
-                world.state.set_refused(&node, true);
-                let world = world.clone();
-                later(time, move || world.state.set_refused(&node, false));
+                simulation.state.set_refused(&controller, true);
+                let simulation = simulation.clone();
+                later(time, move || {
+                    simulation.state.set_refused(&controller, false)
+                });
             }
             "lossy" => {
-                world.set_lossy(number(&words, "share", 0.2));
-                let world = world.clone();
-                later(time, move || world.set_lossy(0.0));
+                simulation.set_lossy(number(&words, "share", 0.2));
+                let simulation = simulation.clone();
+                later(time, move || simulation.set_lossy(0.0));
             }
             "slow" => {
-                world.set_slow(seconds(&words, "by", 0.5));
-                let world = world.clone();
-                later(time, move || world.set_slow(Duration::ZERO));
+                simulation.set_slow(seconds(&words, "by", 0.5));
+                let simulation = simulation.clone();
+                later(time, move || simulation.set_slow(Duration::ZERO));
             }
             "late" => {
-                world.set_late(number(&words, "share", 0.3), seconds(&words, "late", 5.0));
-                let world = world.clone();
-                later(time, move || world.set_late(0.0, Duration::ZERO));
+                simulation.set_late(number(&words, "share", 0.3), seconds(&words, "late", 5.0));
+                let simulation = simulation.clone();
+                later(time, move || simulation.set_late(0.0, Duration::ZERO));
             }
             other => panic!("state {other}"),
         },
         "freeze" => {
             let names = match parts[1] {
-                "leader" => world.leader().into_iter().collect(),
+                "leader" => simulation.leader().into_iter().collect(),
                 name => vec![name.to_owned()],
             };
             for name in names {
-                world.freeze(&name, time);
+                simulation.freeze(&name, time);
             }
         }
         "cut" => {
@@ -495,117 +504,119 @@
                 b: parts[2].into(),
                 hold: words.contains_key("hold"),
             };
-            world.add_cut(cut.clone());
-            let world = world.clone();
-            later(time, move || world.remove_cut(&cut));
+            simulation.add_cut(cut.clone());
+            let simulation = simulation.clone();
+            later(time, move || simulation.remove_cut(&cut));
         }
         "cloud" => match parts[1] {
             "down" => {
-                world.set_cloud(true);
-                let world = world.clone();
-                later(time, move || world.set_cloud(false));
+                simulation.set_cloud(true);
+                let simulation = simulation.clone();
+                later(time, move || simulation.set_cloud(false));
             }
             "full" => {
-                world.set_no_capacity(true);
-                let world = world.clone();
-                later(time, move || world.set_no_capacity(false));
+                simulation.set_no_capacity(true);
+                let simulation = simulation.clone();
+                later(time, move || simulation.set_no_capacity(false));
             }
             "boots" => {
-                world.troubles.set_boots(Boots {
+                simulation.faults.set_boots(Boots {
                     factor: number(&words, "factor", 1.0),
                     never: number(&words, "never", 0.0),
                 });
-                let world = world.clone();
-                later(time, move || world.troubles.set_boots(Boots::default()));
+                let simulation = simulation.clone();
+                later(time, move || simulation.faults.set_boots(Boots::default()));
             }
-            "faulty" => world.set_faulty(parts[2].parse().expect("a machine's number")),
+            "faulty" => simulation.set_faulty(parts[2].parse().expect("a machine's number")),
             other => panic!("cloud {other}"),
         },
         "questions" => {
             let pause = seconds(&words, "every", 0.5);
-            world.troubles.set_question_pause(Some(pause));
-            let world = world.clone();
-            later(time, move || world.troubles.set_question_pause(None));
+            simulation.faults.set_question_pause(Some(pause));
+            let simulation = simulation.clone();
+            later(time, move || simulation.faults.set_question_pause(None));
         }
         "hang" => {
             let count = parts[1].parse().expect("a number of machines");
-            for machine in world.machines().into_iter().take(count) {
+            for machine in simulation.machines().into_iter().take(count) {
                 machine.hang(time);
             }
         }
         "mute" => {
             let count = parts[1].parse().expect("a number of machines");
-            for machine in world.machines().into_iter().take(count) {
+            for machine in simulation.machines().into_iter().take(count) {
                 machine.mute(time);
             }
         }
         "deaf" => {
             let count = parts[1].parse().expect("a number of machines");
-            for machine in world.machines().into_iter().take(count) {
+            for machine in simulation.machines().into_iter().take(count) {
                 machine.deafen(time);
             }
         }
         "copies" => {
-            world.set_copies(number(&words, "share", 0.3), seconds(&words, "late", 30.0));
-            world.troubles.set_for_next(words.contains_key("for_next"));
-            let world = world.clone();
+            simulation.set_copies(number(&words, "share", 0.3), seconds(&words, "late", 30.0));
+            simulation
+                .faults
+                .set_for_next(words.contains_key("for_next"));
+            let simulation = simulation.clone();
             later(time, move || {
-                world.set_copies(0.0, Duration::ZERO);
-                world.troubles.set_for_next(false);
+                simulation.set_copies(0.0, Duration::ZERO);
+                simulation.faults.set_for_next(false);
             });
         }
         "take" => {
             let count = parts[1].parse().expect("a number of machines");
-            let spot = world.machines().into_iter().filter(|m| m.place.spot);
+            let spot = simulation.machines().into_iter().filter(|m| m.place.spot);
             for machine in spot.take(count) {
                 match words.get("notice") {
                     Some(_) => machine.notice(seconds(&words, "notice", 5.0)),
-                    None => world.remove(&machine.id),
+                    None => simulation.remove(&machine.id),
                 }
             }
         }
-        "expect" => return expect(world, &parts[1..]),
+        "expect" => return expect(simulation, &parts[1..]),
         other => panic!("unknown action {other}"),
     }
     Ok(())
 }
 
-fn expect(world: &Arc<World>, parts: &[&str]) -> Result<(), String> {
+fn expect(simulation: &Arc<Simulation>, parts: &[&str]) -> Result<(), String> {
     let check = |holds: bool, found: String| if holds { Ok(()) } else { Err(found) };
     match parts {
         ["machines", "<=", most] => {
-            let paid = world.paid();
+            let paid = simulation.paid();
             let most: usize = most.parse().expect("a number");
             check(paid <= most, format!("{paid} machines"))
         }
         ["machines", ">=", least] => {
-            let paid = world.paid();
+            let paid = simulation.paid();
             let least: usize = least.parse().expect("a number");
             check(paid >= least, format!("{paid} machines"))
         }
         ["rented", "<=", most] => {
-            let rented = world.rented();
+            let rented = simulation.rented();
             let most: usize = most.parse().expect("a number");
             check(rented <= most, format!("{rented} machines rented"))
         }
         ["starts", "<=", most] => {
-            let starts = world.starts();
+            let starts = simulation.starts();
             let most: usize = most.parse().expect("a number");
             check(starts <= most, format!("{starts} starts"))
         }
         ["changes", "<=", most] => {
-            let changes = world.state.changes();
+            let changes = simulation.state.changes();
             let most: usize = most.parse().expect("a number");
             check(changes <= most, format!("{changes} changes"))
         }
         ["keys", prefix, count] => {
-            let keys = world.state.keys(prefix);
+            let keys = simulation.state.keys(prefix);
             let count: usize = count.parse().expect("a number");
             check(keys == count, format!("{keys} keys"))
         }
         [job, "code", code] => {
             let job = JobId::parse(job).expect("a job id");
-            let found = world.codes.lock().expect("codes").get(&job).copied();
+            let found = simulation.codes.lock().expect("codes").get(&job).copied();
             check(
                 found.map(|c| c.to_string()).as_deref() == Some(*code),
                 format!("code {found:?}"),
@@ -613,7 +624,7 @@
         }
         [job, "running", count] => {
             let job = JobId::parse(job).expect("a job id");
-            let running = world.running(&job);
+            let running = simulation.running(&job);
             check(
                 running.to_string() == **count,
                 format!("{running} tasks run"),
@@ -621,7 +632,7 @@
         }
         [job, state] => {
             let job = JobId::parse(job).expect("a job id");
-            let told = world.told.lock().expect("told").get(&job).cloned();
+            let told = simulation.told.lock().expect("told").get(&job).cloned();
             check(
                 told.as_deref() == Some(*state),
                 format!("its user was told {told:?}"),
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulated world: nodes, network, cloud and users, on tokio's paused clock.
+//! The simulated world: controllers, network, cloud and users, on tokio's paused clock.
 
 mod cloud;
 mod controllers;
@@ -15,7 +15,7 @@
 
 use axum::{Router, body::Body, http::Request};
 use stallcove::{
-    coordination::{Node, Tuning},
+    coordination::{Controller, Tuning},
     storage::*,
 };
 use tokio::{task::JoinSet, time::Instant};
@@ -23,13 +23,13 @@
 use tower::ServiceExt;
 
 use crate::{
+    agent::Machine,
+    faults::{FaultInjection, HeartbeatCopy},
     gangs::{Gangs, Next},
     loopback::{Loopback, Process},
     rules::{Event, Place, Room, Rules},
-    state::{Limits, State},
-    troubles::{ReportCopy, Troubles},
+    state_service::{Limits, StateService},
     versions::Version,
-    worker::Machine,
 };
 
 #[derive(Clone, Debug)]
@@ -46,7 +46,7 @@
 }
 
 struct Running {
-    node: Arc<Node>,
+    controller: Arc<Controller>,
     router: Router,
     stop: CancellationToken,
     duties: JoinSet<&'static str>,
@@ -72,7 +72,7 @@
 
 #[derive(Default)]
 struct Cloud {
-    rents: BTreeMap<String, Vec<String>>,
+    provision_requests: BTreeMap<String, Vec<String>>,
     machines: BTreeMap<String, Rented>,
     next: usize,
     down: bool,
@@ -86,12 +86,12 @@
     gone_at: Option<Instant>,
 }
 
-pub struct World {
+pub struct Simulation {
     pub start: Instant,
     pub lease: Duration,
-    pub report: Duration,
+    pub heartbeat: Duration,
     pub cancel: Duration,
-    pub state: State,
+    pub state: StateService,
     state_limits: (f64, f64),
     teams: Vec<Team>,
     types: Vec<TypeSpec>,
@@ -99,7 +99,7 @@
     specs: Mutex<BTreeMap<JobId, JobSpec>>,
     failing: Mutex<BTreeSet<JobId>>,
     completed: Mutex<BTreeSet<TaskId>>,
-    nodes: Mutex<BTreeMap<String, Slot>>,
+    controllers: Mutex<BTreeMap<String, Slot>>,
     cuts: Mutex<Vec<Cut>>,
     /// Share of the state service's answers that are lost after execution.
     lossy: Mutex<f64>,
@@ -116,7 +116,7 @@
     abort_at_end: Mutex<f64>,
     gangs: Mutex<Gangs>,
     versions: Mutex<BTreeMap<String, Version>>,
-    pub troubles: Troubles,
+    pub faults: FaultInjection,
     next: Limits,
     /// The state service takes up to this much longer for an answer.
     slow: Mutex<Duration>,
@@ -127,17 +127,17 @@
 
 const LIST_LAG: Duration = Duration::from_secs(6);
 
-impl World {
+impl Simulation {
     pub fn new(
         zones: Vec<String>,
-        nodes: usize,
+        controllers: usize,
         teams: Vec<Team>,
         types: Vec<TypeSpec>,
         limits: (f64, f64),
         next: Limits,
         tuning: Tuning,
     ) -> Arc<Self> {
-        let state = State::default();
+        let state = StateService::default();
         state.set_limits(limits.0, limits.1);
         let state_limits = limits;
         let cancel = Duration::from_secs(40);
@@ -145,7 +145,7 @@
             .iter()
             .map(|team| (team.name.clone(), team.limit.cpus))
             .collect();
-        let slots = (0..nodes)
+        let slots = (0..controllers)
             .map(|n| {
                 let slot = Slot {
                     zone: zones[n % zones.len()].clone(),
@@ -158,7 +158,7 @@
         Arc::new(Self {
             start: Instant::now(),
             lease: Duration::from_secs(15),
-            report: Duration::from_secs(3),
+            heartbeat: Duration::from_secs(3),
             cancel,
             state,
             state_limits,
@@ -168,7 +168,7 @@
             specs: Mutex::default(),
             failing: Mutex::default(),
             completed: Mutex::default(),
-            nodes: Mutex::new(slots),
+            controllers: Mutex::new(slots),
             cuts: Mutex::default(),
             lossy: Mutex::new(0.0),
             late: Mutex::new((0.0, Duration::ZERO)),
@@ -182,7 +182,7 @@
             abort_at_end: Mutex::new(0.0),
             gangs: Mutex::default(),
             versions: Mutex::default(),
-            troubles: Troubles::default(),
+            faults: FaultInjection::default(),
             next,
             slow: Mutex::default(),
             tuning,
@@ -206,31 +206,33 @@
         self.rules.lock().expect("rules").finish(self.at());
     }
 
-    /// From now on a share of all reports is delivered again, up to this much
+    /// From now on a share of all heartbeats is delivered again, up to this much
     /// later, to any controller.
     pub fn set_copies(&self, share: f64, late: Duration) {
         *self.copies.lock().expect("copies") = (share, late);
     }
 
-    pub fn copy_of_report(self: &Arc<Self>, tags: &[String], body: &str) {
+    pub fn copy_of_heartbeat(self: &Arc<Self>, tags: &[String], body: &str) {
         let (share, late) = *self.copies.lock().expect("copies");
-        if share <= 0.0 || chance::share(0.0, 1.0) >= share {
+        if share <= 0.0 || jitter::uniform(0.0, 1.0) >= share {
             return;
         }
-        let copy = ReportCopy {
+        let copy = HeartbeatCopy {
             tags: tags.to_vec(),
             body: body.to_owned(),
         };
-        let Some(ReportCopy { tags, body }) = self.troubles.keep(copy) else {
+        let Some(HeartbeatCopy { tags, body }) = self.faults.keep(copy) else {
             return;
         };
-        let names = self.node_names();
-        let name = names[chance::share(0.0, names.len() as f64) as usize].clone();
-        let world = self.clone();
-        let pause = Duration::from_secs(1) + late.mul_f64(chance::share(0.0, 1.0));
+        let names = self.controller_names();
+        let name = names[jitter::uniform(0.0, names.len() as f64) as usize].clone();
+        let simulation = self.clone();
+        let pause = Duration::from_secs(1) + late.mul_f64(jitter::uniform(0.0, 1.0));
         tokio::spawn(async move {
             tokio::time::sleep(pause).await;
-            world.to_node(&tags, &name, "POST", "/hello", body).await;
+            simulation
+                .to_controller(&tags, &name, "POST", "/hello", body)
+                .await;
         });
     }
 
@@ -354,18 +356,18 @@
         self.see(Event::Completed(task.clone()));
         let share = *self.abort_at_end.lock().expect("share");
         let over = self.rules.lock().expect("rules").is_complete(&task.job);
-        if new && over && share > 0.0 && chance::share(0.0, 1.0) < share {
+        if new && over && share > 0.0 && jitter::uniform(0.0, 1.0) < share {
             // About the time at which its result is written.
-            let pause = chance::millis(0, 800);
-            let (world, job) = (self.clone(), task.job.clone());
+            let pause = jitter::millis(0, 800);
+            let (simulation, job) = (self.clone(), task.job.clone());
             tokio::spawn(async move {
                 tokio::time::sleep(pause).await;
-                crate::users::abort(world, job).await;
+                crate::users::abort(simulation, job).await;
             });
         }
     }
 
-    /// A 200 that the worker had to drop.
+    /// A 200 that the agent had to drop.
     pub fn note_dropped(&self, machine: &str) {
         *self
             .dropped
@@ -405,10 +407,12 @@
         *self.late.lock().expect("late") = (share, late);
     }
 
-    pub fn freeze(&self, node: &str, time: Duration) {
+    pub fn freeze(&self, controller: &str, time: Duration) {
         if self.loopback.is_some() {
-            let nodes = self.nodes.lock().expect("nodes");
-            let running = nodes.get(node).and_then(|slot| slot.running.as_ref());
+            let controllers = self.controllers.lock().expect("nodes");
+            let running = controllers
+                .get(controller)
+                .and_then(|slot| slot.running.as_ref());
             if let Some(process) = running.and_then(|running| running.process.as_ref()) {
                 process.freeze(time);
             }
@@ -418,24 +422,24 @@
         self.frozen
             .lock()
             .expect("frozen")
-            .insert(node.into(), until);
+            .insert(controller.into(), until);
     }
 
-    /// What a frozen controller was about to say or to hear waits until it goes on.
-    async fn thawed(&self, node: &str) {
-        let until = self.frozen.lock().expect("frozen").get(node).copied();
+    /// What a cordoned controller was about to say or to hear waits until it goes on.
+    async fn thawed(&self, controller: &str) {
+        let until = self.frozen.lock().expect("frozen").get(controller).copied();
         if let Some(until) = until {
             tokio::time::sleep_until(until).await;
         }
     }
 
-    fn is_frozen(&self, node: &str) -> bool {
-        let until = self.frozen.lock().expect("frozen").get(node).copied();
+    fn is_frozen(&self, controller: &str) -> bool {
+        let until = self.frozen.lock().expect("frozen").get(controller).copied();
         until.is_some_and(|until| until > Instant::now())
     }
 
-    /// A request to a node's server; none: no connection.
-    pub async fn to_node(
+    /// A request to a controller's server; none: no connection.
+    pub async fn to_controller(
         self: &Arc<Self>,
         from: &[String],
         name: &str,
@@ -443,8 +447,8 @@
         path: &str,
         body: String,
     ) -> Option<(u16, String)> {
-        tokio::time::sleep(chance::millis(1, 4)).await;
-        let tags = self.node_tags(name);
+        tokio::time::sleep(jitter::millis(1, 4)).await;
+        let tags = self.controller_tags(name);
         while self.cut(from, &tags).is_some() {
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
@@ -469,7 +473,7 @@
         let bytes = axum::body::to_bytes(response.into_body(), 1 << 20)
             .await
             .ok()?;
-        tokio::time::sleep(chance::millis(1, 4)).await;
+        tokio::time::sleep(jitter::millis(1, 4)).await;
         // Decided before the freeze, said after it.
         self.thawed(name).await;
         while self.cut(from, &tags).is_some() {
--- a/crates/simulator/src/simulation/cloud.rs
+++ b/crates/simulator/src/simulation/cloud.rs
@@ -1,14 +1,14 @@
-//! The cloud of the simulated world: rents, boots and lists machines.
+//! The cloud of the simulated world: provision requests, boots and lists machines.
 
 use std::sync::Arc;
 
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-use super::{LIST_LAG, Rented, World};
-use crate::{rules::Place, worker::Machine};
+use super::{LIST_LAG, Rented, Simulation};
+use crate::{agent::Machine, rules::Place};
 
-impl World {
+impl Simulation {
     pub fn set_cloud(&self, down: bool) {
         self.cloud.lock().expect("cloud").down = down;
     }
@@ -17,7 +17,7 @@
         self.cloud.lock().expect("cloud").no_capacity = none;
     }
 
-    /// The n-th machine ever rented fails whatever runs on it.
+    /// The n-th machine ever provisioned fails whatever runs on it.
     pub fn set_faulty(&self, n: usize) {
         self.faulty.lock().expect("faulty").insert(n);
     }
@@ -43,7 +43,7 @@
             .count()
     }
 
-    /// Machines ever rented.
+    /// Machines ever provisioned.
     pub fn rented(&self) -> usize {
         self.cloud.lock().expect("cloud").machines.len()
     }
@@ -79,7 +79,7 @@
                     .collect();
                 (200, json!({"breeds": breeds}))
             }
-            ("POST", "/machines") => self.rent(body),
+            ("POST", "/machines") => self.provision(body),
             ("POST", "/machines/return") => {
                 let message: Value = serde_json::from_slice(body).expect("a return");
                 let names = message["mounts"].as_array().expect("names").clone();
@@ -110,7 +110,7 @@
         }
     }
 
-    pub(super) fn rent(self: &Arc<Self>, body: &[u8]) -> (u16, Value) {
+    pub(super) fn provision(self: &Arc<Self>, body: &[u8]) -> (u16, Value) {
         let message: Value = serde_json::from_slice(body).expect("a rent");
         let name = message["hire"].as_str().expect("hire").to_owned();
         let number = message["number"].as_u64().expect("number") as usize;
@@ -121,7 +121,7 @@
             spot: message["loaners"].as_bool().expect("loaners"),
         };
         let mut cloud = self.cloud.lock().expect("cloud");
-        if let Some(known) = cloud.rents.get(&name) {
+        if let Some(known) = cloud.provision_requests.get(&name) {
             return (200, json!({"mounts": known}));
         }
         let kind = self
@@ -176,14 +176,14 @@
                 },
             );
             names.push(id.clone());
-            let Some(boot) = self.troubles.boot_time(kind.boot) else {
+            let Some(boot) = self.faults.boot_time(kind.boot) else {
                 continue;
             };
-            let (world, booted) = (self.clone(), id.clone());
+            let (simulation, booted) = (self.clone(), id.clone());
             tokio::spawn(async move {
                 tokio::time::sleep(boot).await;
                 {
-                    let mut cloud = world.cloud.lock().expect("cloud");
+                    let mut cloud = simulation.cloud.lock().expect("cloud");
                     match cloud.machines.get_mut(&booted) {
                         Some(rented) if rented.gone_at.is_none() => {
                             rented.up_at = Some(Instant::now());
@@ -191,14 +191,14 @@
                         _ => return,
                     }
                 }
-                if let Some(loopback) = &world.loopback {
-                    let address = loopback.serve_machine(&world, &machine).await;
+                if let Some(loopback) = &simulation.loopback {
+                    let address = loopback.serve_machine(&simulation, &machine).await;
                     machine.address.get_or_init(|| address);
                 }
-                machine.live(world).await;
+                machine.live(simulation).await;
             });
         }
-        cloud.rents.insert(name, names.clone());
+        cloud.provision_requests.insert(name, names.clone());
         (200, json!({"mounts": names}))
     }
 
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -7,10 +7,10 @@
 
 use axum::Router;
 use stallcove::{
-    coordination::{Config, Node, ports::Dialect},
+    coordination::{Config, Controller, ports::ProtocolVersion},
     storage::*,
     transport::{
-        ports::{HttpCloud, HttpState, HttpWorkers, LinkPeers},
+        clients::{HttpAgentClient, HttpCloudClient, HttpKeyValueStore, TcpPeerClient},
         server,
         sockets::Sockets,
     },
@@ -18,26 +18,31 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-use super::{LIST_LAG, Running, SimNet, World};
+use super::{LIST_LAG, Running, SimNet, Simulation};
 use crate::{
     loopback::{Loopback, Process},
-    state::Limits,
+    state_service::Limits,
     versions::Version,
 };
 
-impl World {
-    pub fn node_names(&self) -> Vec<String> {
-        self.nodes.lock().expect("nodes").keys().cloned().collect()
+impl Simulation {
+    pub fn controller_names(&self) -> Vec<String> {
+        self.controllers
+            .lock()
+            .expect("nodes")
+            .keys()
+            .cloned()
+            .collect()
     }
 
-    pub(super) fn node_tags(&self, name: &str) -> Vec<String> {
-        let zone = self.nodes.lock().expect("nodes")[name].zone.clone();
+    pub(super) fn controller_tags(&self, name: &str) -> Vec<String> {
+        let zone = self.controllers.lock().expect("nodes")[name].zone.clone();
         vec![name.to_owned(), "nodes".into(), zone]
     }
 
     pub(super) fn router(&self, name: &str) -> Option<(Router, u64)> {
-        let nodes = self.nodes.lock().expect("nodes");
-        let running = nodes.get(name)?.running.as_ref()?;
+        let controllers = self.controllers.lock().expect("nodes");
+        let running = controllers.get(name)?.running.as_ref()?;
         Some((running.router.clone(), running.life))
     }
 
@@ -45,36 +50,36 @@
         self.router(name).is_some_and(|(_, now)| now == life)
     }
 
-    pub fn boot_node(self: &Arc<Self>, name: &str) {
+    pub fn boot_controller(self: &Arc<Self>, name: &str) {
         let (zone, peers) = {
-            let nodes = self.nodes.lock().expect("nodes");
-            if nodes[name].running.is_some() {
+            let controllers = self.controllers.lock().expect("nodes");
+            if controllers[name].running.is_some() {
                 return;
             }
-            let peers = nodes
+            let peers = controllers
                 .iter()
                 .filter(|(other, _)| *other != name)
                 .map(|(other, slot)| {
                     (
-                        NodeName::new(other.as_str()),
+                        ControllerName::new(other.as_str()),
                         ZoneName::new(slot.zone.as_str()),
                     )
                 })
                 .collect::<Vec<_>>();
-            (nodes[name].zone.clone(), peers)
+            (controllers[name].zone.clone(), peers)
         };
-        let life = chance::share(1.0, 1e15) as u64;
+        let life = jitter::uniform(1.0, 1e15) as u64;
         let version = self.version(name);
         let start = self.start;
         let config = Config {
-            node: NodeName::new(name),
+            name: ControllerName::new(name),
             zone: ZoneName::new(zone),
             incarnation: Incarnation(life),
             peers: peers.clone(),
             teams: self.teams.clone(),
             objectives: Vec::new(),
-            worker_report: self.report,
-            worker_lease: self.lease,
+            heartbeat_interval: self.heartbeat,
+            agent_lease: self.lease,
             cancel: self.cancel,
             state: StateLimits {
                 rps: self.state_limits.0,
@@ -89,21 +94,21 @@
             max_connections: 500,
             machines_tracked: 8_192,
             tuning: version.tuning(&self.tuning),
-            dialect: version.dialect(&self.tuning),
+            protocol_version: version.protocol_version(&self.tuning),
             wall: Arc::new(move || {
                 SystemTime::UNIX_EPOCH + Duration::from_secs(1_700_000_000) + start.elapsed()
             }),
         };
         if let Some(loopback) = &self.loopback {
             let ended = {
-                let mut nodes = self.nodes.lock().expect("nodes");
-                nodes.get_mut(name).expect("a node").ended.take()
+                let mut controllers = self.controllers.lock().expect("nodes");
+                controllers.get_mut(name).expect("a node").ended.take()
             };
             let process = loopback.start(config, ended);
-            let node = process.node.clone();
+            let controller = process.controller.clone();
             self.set_running(
                 name,
-                node,
+                controller,
                 CancellationToken::new(),
                 JoinSet::new(),
                 life,
@@ -117,44 +122,44 @@
             .map(|(peer, _)| (peer.clone(), peer.to_string()))
             .collect();
         let stop = CancellationToken::new();
-        let node = Node::new(
+        let controller = Controller::new(
             config,
-            Box::new(HttpState {
+            Box::new(HttpKeyValueStore {
                 net: net.clone(),
                 address: "state".into(),
             }),
-            Box::new(HttpWorkers { net: net.clone() }),
-            Box::new(HttpCloud {
+            Box::new(HttpAgentClient { net: net.clone() }),
+            Box::new(HttpCloudClient {
                 net: net.clone(),
                 address: "cloud".into(),
             }),
-            Box::new(LinkPeers { net, addresses }),
+            Box::new(TcpPeerClient { net, addresses }),
             stop.clone(),
         );
         let mut duties = JoinSet::new();
-        node.start(&mut duties);
-        self.set_running(name, node, stop, duties, life, None);
+        controller.start(&mut duties);
+        self.set_running(name, controller, stop, duties, life, None);
     }
 
     fn set_running(
         &self,
         name: &str,
-        node: Arc<Node>,
+        controller: Arc<Controller>,
         stop: CancellationToken,
         duties: JoinSet<&'static str>,
         life: u64,
         process: Option<Process>,
     ) {
         let running = Running {
-            router: server::router(node.clone(), Sockets::new(500)),
-            node,
+            router: server::router(controller.clone(), Sockets::new(500)),
+            controller,
             stop,
             duties,
             life,
             process,
         };
-        let mut nodes = self.nodes.lock().expect("nodes");
-        nodes.get_mut(name).expect("a node").running = Some(running);
+        let mut controllers = self.controllers.lock().expect("nodes");
+        controllers.get_mut(name).expect("a node").running = Some(running);
     }
 
     /// Moves this world to real sockets.
@@ -165,7 +170,7 @@
     /// With real sockets: lets state service and cloud listen.
     pub async fn serve_services(self: &Arc<Self>) {
         if let Some(loopback) = &self.loopback {
-            for name in self.node_names() {
+            for name in self.controller_names() {
                 loopback.serve_services(self, &name).await;
             }
         }
@@ -190,8 +195,8 @@
         versions.get(name).copied().unwrap_or_default()
     }
 
-    pub(super) fn dialect_of(&self, name: &str) -> Dialect {
-        self.version(name).dialect(&self.tuning)
+    pub(super) fn protocol_version_of(&self, name: &str) -> ProtocolVersion {
+        self.version(name).protocol_version(&self.tuning)
     }
 
     /// The state service's limits fall to those that were announced.
@@ -201,41 +206,41 @@
         self.state.set_sizes(next.ops, next.value);
     }
 
-    pub fn kill_node(&self, name: &str) {
+    pub fn kill_controller(&self, name: &str) {
         let running = {
-            let mut nodes = self.nodes.lock().expect("nodes");
-            nodes.get_mut(name).expect("a node").running.take()
+            let mut controllers = self.controllers.lock().expect("nodes");
+            controllers.get_mut(name).expect("a node").running.take()
         };
         if let Some(mut running) = running {
             running.duties.abort_all();
             running.stop.cancel();
             let ended = running.process.map(Process::kill);
-            let mut nodes = self.nodes.lock().expect("nodes");
-            nodes.get_mut(name).expect("a node").ended = ended;
+            let mut controllers = self.controllers.lock().expect("nodes");
+            controllers.get_mut(name).expect("a node").ended = ended;
         }
     }
 
-    /// The node that leads, as far as anybody thinks so.
+    /// The controller that leads, as far as anybody thinks so.
     pub fn leader(&self) -> Option<String> {
-        let nodes = self.nodes.lock().expect("nodes");
-        nodes
+        let controllers = self.controllers.lock().expect("nodes");
+        controllers
             .iter()
             .filter_map(|(name, slot)| Some((name, slot.running.as_ref()?)))
             .find(|(name, running)| {
-                let cache = running.node.store.cache();
+                let cache = running.controller.store.cache();
                 cache
                     .leader
                     .as_ref()
-                    .is_some_and(|kept| kept.value.node.as_str() == name.as_str())
+                    .is_some_and(|entry| entry.value.controller.as_str() == name.as_str())
             })
             .map(|(name, _)| name.clone())
     }
 
-    /// The leading process: its node, and which life of that node.
+    /// The leading process: its controller, and which life of that controller.
     pub fn leader_life(&self) -> Option<String> {
         let name = self.leader()?;
-        let nodes = self.nodes.lock().expect("nodes");
-        let life = nodes.get(&name)?.running.as_ref()?.life;
+        let controllers = self.controllers.lock().expect("nodes");
+        let life = controllers.get(&name)?.running.as_ref()?.life;
         Some(format!("{name}-{life}"))
     }
 }
--- a/crates/simulator/src/state_service.rs
+++ b/crates/simulator/src/state_service.rs
@@ -91,7 +91,7 @@
 }
 
 #[derive(Clone, Default)]
-pub struct State {
+pub struct StateService {
     inner: Arc<Mutex<Inner>>,
     changed: Arc<Notify>,
 }
@@ -230,7 +230,7 @@
         .map(|(_, value)| value)
 }
 
-impl State {
+impl StateService {
     fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
         self.inner.lock().expect("no panic holds it")
     }
@@ -273,13 +273,13 @@
         self.lock().changes_by_kind.clone()
     }
 
-    /// Answers this node with 503 only.
-    pub fn set_refused(&self, node: &str, refused: bool) {
+    /// Answers this controller with 503 only.
+    pub fn set_refused(&self, controller: &str, refused: bool) {
         let mut inner = self.lock();
         if refused {
-            inner.refused.insert(node.into());
+            inner.refused.insert(controller.into());
         } else {
-            inner.refused.remove(node);
+            inner.refused.remove(controller);
         }
     }
 
@@ -352,7 +352,7 @@
         answer
     }
 
-    async fn follow(&self, node: &str, path: &str) -> Answer {
+    async fn follow(&self, controller: &str, path: &str) -> Answer {
         let from: u64 = query(path, "from")
             .and_then(|n| n.parse().ok())
             .expect("from");
@@ -367,7 +367,7 @@
             let changed = self.changed.notified();
             {
                 let mut inner = self.lock();
-                let refused = inner.down || inner.refused.contains(node);
+                let refused = inner.down || inner.refused.contains(controller);
                 if refused && hold == 0 {
                     return (503, json!({}));
                 }
--- a/crates/simulator/src/users.rs
+++ b/crates/simulator/src/users.rs
@@ -1,11 +1,11 @@
-//! Users' stand-ins: they submit, poll and cancel, and repeat what got no answer.
+//! Users' simulator: they submit, poll and cancel, and repeat what got no answer.
 
 use std::{sync::Arc, time::Duration};
 
 use serde_json::{Value, json};
-use stallcove::storage::{JobId, JobKind, JobSpec, Priority, chance};
+use stallcove::storage::{JobId, JobKind, JobSpec, Priority, jitter};
 
-use crate::{rules::Event, world::World};
+use crate::{rules::Event, simulation::Simulation};
 
 /// A submission as users write it.
 pub fn write_job(id: &JobId, spec: &JobSpec) -> Value {
@@ -28,19 +28,19 @@
 }
 
 async fn ask(
-    world: &Arc<World>,
+    simulation: &Arc<Simulation>,
     method: &str,
     path: &str,
     body: String,
     limit: Duration,
 ) -> Option<(u16, Value)> {
-    let names = world.node_names();
+    let names = simulation.controller_names();
     let tags = ["users".to_owned()];
-    let first = chance::share(0.0, names.len() as f64) as usize;
-    // The load balancer tries another node when one refuses.
+    let first = jitter::uniform(0.0, names.len() as f64) as usize;
+    // The load balancer tries another controller when one refuses.
     for n in 0..names.len() {
         let name = &names[(first + n) % names.len()];
-        let call = world.to_node(&tags, name, method, path, body.clone());
+        let call = simulation.to_controller(&tags, name, method, path, body.clone());
         match tokio::time::timeout(limit, call).await {
             Ok(Some((code, text))) => {
                 return Some((code, serde_json::from_str(&text).unwrap_or(Value::Null)));
@@ -53,7 +53,7 @@
 }
 
 fn see(
-    world: &Arc<World>,
+    simulation: &Arc<Simulation>,
     asked: Duration,
     job: &JobId,
     (code, answer): (u16, &Value),
@@ -61,13 +61,13 @@
 ) {
     let state = answer["stance"].as_str().map(str::to_owned);
     if let Some(state) = &state {
-        let mut told = world.told.lock().expect("told");
+        let mut told = simulation.told.lock().expect("told");
         let before = told.insert(job.clone(), state.clone());
-        if world.troubles.looks_closely() && is_news(before.as_deref(), state) {
-            world.look_closely(job);
+        if simulation.faults.looks_closely() && is_news(before.as_deref(), state) {
+            simulation.look_closely(job);
         }
     }
-    world.see(Event::Answer {
+    simulation.see(Event::Answer {
         asked,
         job: job.clone(),
         code,
@@ -82,79 +82,96 @@
 }
 
 /// Asks one controller about the job.
-pub async fn look(world: &Arc<World>, name: &str, job: &JobId) {
+pub async fn look(simulation: &Arc<Simulation>, name: &str, job: &JobId) {
     let tags = ["users".to_owned()];
     let path = format!("/api/jobs/{job}");
-    let asked = world.at();
-    let call = world.to_node(&tags, name, "GET", &path, String::new());
+    let asked = simulation.at();
+    let call = simulation.to_controller(&tags, name, "GET", &path, String::new());
     if let Ok(Some((code, text))) = tokio::time::timeout(Duration::from_secs(2), call).await {
         let answer: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
-        see(world, asked, job, (code, &answer), false);
+        see(simulation, asked, job, (code, &answer), false);
     }
 }
 
 /// Sends the submission once more.
-pub async fn submit_at_once(world: &Arc<World>, job: &JobId, spec: &JobSpec) {
+pub async fn submit_at_once(simulation: &Arc<Simulation>, job: &JobId, spec: &JobSpec) {
     let body = write_job(job, spec).to_string();
-    let asked = world.at();
-    let answer = ask(world, "POST", "/api/jobs", body, Duration::from_secs(5)).await;
+    let asked = simulation.at();
+    let answer = ask(
+        simulation,
+        "POST",
+        "/api/jobs",
+        body,
+        Duration::from_secs(5),
+    )
+    .await;
     if let Some((code, answer)) = answer {
-        see(world, asked, job, (code, &answer), true);
+        see(simulation, asked, job, (code, &answer), true);
     }
 }
 
 /// Submits, until it is accepted or refused for good; then polls to the end. One that
 /// got no answer at all is polled as well, since it may have been accepted, by a later
 /// repeat for example.
-pub async fn submit(world: Arc<World>, job: JobId, spec: JobSpec, fails: bool) {
-    world.upload(&job, spec.clone(), fails);
-    if submit_once(&world, &job, &spec).await == Some(false) {
+pub async fn submit(simulation: Arc<Simulation>, job: JobId, spec: JobSpec, fails: bool) {
+    simulation.upload(&job, spec.clone(), fails);
+    if submit_once(&simulation, &job, &spec).await == Some(false) {
         return;
     }
     loop {
-        tokio::time::sleep(world.troubles.question_pause()).await;
+        tokio::time::sleep(simulation.faults.question_pause()).await;
         let path = format!("/api/jobs/{job}");
         let limit = Duration::from_secs(2);
-        let asked = world.at();
-        if let Some((code, answer)) = ask(&world, "GET", &path, String::new(), limit).await {
-            see(&world, asked, &job, (code, &answer), false);
+        let asked = simulation.at();
+        if let Some((code, answer)) = ask(&simulation, "GET", &path, String::new(), limit).await {
+            see(&simulation, asked, &job, (code, &answer), false);
         }
     }
 }
 
 /// Whether it was accepted, or refused for good; none: no such answer in time.
-pub async fn submit_once(world: &Arc<World>, job: &JobId, spec: &JobSpec) -> Option<bool> {
+pub async fn submit_once(
+    simulation: &Arc<Simulation>,
+    job: &JobId,
+    spec: &JobSpec,
+) -> Option<bool> {
     let body = write_job(job, spec).to_string();
     for _ in 0..30 {
         let limit = Duration::from_secs(5);
-        let asked = world.at();
-        if let Some((code, answer)) = ask(world, "POST", "/api/jobs", body.clone(), limit).await {
-            world.codes.lock().expect("codes").insert(job.clone(), code);
-            see(world, asked, job, (code, &answer), true);
+        let asked = simulation.at();
+        if let Some((code, answer)) =
+            ask(simulation, "POST", "/api/jobs", body.clone(), limit).await
+        {
+            simulation
+                .codes
+                .lock()
+                .expect("codes")
+                .insert(job.clone(), code);
+            see(simulation, asked, job, (code, &answer), true);
             match code {
                 200 | 201 => return Some(true),
                 400 | 422 => return Some(false),
                 _ => {}
             }
         }
-        tokio::time::sleep(Duration::from_secs_f64(chance::share(1.0, 2.0))).await;
+        tokio::time::sleep(Duration::from_secs_f64(jitter::uniform(1.0, 2.0))).await;
     }
     None
 }
 
-pub async fn abort(world: Arc<World>, job: JobId) {
-    world.see(Event::AbortAsked(job.clone()));
+pub async fn abort(simulation: Arc<Simulation>, job: JobId) {
+    simulation.see(Event::AbortAsked(job.clone()));
     for _ in 0..60 {
         let path = format!("/api/jobs/{job}/abort");
         let limit = Duration::from_secs(5);
-        let asked = world.at();
-        if let Some((code, answer)) = ask(&world, "POST", &path, String::new(), limit).await {
-            see(&world, asked, &job, (code, &answer), false);
+        let asked = simulation.at();
+        if let Some((code, answer)) = ask(&simulation, "POST", &path, String::new(), limit).await {
+            see(&simulation, asked, &job, (code, &answer), false);
             if code == 200 {
                 return;
             }
         }
-        tokio::time::sleep(Duration::from_secs_f64(chance::share(1.0, 2.0))).await;
+        tokio::time::sleep(Duration::from_secs_f64(jitter::uniform(1.0, 2.0))).await;
     }
 }
 
@@ -180,7 +197,7 @@
 ];
 
 /// Sends submissions that lack a field or can never run.
-pub async fn odd(world: Arc<World>, spec: JobSpec) {
+pub async fn odd(simulation: Arc<Simulation>, spec: JobSpec) {
     let whole = write_job(&JobId::new("job-990000"), &spec);
     let mut wrong: Vec<(String, u16, Value)> = Vec::new();
     for field in REQUIRED {
@@ -222,8 +239,8 @@
         }
         let limit = Duration::from_secs(5);
         let text = body.to_string();
-        if let Some((code, _)) = ask(&world, "POST", "/api/jobs", text, limit).await {
-            world.see(Event::OddAnswered(what, expected, code));
+        if let Some((code, _)) = ask(&simulation, "POST", "/api/jobs", text, limit).await {
+            simulation.see(Event::OddAnswered(what, expected, code));
         }
     }
 }
--- a/crates/simulator/src/versions.rs
+++ b/crates/simulator/src/versions.rs
@@ -1,9 +1,9 @@
 //! Versions of the program that serve side by side while an upgrade rolls.
 
-use stallcove::coordination::{Tuning, ports::Dialect};
+use stallcove::coordination::{Tuning, ports::ProtocolVersion};
 
 /// What a controller of the simulated world plays. An earlier version is played by this
-/// one, which tells the dialect of the earlier one and keeps to what that one knew.
+/// one, which tells the protocol version of the earlier one and keeps to what that one knew.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Version {
     /// Says nothing of what it reads, drops links on frames that it can't read, and
@@ -28,12 +28,12 @@
         }
     }
 
-    pub fn dialect(self, tuning: &Tuning) -> Dialect {
+    pub fn protocol_version(self, tuning: &Tuning) -> ProtocolVersion {
         match self {
-            Version::BeforeGangs => Dialect::default(),
-            Version::Gangs => Dialect::GANGS,
-            Version::BeforeTransfers => Dialect::OURS,
-            Version::Current => tuning.dialect(),
+            Version::BeforeGangs => ProtocolVersion::default(),
+            Version::Gangs => ProtocolVersion::GANGS,
+            Version::BeforeTransfers => ProtocolVersion::CURRENT,
+            Version::Current => tuning.protocol_version(),
         }
     }
 
--- a/src/coordination/agent_state.rs
+++ b/src/coordination/agent_state.rs
@@ -1,4 +1,4 @@
-//! A holder's view of one machine: what its worker said last, in order, and
+//! An owner's view of one machine: what its agent said last, in order, and
 //! what can be concluded from it.
 
 use std::{
@@ -10,57 +10,59 @@
 use tokio::time::Instant;
 
 use crate::{
-    coordination::ports::{Command, Report, TaskState},
-    storage::{Attempt, ImageName, JobId, Resources, Session, TaskId, Token, state_cache::Load},
+    coordination::ports::{Command, Heartbeat, TaskState},
+    storage::{
+        AgentEpoch, Attempt, ImageName, JobId, Resources, TaskId, Token, state_cache::MachineLoad,
+    },
 };
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct ObservedTask {
     pub attempt: Attempt,
     pub state: TaskState,
     pub running_since: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
-    /// A report that waits for our answer.
-    Report,
-    /// The answer to a direct command or to a look.
+pub enum MessageSource {
+    /// A heartbeat that waits for our answer.
+    Heartbeat,
+    /// The answer to a direct command or to a probe.
     Direct,
 }
 
-/// Failures on one machine before it counts as suspect: from this many jobs.
-const SUSPECT_JOBS: usize = 2;
-const FAILURES_KEPT: usize = 16;
-const REFUSALS_KEPT: usize = 256;
+/// Failures on one machine before it counts as quarantined: from this many jobs.
+const QUARANTINE_AFTER_JOBS: usize = 2;
+const MAX_FAILURES: usize = 16;
+const MAX_REFUSALS: usize = 256;
 pub const FAILURE_WINDOW: Duration = Duration::from_secs(180);
 
 #[derive(Debug)]
-pub struct View {
-    /// Our token when the machine came to us: a worker that has seen it drops
-    /// every command of earlier holders.
+pub struct AgentState {
+    /// Our token when the machine came to us: an agent that has seen it drops
+    /// every command of earlier owners.
     pub acquired: Token,
     pub address: Option<String>,
-    pub session: Session,
+    pub epoch: AgentEpoch,
     sequence: u64,
     pub token: Token,
-    /// Last report, or since when we have held the machine.
-    pub heard: Instant,
-    pub reported: bool,
+    /// Last heartbeat, or since when we have held the machine.
+    pub last_heartbeat: Instant,
+    pub has_heartbeat: bool,
     pub unreachable: bool,
     pub probed: Option<Instant>,
     pub leaves_at: Option<Instant>,
-    pub tasks: BTreeMap<TaskId, Seen>,
-    /// The newest message was a report, so that what it does not list is not
+    pub tasks: BTreeMap<TaskId, ObservedTask>,
+    /// The newest message was a heartbeat, so that what it does not list is not
     /// on its way in an earlier answer of ours.
     complete: bool,
     /// Highest token of a direct start that got no answer. It may be executed
-    /// as long as the worker has seen no higher one.
-    pub unsettled: Option<(Token, Instant)>,
+    /// as long as the agent has seen no higher one.
+    pub in_doubt_start: Option<(Token, Instant)>,
     /// Direct starts that wait for their answer.
     starts_in_flight: u32,
-    /// Starts given in the answer to the newest report: executed, or not, only
-    /// the next report tells.
+    /// Starts given in the answer to the newest heartbeat: executed, or not, only
+    /// the next heartbeat tells.
     answered_starts: BTreeSet<TaskId>,
     images: Vec<(ImageName, f64)>,
     image_names: Arc<Vec<ImageName>>,
@@ -68,42 +70,42 @@
     refusals: BTreeMap<JobId, Instant>,
     pub stops_sent: BTreeMap<TaskId, Instant>,
     pub speed: f64,
-    /// The oldest of our answers whose token the worker has not shown since.
-    unheard: Option<(Token, Instant)>,
-    /// Until when our last answer to a report is a late one: a lease that runs
+    /// The oldest of our answers whose token the agent has not shown since.
+    unconfirmed_token: Option<(Token, Instant)>,
+    /// Until when our last answer to a heartbeat is a late one: a lease that runs
     /// out before that was not renewed by it.
     answered_until: Option<Instant>,
-    /// The worker's lease ran out although we answered its reports.
-    lost_session: Option<Instant>,
+    /// The agent's lease ran out although we answered its heartbeats.
+    lost_epoch_at: Option<Instant>,
 }
 
-/// How long after a lease ran out under our answers a worker counts as one that
+/// How long after a lease ran out under our answers an agent counts as one that
 /// hears nothing of us.
-const LOST_LIFE: Duration = Duration::from_secs(90);
+const LOST_EPOCH_TTL: Duration = Duration::from_secs(90);
 
-impl View {
+impl AgentState {
     pub fn new(acquired: Token, now: Instant) -> Self {
         Self {
             acquired,
             address: None,
-            session: Session(0),
+            epoch: AgentEpoch(0),
             sequence: 0,
             token: Token(0),
-            heard: now,
-            reported: false,
+            last_heartbeat: now,
+            has_heartbeat: false,
             unreachable: false,
             probed: None,
             leaves_at: None,
             tasks: BTreeMap::new(),
             complete: false,
-            unsettled: None,
+            in_doubt_start: None,
             starts_in_flight: 0,
             answered_starts: BTreeSet::new(),
             images: Vec::new(),
             image_names: Arc::default(),
-            unheard: None,
+            unconfirmed_token: None,
             answered_until: None,
-            lost_session: None,
+            lost_epoch_at: None,
             failures: VecDeque::new(),
             refusals: BTreeMap::new(),
             stops_sent: BTreeMap::new(),
@@ -112,38 +114,41 @@
     }
 
     /// Takes a message in, unless a newer one is known. Messages can be minutes
-    /// late; the larger (session, sequence) is the newer.
-    pub fn take(&mut self, report: &Report, source: Source, now: Instant) -> bool {
-        if (report.session, report.sequence) <= (self.session, self.sequence) {
+    /// late; the larger (epoch, sequence) is the newer.
+    pub fn apply(&mut self, heartbeat: &Heartbeat, source: MessageSource, now: Instant) -> bool {
+        if (heartbeat.epoch, heartbeat.sequence) <= (self.epoch, self.sequence) {
             return false;
         }
-        if report.session > self.session {
+        if heartbeat.epoch > self.epoch {
             self.tasks.clear();
             self.stops_sent.clear();
             // Its lease ran out, but we have answered lately: it does not hear us.
-            if self.session.0 > 0 && self.answered_until.is_some_and(|until| now < until) {
-                self.lost_session = Some(now);
+            if self.epoch.0 > 0 && self.answered_until.is_some_and(|until| now < until) {
+                self.lost_epoch_at = Some(now);
             }
         }
-        self.session = report.session;
-        self.sequence = report.sequence;
-        self.token = self.token.max(report.token);
-        if self.unheard.is_some_and(|(token, _)| self.token >= token) {
-            self.unheard = None;
+        self.epoch = heartbeat.epoch;
+        self.sequence = heartbeat.sequence;
+        self.token = self.token.max(heartbeat.token);
+        if self
+            .unconfirmed_token
+            .is_some_and(|(token, _)| self.token >= token)
+        {
+            self.unconfirmed_token = None;
         }
-        if self.address.as_ref() != Some(&report.address) {
-            self.address = Some(report.address.clone());
+        if self.address.as_ref() != Some(&heartbeat.address) {
+            self.address = Some(heartbeat.address.clone());
         }
-        self.leaves_at = report.notice.map(|notice| now + notice);
-        self.complete = source == Source::Report;
+        self.leaves_at = heartbeat.notice.map(|notice| now + notice);
+        self.complete = source == MessageSource::Heartbeat;
         self.unreachable = false;
-        if source == Source::Report {
-            self.heard = now;
-            self.reported = true;
+        if source == MessageSource::Heartbeat {
+            self.last_heartbeat = now;
+            self.has_heartbeat = true;
             self.answered_starts.clear();
         }
         let old = std::mem::take(&mut self.tasks);
-        for entry in &report.tasks {
+        for entry in &heartbeat.tasks {
             let before = old
                 .get(&entry.task)
                 .filter(|seen| seen.attempt == entry.attempt);
@@ -153,7 +158,7 @@
             };
             self.tasks.insert(
                 entry.task.clone(),
-                Seen {
+                ObservedTask {
                     attempt: entry.attempt,
                     state: entry.state,
                     running_since,
@@ -161,9 +166,9 @@
             );
         }
         self.stops_sent
-            .retain(|task, _| report.tasks.iter().any(|t| t.task == *task));
-        if self.is_settled() {
-            self.unsettled = None;
+            .retain(|task, _| heartbeat.tasks.iter().any(|t| t.task == *task));
+        if self.all_commands_resolved() {
+            self.in_doubt_start = None;
         }
         true
     }
@@ -174,7 +179,7 @@
 
     /// What placed tasks that have ended still take by the cache: their room is
     /// free as soon as they have, although their results are yet to be written.
-    pub fn freed(&self, load: &Load) -> Resources {
+    pub fn freed(&self, load: &MachineLoad) -> Resources {
         let mut freed = Resources::default();
         for (task, seen) in &self.tasks {
             if matches!(seen.state, TaskState::Exited(_))
@@ -188,18 +193,20 @@
         freed
     }
 
-    /// No command that we or an earlier holder sent can still be executed
-    /// unseen: every one carried a lower token than the worker knows, or was
+    /// No command that we or an earlier owner sent can still be executed
+    /// unseen: every one carried a lower token than the agent knows, or was
     /// answered.
-    pub fn is_settled(&self) -> bool {
+    pub fn all_commands_resolved(&self) -> bool {
         self.token >= self.acquired
             && self.starts_in_flight == 0
-            && self.unsettled.is_none_or(|(token, _)| self.token > token)
+            && self
+                .in_doubt_start
+                .is_none_or(|(token, _)| self.token > token)
     }
 
     /// A task that the newest message does not list is surely not there.
     pub fn absence_is_proof(&self, task: &TaskId) -> bool {
-        self.complete && self.is_settled() && !self.answered_starts.contains(task)
+        self.complete && self.all_commands_resolved() && !self.answered_starts.contains(task)
     }
 
     pub fn answer_starts(&mut self, commands: &[Command]) {
@@ -210,24 +217,24 @@
             }));
     }
 
-    /// A report is answered with this token. `interval`: the workers' longest
-    /// pause between two reports, far below their lease.
+    /// A heartbeat is answered with this token. `interval`: the agents' longest
+    /// pause between two heartbeats, far below their lease.
     pub fn note_answer(&mut self, token: Token, interval: Duration, now: Instant) {
         self.answered_until = Some(now + interval);
         if self.token < token {
-            self.unheard.get_or_insert((token, now));
+            self.unconfirmed_token.get_or_insert((token, now));
         }
     }
 
-    /// Its reports come, but nothing that we say reaches it: it does not show a
+    /// Its heartbeats come, but nothing that we say reaches it: it does not show a
     /// token that it was told `patience` ago, or its lease ran out while we
     /// answered. It looks alive, and yet its tasks end with its lease.
-    pub fn is_deaf(&self, patience: Duration, now: Instant) -> bool {
-        self.unheard
+    pub fn is_command_path_lost(&self, patience: Duration, now: Instant) -> bool {
+        self.unconfirmed_token
             .is_some_and(|(_, at)| now.duration_since(at) > patience)
             || self
-                .lost_session
-                .is_some_and(|at| now.duration_since(at) < LOST_LIFE)
+                .lost_epoch_at
+                .is_some_and(|at| now.duration_since(at) < LOST_EPOCH_TTL)
     }
 
     pub fn start_sent(&mut self) {
@@ -238,14 +245,16 @@
         self.starts_in_flight = self.starts_in_flight.saturating_sub(1);
     }
 
-    /// An earlier session's tasks are gone.
-    pub fn outlived(&self, session: Session) -> bool {
-        self.session > session && self.token >= self.acquired
+    /// An earlier epoch's tasks are terminated.
+    pub fn has_ended_epoch(&self, epoch: AgentEpoch) -> bool {
+        self.epoch > epoch && self.token >= self.acquired
     }
 
-    pub fn started_unanswered(&mut self, token: Token, now: Instant) {
-        let token = self.unsettled.map_or(token, |(known, _)| known.max(token));
-        self.unsettled = Some((token, now));
+    pub fn note_start_in_doubt(&mut self, token: Token, now: Instant) {
+        let token = self
+            .in_doubt_start
+            .map_or(token, |(known, _)| known.max(token));
+        self.in_doubt_start = Some((token, now));
     }
 
     pub fn note_image(&mut self, image: &ImageName, gb: f64, cache_gb: f64) {
@@ -269,31 +278,31 @@
 
     pub fn note_failure(&mut self, job: &JobId, now: Instant) {
         self.failures.push_back((job.clone(), now));
-        if self.failures.len() > FAILURES_KEPT {
+        if self.failures.len() > MAX_FAILURES {
             self.failures.pop_front();
         }
     }
 
     /// Whether so many jobs have failed here that the machine seems faulty. Jobs that
     /// are to blame themselves do not count: they fail on every machine.
-    pub fn is_suspect(&self, now: Instant, is_blamed: impl Fn(&JobId) -> bool) -> bool {
+    pub fn is_quarantined(&self, now: Instant, is_crash_looping: impl Fn(&JobId) -> bool) -> bool {
         let mut jobs: Vec<&JobId> = self
             .failures
             .iter()
-            .filter(|(job, at)| now.duration_since(*at) < FAILURE_WINDOW && !is_blamed(job))
+            .filter(|(job, at)| now.duration_since(*at) < FAILURE_WINDOW && !is_crash_looping(job))
             .map(|(job, _)| job)
             .collect();
         jobs.sort();
         jobs.dedup();
-        jobs.len() >= SUSPECT_JOBS
+        jobs.len() >= QUARANTINE_AFTER_JOBS
     }
 
     /// The job is not tried here again for a while.
     pub fn refuse(&mut self, job: &JobId, until: Instant, now: Instant) {
-        if self.refusals.len() >= REFUSALS_KEPT {
+        if self.refusals.len() >= MAX_REFUSALS {
             self.refusals.retain(|_, at| *at > now);
         }
-        if self.refusals.len() < REFUSALS_KEPT {
+        if self.refusals.len() < MAX_REFUSALS {
             self.refusals.insert(job.clone(), until);
         }
     }
@@ -302,8 +311,8 @@
         self.refusals.get(job).is_some_and(|until| *until > now)
     }
 
-    pub fn silent(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.heard)
+    pub fn time_since_heartbeat(&self, now: Instant) -> Duration {
+        now.saturating_duration_since(self.last_heartbeat)
     }
 }
 
--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -6,8 +6,8 @@
 };
 
 use crate::{
-    coordination::{policy::giveback::PaidPeriods, ports::Dialect},
-    storage::{ClassName, Incarnation, NodeName, StateLimits, Team, TeamName, ZoneName},
+    coordination::{policy::scale_in::PaidPeriods, ports::ProtocolVersion},
+    storage::{ClassName, ControllerName, Incarnation, StateLimits, Team, TeamName, ZoneName},
 };
 
 /// A class's aim, as far as decisions use it.
@@ -32,10 +32,10 @@
     pub remedial_theta: f64,
     pub evenness_threshold: f64,
     pub paid: PaidPeriods,
-    pub node_lease: Duration,
+    pub controller_lease: Duration,
     pub offer: Duration,
-    /// None: derived from the workers' report interval.
-    pub silent: Option<Duration>,
+    /// None: derived from the agents' heartbeat interval.
+    pub unresponsive_after: Option<Duration>,
     /// Controllers transfer quota to each other directly.
     pub quota_transfers: bool,
 }
@@ -58,9 +58,9 @@
                 first: Duration::from_secs(60),
                 then: Duration::from_secs(10),
             },
-            node_lease: Duration::from_secs(4),
+            controller_lease: Duration::from_secs(4),
             offer: Duration::from_secs(2),
-            silent: None,
+            unresponsive_after: None,
             quota_transfers: false,
         }
     }
@@ -68,15 +68,15 @@
 
 #[derive(Clone)]
 pub struct Config {
-    pub node: NodeName,
+    pub name: ControllerName,
     pub zone: ZoneName,
     pub incarnation: Incarnation,
     /// The other controllers with their zones.
-    pub peers: Vec<(NodeName, ZoneName)>,
+    pub peers: Vec<(ControllerName, ZoneName)>,
     pub teams: Vec<Team>,
     pub objectives: Vec<Objective>,
-    pub worker_report: Duration,
-    pub worker_lease: Duration,
+    pub heartbeat_interval: Duration,
+    pub agent_lease: Duration,
     pub cancel: Duration,
     pub state: StateLimits,
     pub cloud_rps: f64,
@@ -87,7 +87,7 @@
     pub machines_tracked: usize,
     pub tuning: Tuning,
     /// What this process reads, as it tells its peers.
-    pub dialect: Dialect,
+    pub protocol_version: ProtocolVersion,
     /// The time of day; tests put their own.
     pub wall: Arc<dyn Fn() -> SystemTime + Send + Sync>,
 }
@@ -96,7 +96,7 @@
 /// it is used at some 2 KiB a machine.
 const MACHINES_PER_MIB: f64 = 128.0;
 /// ... and in any case. Half as many again as the largest fleet served, and some more.
-const LEAST_MACHINES: usize = 8_192;
+const MIN_MACHINES: usize = 8_192;
 /// Without a memory limit.
 const MACHINES_WITHOUT_LIMIT: usize = 65_536;
 
@@ -105,7 +105,7 @@
     let Some(memory) = memory_mib else {
         return MACHINES_WITHOUT_LIMIT;
     };
-    ((memory * MACHINES_PER_MIB) as usize).clamp(LEAST_MACHINES, MACHINES_WITHOUT_LIMIT)
+    ((memory * MACHINES_PER_MIB) as usize).clamp(MIN_MACHINES, MACHINES_WITHOUT_LIMIT)
 }
 
 /// Versioned back from `cancel` for clock drift, timers and the way of an answer.
@@ -113,11 +113,11 @@
 
 impl Tuning {
     /// What a process with these settings reads, as it tells its peers.
-    pub fn dialect(&self) -> Dialect {
+    pub fn protocol_version(&self) -> ProtocolVersion {
         if self.quota_transfers {
-            Dialect::QUOTA_TRANSFERS
+            ProtocolVersion::QUOTA_TRANSFERS
         } else {
-            Dialect::OURS
+            ProtocolVersion::CURRENT
         }
     }
 }
@@ -133,49 +133,49 @@
             .map_or(0, |since| since.as_millis() as u64)
     }
 
-    /// How long a node that hears of no cancellations may go on answering
-    /// reports. A worker's lease runs from a report that was sent before our
-    /// answer, so it ends at most `worker_lease` after the last answer:
-    /// `entitled + worker_lease` stays within `cancel` by the margin, which
+    /// How long a controller that hears of no cancellations may go on answering
+    /// heartbeats. An agent's lease runs from a heartbeat that was sent before our
+    /// answer, so it ends at most `agent_lease` after the last answer:
+    /// `lease_renewal_window + agent_lease` stays within `cancel` by the margin, which
     /// covers 0.05% drift of both clocks (under 0.1 s here) many times.
-    pub fn entitled(&self) -> Duration {
+    pub fn lease_renewal_window(&self) -> Duration {
         self.cancel
-            .saturating_sub(self.worker_lease)
+            .saturating_sub(self.agent_lease)
             .saturating_sub(CANCEL_MARGIN)
     }
 
-    /// A machine silent for longer than this is looked at. Reports come every
-    /// `worker_report`, give or take a quarter; the rest is for one report that
+    /// A machine unresponsive for longer than this is probed. Heartbeats come every
+    /// `heartbeat_interval`, give or take a quarter; the rest is for one heartbeat that
     /// goes to another controller first and for a busy one's late answer.
-    pub fn silent(&self) -> Duration {
+    pub fn unresponsive_after(&self) -> Duration {
         self.tuning
-            .silent
-            .unwrap_or(self.worker_report.mul_f64(1.25) + Duration::from_millis(750))
+            .unresponsive_after
+            .unwrap_or(self.heartbeat_interval.mul_f64(1.25) + Duration::from_millis(750))
     }
 
-    /// A report this old still tells where a worker reports now.
-    pub fn sighted(&self) -> Duration {
-        self.worker_report * 2
+    /// A heartbeat this old still tells to whom an agent sends its heartbeats.
+    pub fn indirect_heartbeat_max_age(&self) -> Duration {
+        self.heartbeat_interval * 2
     }
 
-    /// The longest pause between two reports of a worker that is up.
-    pub fn report_pause(&self) -> Duration {
-        self.worker_report.mul_f64(1.25) + Duration::from_millis(500)
+    /// The longest pause between two heartbeats of an agent that is up.
+    pub fn max_heartbeat_interval(&self) -> Duration {
+        self.heartbeat_interval.mul_f64(1.25) + Duration::from_millis(500)
     }
 
-    /// A worker that was told a token shows it with its next report; one more is
+    /// An agent that was told a token shows it with its next heartbeat; one more is
     /// for an answer that was lost.
-    pub fn deaf_after(&self) -> Duration {
-        self.worker_report.mul_f64(2.5) + Duration::from_secs(1)
+    pub fn command_path_timeout(&self) -> Duration {
+        self.heartbeat_interval.mul_f64(2.5) + Duration::from_secs(1)
     }
 
-    /// Silent machines that all controllers look at, at a time. Each look takes a socket
+    /// Unresponsive machines that all controllers probe at a time. Each probe takes a socket
     /// of every controller for up to a second.
-    pub fn looks_at_once(&self) -> usize {
+    pub fn max_concurrent_probes(&self) -> usize {
         (self.max_connections / 16).max(32)
     }
 
-    pub fn nodes(&self) -> usize {
+    pub fn controller_count(&self) -> usize {
         self.peers.len() + 1
     }
 }
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -16,55 +16,55 @@
 use crate::{
     coordination::{
         config::Config,
-        holder::HolderState,
         leader::LeaderState,
-        learning::Learning,
-        ports::{CloudPort, Dialect, PeerPort, Sighting, WorkerPort},
+        owner::OwnerState,
+        ports::{AgentClient, CloudClient, IndirectHeartbeat, PeerClient, ProtocolVersion},
         quota_exchange::{QuotaCounts, QuotaExchange},
+        run_time_estimator::RunTimeEstimator,
         startup::Startup,
     },
     storage::{
-        BlockId, MachineId, NodeName, Revision, StateCache, StatePort, Store,
-        records::{BlockRecord, SeatRecord},
+        ControllerName, KeyValueStore, MachineId, Revision, ShardId, StateCache, Store,
+        records::{AllocationRecord, ShardRecord},
         state_cache::Versioned,
     },
 };
 
 /// What is known of the other controllers by talking to them.
 #[derive(Default)]
-pub struct Links {
+pub struct PeerLiveness {
     /// Whether the state service answers them, as they said at that time.
-    pub heard: BTreeMap<NodeName, (Instant, bool)>,
+    pub last_status: BTreeMap<ControllerName, (Instant, bool)>,
     /// What each can read, as its living process said last.
-    pub dialects: BTreeMap<NodeName, Dialect>,
+    pub protocol_versions: BTreeMap<ControllerName, ProtocolVersion>,
     /// The start of the latest round in which every peer said that it knows of
     /// nothing newer than we do.
-    pub nothing_newer: Option<Instant>,
+    pub read_confirmed_at: Option<Instant>,
 }
 
-const COUNTERS_EVERY: Duration = Duration::from_secs(10);
-/// How often the process looks whether it has stood still, and for how long it must have.
-const LOOKS_EVERY: Duration = Duration::from_millis(500);
-const STOOD_STILL: Duration = Duration::from_secs(2);
+const COUNTERS_INTERVAL: Duration = Duration::from_secs(10);
+/// How often the process checks whether it was paused, and the shortest pause that is logged.
+const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 /// Direct commands under way at a time.
-const ORDERS_OUT: usize = 64;
+const MAX_COMMANDS_IN_FLIGHT: usize = 64;
 
-pub struct Node {
+pub struct Controller {
     pub config: Config,
     pub store: Store,
-    pub workers: Box<dyn WorkerPort>,
-    pub cloud: Box<dyn CloudPort>,
-    pub peers: Box<dyn PeerPort>,
-    pub(super) holder: Mutex<HolderState>,
+    pub agent_client: Box<dyn AgentClient>,
+    pub cloud: Box<dyn CloudClient>,
+    pub peers: Box<dyn PeerClient>,
+    pub(super) owner: Mutex<OwnerState>,
     pub(super) leader: Mutex<LeaderState>,
     pub(super) quota: Mutex<QuotaExchange>,
-    pub(super) links: Mutex<Links>,
-    pub(super) sightings: Mutex<BTreeMap<MachineId, (Instant, Sighting)>>,
-    pub(super) learning: Mutex<Learning>,
-    pub(super) holder_kick: Notify,
-    pub(super) leader_kick: Notify,
-    /// Places for commands sent directly to workers.
-    pub(super) orders_out: Semaphore,
+    pub(super) liveness: Mutex<PeerLiveness>,
+    pub(super) indirect_heartbeats: Mutex<BTreeMap<MachineId, (Instant, IndirectHeartbeat)>>,
+    pub(super) estimator: Mutex<RunTimeEstimator>,
+    pub(super) owner_wakeup: Notify,
+    pub(super) leader_wakeup: Notify,
+    /// Places for commands sent directly to agents.
+    pub(super) commands_in_flight: Semaphore,
     pub(super) stop: CancellationToken,
     pub(super) startup: Startup,
 }
@@ -74,30 +74,30 @@
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-impl Node {
+impl Controller {
     pub fn new(
         config: Config,
-        state: Box<dyn StatePort>,
-        workers: Box<dyn WorkerPort>,
-        cloud: Box<dyn CloudPort>,
-        peers: Box<dyn PeerPort>,
+        state: Box<dyn KeyValueStore>,
+        agent_client: Box<dyn AgentClient>,
+        cloud: Box<dyn CloudClient>,
+        peers: Box<dyn PeerClient>,
         stop: CancellationToken,
     ) -> Arc<Self> {
         let store = Store::new(state, config.state.clone());
         Arc::new(Self {
             store,
-            workers,
+            agent_client,
             cloud,
             peers,
-            holder: Mutex::default(),
+            owner: Mutex::default(),
             leader: Mutex::default(),
             quota: Mutex::new(QuotaExchange::new(&config)),
-            links: Mutex::default(),
-            sightings: Mutex::default(),
-            learning: Mutex::default(),
-            holder_kick: Notify::new(),
-            leader_kick: Notify::new(),
-            orders_out: Semaphore::new(ORDERS_OUT),
+            liveness: Mutex::default(),
+            indirect_heartbeats: Mutex::default(),
+            estimator: Mutex::default(),
+            owner_wakeup: Notify::new(),
+            leader_wakeup: Notify::new(),
+            commands_in_flight: Semaphore::new(MAX_COMMANDS_IN_FLIGHT),
             stop,
             startup: Startup::new(),
             config,
@@ -105,42 +105,58 @@
     }
 
     /// Starts the long-lived duties. None of them ends by itself before the
-    /// node is told to stop; the caller ends the process if one does.
+    /// controller is told to stop; the caller ends the process if one does.
     pub fn start(self: &Arc<Self>, duties: &mut JoinSet<&'static str>) {
         macro_rules! duty {
             ($name:literal, $call:expr) => {{
-                let node = self.clone();
+                let controller = self.clone();
                 duties.spawn(async move {
-                    let run: fn(Arc<Node>) -> _ = $call;
-                    run(node).await;
+                    let run: fn(Arc<Controller>) -> _ = $call;
+                    run(controller).await;
                     $name
                 });
             }};
         }
-        duty!("follow the state service", |node| async move {
-            node.store.follow(node.stop.clone()).await
+        duty!("state watch", |controller| async move {
+            controller.store.watch(controller.stop.clone()).await
         });
-        duty!("fresh reads", |node| async move {
-            node.store.serve_fresh(node.stop.clone()).await
+        duty!("read barriers", |controller| async move {
+            controller
+                .store
+                .serve_read_barriers(controller.stop.clone())
+                .await
+        });
+        duty!("membership", |controller| async move {
+            controller.run_membership().await
+        });
+        duty!("shard owner", |controller| async move {
+            controller.run_owner().await
+        });
+        duty!("leader", |controller| async move {
+            controller.run_leader().await
+        });
+        duty!("fleet manager", |controller| async move {
+            controller.run_fleet_manager().await
+        });
+        duty!("peers", |controller| async move {
+            controller.exchange_status().await
+        });
+        duty!("counters", |controller| async move {
+            controller.log_counters().await
+        });
+        duty!("process pause detector", |controller| async move {
+            controller.detect_process_pause().await
+        });
+        duty!("probes", |controller| async move {
+            controller.probe_unresponsive().await
         });
-        duty!("session", |node| async move { node.keep_session().await });
-        duty!("holder", |node| async move { node.hold().await });
-        duty!("leader", |node| async move { node.lead().await });
-        duty!("fleet", |node| async move { node.keep_fleet().await });
-        duty!("peers", |node| async move { node.talk_to_peers().await });
-        duty!("counters", |node| async move { node.log_counters().await });
-        duty!(
-            "clock watch",
-            |node| async move { node.watch_clock().await }
-        );
-        duty!("probes", |node| async move { node.probe_silent().await });
     }
 
     /// Duty: a line of figures every ten seconds.
     async fn log_counters(&self) {
-        while self.pause(COUNTERS_EVERY).await {
-            let counts = self.store.take_counts();
-            let (held, offered, results) = lock(&self.holder).sizes();
+        while self.pause(COUNTERS_INTERVAL).await {
+            let counts = self.store.take_counters();
+            let (owned, offered, results) = lock(&self.owner).sizes();
             let (jobs, waiting) = {
                 let cache = self.store.cache();
                 (cache.jobs.len(), cache.waiting.len())
@@ -152,7 +168,7 @@
                 throttled = counts.throttled,
                 jobs,
                 waiting,
-                held,
+                owned,
                 offered,
                 results,
                 "counters"
@@ -165,28 +181,32 @@
                     received,
                     unserved,
                 } = counts;
-                let lacking_ms = oldest.map_or(0, |age| age.as_millis() as u64);
-                tracing::info!(given, refused, received, unserved, lacking_ms, "quota");
+                let deficit_ms = oldest.map_or(0, |age| age.as_millis() as u64);
+                tracing::info!(given, refused, received, unserved, deficit_ms, "quota");
             }
         }
     }
 
-    /// Duty: says when the process has stood still while its clocks ran on. What would
+    /// Duty: logs a process pause: all threads stopped while the clocks ran on. What would
     /// have been heard meanwhile is still on its way then; each duty makes sure of the
     /// state service, and so of its role, before it judges anything.
-    async fn watch_clock(&self) {
-        let mut looked = Instant::now();
-        while self.pause(LOOKS_EVERY).await {
-            let late = looked.elapsed().saturating_sub(LOOKS_EVERY);
-            if late > STOOD_STILL {
+    async fn detect_process_pause(&self) {
+        let mut last_check = Instant::now();
+        while self.pause(PAUSE_CHECK_INTERVAL).await {
+            let late = last_check.elapsed().saturating_sub(PAUSE_CHECK_INTERVAL);
+            if late > PAUSE_THRESHOLD {
                 let for_ms = late.as_millis() as u64;
-                tracing::info!(for_ms, leads = self.is_leader().is_some(), "stood still");
+                tracing::info!(
+                    for_ms,
+                    leads = self.leadership().is_some(),
+                    "process paused"
+                );
             }
-            looked = Instant::now();
+            last_check = Instant::now();
         }
     }
 
-    /// Sleeps, or returns false as soon as the node is to stop.
+    /// Sleeps, or returns false as soon as the controller is to stop.
     pub(super) async fn pause(&self, time: Duration) -> bool {
         tokio::select! {
             biased;
@@ -195,66 +215,69 @@
         }
     }
 
-    pub(super) fn is_leader(&self) -> Option<Revision> {
+    pub(super) fn leadership(&self) -> Option<Revision> {
         let cache = self.store.cache();
         cache
             .leader
             .as_ref()
             .filter(|leader| {
-                leader.value.node == self.config.node
+                leader.value.controller == self.config.name
                     && leader.value.incarnation == self.config.incarnation
             })
             .map(|leader| leader.revision)
     }
 
-    /// This node's seat, if this process holds it.
-    pub(super) fn own_seat<'a>(&self, cache: &'a StateCache) -> Option<&'a Versioned<SeatRecord>> {
+    /// This controller's allocation, if this process holds it.
+    pub(super) fn own_allocation<'a>(
+        &self,
+        cache: &'a StateCache,
+    ) -> Option<&'a Versioned<AllocationRecord>> {
         cache
-            .seats
-            .get(&self.config.node)
-            .filter(|seat| seat.value.holder == Some(self.config.incarnation))
+            .allocations
+            .get(&self.config.name)
+            .filter(|allocation| allocation.value.owner == Some(self.config.incarnation))
     }
 
-    /// Whether this process holds the block.
-    pub(super) fn holds(&self, block: &BlockRecord) -> bool {
-        block.node == self.config.node && block.holder == self.config.incarnation
+    /// Whether this process holds the shard.
+    pub(super) fn holds(&self, shard: &ShardRecord) -> bool {
+        shard.controller == self.config.name && shard.owner == self.config.incarnation
     }
 
-    /// The blocks that this process holds.
-    pub(super) fn own_blocks<'a>(
+    /// The shards that this process holds.
+    pub(super) fn own_shards<'a>(
         &'a self,
         cache: &'a StateCache,
-    ) -> impl Iterator<Item = (BlockId, &'a Versioned<BlockRecord>)> {
-        let seated = self.own_seat(cache).is_some();
+    ) -> impl Iterator<Item = (ShardId, &'a Versioned<ShardRecord>)> {
+        let seated = self.own_allocation(cache).is_some();
         cache
-            .blocks
+            .shards
             .iter()
-            .filter(move |(_, kept)| seated && self.holds(&kept.value))
-            .map(|(id, kept)| (*id, kept))
+            .filter(move |(_, entry)| seated && self.holds(&entry.value))
+            .map(|(id, entry)| (*id, entry))
     }
 
-    /// The block that a machine of ours is in.
-    pub(super) fn own_block_of<'a>(
+    /// The shard that a machine of ours is in.
+    pub(super) fn own_shard_of<'a>(
         &self,
         cache: &'a StateCache,
         machine: &MachineId,
-    ) -> Option<(BlockId, &'a Versioned<BlockRecord>)> {
+    ) -> Option<(ShardId, &'a Versioned<ShardRecord>)> {
         cache
-            .block_of(machine)
-            .filter(|(_, kept)| self.holds(&kept.value) && self.own_seat(cache).is_some())
+            .shard_of(machine)
+            .filter(|(_, entry)| self.holds(&entry.value) && self.own_allocation(cache).is_some())
     }
 
-    /// Whether reports may be answered with 200, which renews leases: only
-    /// while no cancellation can be older than `Config::entitled` unknown to us.
-    pub fn is_entitled(&self) -> bool {
-        let by_peers = lock(&self.links).nothing_newer;
+    /// Whether heartbeats may be answered with 200, which renews leases: only
+    /// while no cancellation can be older than `Config::lease_renewal_window` unknown to us.
+    pub fn may_renew_leases(&self) -> bool {
+        let by_peers = lock(&self.liveness).read_confirmed_at;
         self.store
-            .confirmed()
+            .confirmed_at()
             .max(by_peers)
-            .is_some_and(|at| at.elapsed() < self.config.entitled())
+            .is_some_and(|at| at.elapsed() < self.config.lease_renewal_window())
     }
 
-    /// Whether users should be sent here. A node that alone has lost the state
+    /// Whether users should be sent here. A controller that alone has lost the state
     /// service leaves the rotation; when all have, they stay, since readmission
     /// is slow and nobody else could serve either.
     pub fn is_ready(&self) -> bool {
@@ -269,9 +292,9 @@
         if self.store.is_loaded() && self.store.is_reachable() {
             return true;
         }
-        let links = lock(&self.links);
-        let others_serve = links
-            .heard
+        let liveness = lock(&self.liveness);
+        let others_serve = liveness
+            .last_status
             .values()
             .any(|(at, reachable)| at.elapsed() < Duration::from_secs(3) && *reachable);
         self.store.is_loaded() && !others_serve
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -1,88 +1,88 @@
-//! Answers workers' reports.
+//! Answers agents' heartbeats.
 
 use tokio::time::Instant;
 
 use crate::{
     coordination::{
-        holder::HolderState,
-        node::{Node, lock},
-        ports::{Command, Report, ReportAnswer, TaskState},
-        view::{Source, View},
+        agent_state::{AgentState, MessageSource},
+        controller::{Controller, lock},
+        owner::OwnerState,
+        ports::{Command, Heartbeat, HeartbeatResponse, TaskState},
     },
     storage::{Attempt, JobSpec, MachineId, StateCache, TaskId, Token},
 };
 
 /// Commands in one answer; the rest follow with the next.
-const COMMANDS: usize = 400;
+const MAX_COMMANDS: usize = 400;
 
-impl Node {
-    pub fn answer_report(&self, report: &Report) -> ReportAnswer {
+impl Controller {
+    pub fn handle_heartbeat(&self, heartbeat: &Heartbeat) -> HeartbeatResponse {
         if !self.store.is_loaded() {
-            return ReportAnswer::Unavailable;
+            return HeartbeatResponse::Unavailable;
         }
         let now = Instant::now();
         let cache = self.store.cache();
-        let Some((_, block)) = cache.block_of(&report.machine) else {
+        let Some((_, shard)) = cache.shard_of(&heartbeat.machine) else {
             drop(cache);
-            self.sight(report);
-            return ReportAnswer::NotHere(None);
+            self.note_indirect_heartbeat(heartbeat);
+            return HeartbeatResponse::NotHere(None);
         };
-        let (node, holder) = (block.value.node.clone(), block.value.holder);
-        let token = Token::from(block.revision);
-        if node != self.config.node {
+        let (controller, owner) = (shard.value.controller.clone(), shard.value.owner);
+        let token = Token::from(shard.revision);
+        if controller != self.config.name {
             let alive = cache
-                .nodes
-                .get(&node)
-                .is_some_and(|kept| kept.value.incarnation == holder);
+                .controllers
+                .get(&controller)
+                .is_some_and(|entry| entry.value.incarnation == owner);
             drop(cache);
-            self.sight(report);
-            return ReportAnswer::NotHere(alive.then_some(node));
+            self.note_indirect_heartbeat(heartbeat);
+            return HeartbeatResponse::NotHere(alive.then_some(controller));
         }
-        // Another process held the block, our view of it is behind, or our
+        // Another process held the shard, our view of it is behind, or our
         // right to renew leases has run out: a 200 would be wrong or dropped.
-        if self.own_block_of(&cache, &report.machine).is_none()
-            || report.token > token
-            || !self.is_entitled()
+        if self.own_shard_of(&cache, &heartbeat.machine).is_none()
+            || heartbeat.token > token
+            || !self.may_renew_leases()
         {
-            return ReportAnswer::Unavailable;
+            return HeartbeatResponse::Unavailable;
         }
-        let mut state = lock(&self.holder);
-        let acquired = Token::from(cache.held_since(&report.machine));
+        let mut state = lock(&self.owner);
+        let acquired = Token::from(cache.owned_since(&heartbeat.machine));
         // It went away and came back before our loop noticed.
         if state
-            .views
-            .get(&report.machine)
-            .is_some_and(|view| view.acquired != acquired)
+            .agents
+            .get(&heartbeat.machine)
+            .is_some_and(|agent| agent.acquired != acquired)
         {
-            state.views.remove(&report.machine);
+            state.agents.remove(&heartbeat.machine);
         }
-        let HolderState {
-            views, preempting, ..
+        let OwnerState {
+            agents, preempting, ..
         } = &mut *state;
-        let view = views
-            .entry(report.machine.clone())
-            .or_insert_with(|| View::new(acquired, now));
-        if !view.take(report, Source::Report, now) {
-            // Overtaken by the answer to a direct command. The worker may still
+        let agent = agents
+            .entry(heartbeat.machine.clone())
+            .or_insert_with(|| AgentState::new(acquired, now));
+        if !agent.apply(heartbeat, MessageSource::Heartbeat, now) {
+            // Overtaken by the answer to a direct command. The agent may still
             // wait for this one, so it gets its lease, but nothing to do.
-            return ReportAnswer::Accepted {
+            return HeartbeatResponse::Accepted {
                 token,
                 commands: Vec::new(),
             };
         }
-        let mut commands = commands(&report.machine, view, &cache, |task, attempt| {
+        let mut commands = commands(&heartbeat.machine, agent, &cache, |task, attempt| {
             preempting.get(task) == Some(&attempt)
         });
-        commands.truncate(COMMANDS);
-        view.answer_starts(&commands);
-        view.note_answer(token, self.config.report_pause(), now);
-        let results = self.note_results(&mut state, &cache, &report.machine, now);
+        commands.truncate(MAX_COMMANDS);
+        agent.answer_starts(&commands);
+        agent.note_answer(token, self.config.max_heartbeat_interval(), now);
+        let results = self.note_results(&mut state, &cache, &heartbeat.machine, now);
         drop(state);
         drop(cache);
         if results {
-            self.holder_kick.notify_one();
+            self.owner_wakeup.notify_one();
         }
-        ReportAnswer::Accepted { token, commands }
+        HeartbeatResponse::Accepted { token, commands }
     }
 }
 
@@ -95,11 +95,11 @@
     }
 }
 
-/// What to tell a worker in answer to its report. Starts are given for
+/// What to tell an agent in answer to its heartbeat. Starts are given for
 /// committed placements only, clears for committed results only.
 fn commands(
     machine: &MachineId,
-    view: &View,
+    agent: &AgentState,
     cache: &StateCache,
     preempting: impl Fn(&TaskId, Attempt) -> bool,
 ) -> Vec<Command> {
@@ -107,7 +107,7 @@
     let placed = &cache.on_machine.get(machine).unwrap_or(&none).tasks;
     let mut clears = Vec::new();
     let mut others = Vec::new();
-    for (task, seen) in &view.tasks {
+    for (task, seen) in &agent.tasks {
         let job = cache.jobs.get(&task.job);
         let matching = placed
             .get(task)
@@ -128,13 +128,13 @@
                 }
             }
             // Once cleared, a start that is still on its way would run it again.
-            (None, true) if view.is_settled() => clears.push(Command::Clear {
+            (None, true) if agent.all_commands_resolved() => clears.push(Command::Clear {
                 task: task.clone(),
                 attempt,
             }),
             (None, true) => {}
-            // Nobody's placement: our cache holds all that earlier holders
-            // committed, since it holds our block's record.
+            // Nobody's placement: our cache holds all that earlier owners
+            // committed, since it holds our shard's record.
             (None, false) => others.push(Command::Stop {
                 task: task.clone(),
                 attempt,
@@ -144,7 +144,7 @@
     }
     for (task, placed) in placed {
         let placement = &placed.placement;
-        let listed = view
+        let listed = agent
             .tasks
             .get(task)
             .is_some_and(|seen| seen.attempt == placement.attempt);
@@ -152,7 +152,7 @@
         let cancelled = cache.is_cancelled(&task.job) || spec.is_none();
         if !listed
             && !cancelled
-            && placement.session == view.session
+            && placement.epoch == agent.epoch
             && !preempting(task, placement.attempt)
         {
             others.push(Command::Start {
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -3,10 +3,12 @@
 use std::time::Duration;
 
 use crate::{
-    coordination::{node::Node, policy::zones::ZoneScope, ports::Dialect},
+    coordination::{
+        controller::Controller, policy::zone_constraint::ZoneScope, ports::ProtocolVersion,
+    },
     storage::{
-        CommitError, JobId, JobKind, JobOutcome, JobSpec, Quota, Revision, Transaction,
-        budget::Urgency, keys, records::OutcomeRecord, state_cache::Job,
+        CommitError, JobId, JobKind, JobOutcome, JobSpec, Quota, Revision, Transaction, keys,
+        rate_limiter::RequestPriority, records::OutcomeRecord, state_cache::Job,
     },
 };
 
@@ -28,7 +30,7 @@
 impl From<OutcomeRecord> for JobStatus {
     fn from(record: OutcomeRecord) -> Self {
         Self {
-            state: match record.fate {
+            state: match record.outcome {
                 JobOutcome::Done => JobState::Done,
                 JobOutcome::Cancelled => JobState::Cancelled,
             },
@@ -40,7 +42,7 @@
 
 /// Why a job can never run here.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Impossible {
+pub enum Infeasible {
     #[error("unknown team")]
     Team,
     #[error("a task fits no allowed machine type")]
@@ -50,13 +52,13 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum UserError {
+pub enum JobError {
     #[error("cannot tell now")]
     Unavailable,
     #[error("no such job")]
     Unknown,
     #[error("can never run: {0}")]
-    Impossible(#[from] Impossible),
+    Infeasible(#[from] Infeasible),
 }
 
 pub enum Submitted {
@@ -64,74 +66,74 @@
     Known(JobStatus),
 }
 
-impl Node {
-    pub async fn submit(&self, id: JobId, mut spec: JobSpec) -> Result<Submitted, UserError> {
-        if let Some(fate) = self.store.cache().fate(&id) {
-            return Ok(Submitted::Known(fate.into()));
+impl Controller {
+    pub async fn submit_job(&self, id: JobId, mut spec: JobSpec) -> Result<Submitted, JobError> {
+        if let Some(outcome) = self.store.cache().outcome(&id) {
+            return Ok(Submitted::Known(outcome.into()));
         }
         let known = self.store.cache().jobs.contains_key(&id);
         if known {
-            return self.ask(&id).await.map(Submitted::Known);
+            return self.job_status(&id).await.map(Submitted::Known);
         }
-        if let Err(reason) = self.judge(&spec)? {
+        if let Err(reason) = self.check_feasible(&spec)? {
             // A job that was accepted is never refused, whatever is judged now.
-            return match self.ask(&id).await {
+            return match self.job_status(&id).await {
                 Ok(status) => Ok(Submitted::Known(status)),
-                Err(UserError::Unknown) => Err(reason.into()),
+                Err(JobError::Unknown) => Err(reason.into()),
                 Err(error) => Err(error),
             };
         }
         // Only one that all controllers can serve is promised; in a rolled upgrade the
         // user is told to come again.
-        if !self.all_read(self.needed_dialect(&spec)) {
-            return Err(UserError::Unavailable);
+        if !self.all_support(self.required_protocol_version(&spec)) {
+            return Err(JobError::Unavailable);
         }
         spec.accepted_ms = self.config.now_ms();
         let transaction = Transaction::default()
             .require(keys::spec(&id), Revision(0))
-            .require(keys::fate(&id), Revision(0))
+            .require(keys::outcome(&id), Revision(0))
             .set(keys::spec(&id), &spec);
-        match self.store.commit(&transaction, Urgency::User).await {
+        match self.store.commit(&transaction, RequestPriority::User).await {
             Ok(_) => {
-                tracing::debug!(job = %id, class = %spec.class, tasks = spec.tasks, "accepted");
-                self.leader_kick.notify_one();
+                tracing::debug!(job = %id, class = %spec.class, tasks = spec.tasks, "job accepted");
+                self.leader_wakeup.notify_one();
                 Ok(Submitted::Accepted)
             }
-            Err(CommitError::Conflict(_)) => match self.ask(&id).await {
+            Err(CommitError::Conflict(_)) => match self.job_status(&id).await {
                 Ok(status) => Ok(Submitted::Known(status)),
-                Err(UserError::Unknown) => Err(UserError::Unavailable),
+                Err(JobError::Unknown) => Err(JobError::Unavailable),
                 Err(error) => Err(error),
             },
             // No answer: it may be committed. If it cannot be read back it may
             // yet be, so that only the user's retry tells.
-            Err(error) if error.is_unknown() => match self.ask(&id).await {
+            Err(error) if error.is_unknown() => match self.job_status(&id).await {
                 Ok(status) => Ok(Submitted::Known(status)),
-                Err(_) => Err(UserError::Unavailable),
+                Err(_) => Err(JobError::Unavailable),
             },
-            Err(_) => Err(UserError::Unavailable),
+            Err(_) => Err(JobError::Unavailable),
         }
     }
 
     /// What all controllers must be able to read to serve this job.
-    fn needed_dialect(&self, spec: &JobSpec) -> Dialect {
+    fn required_protocol_version(&self, spec: &JobSpec) -> ProtocolVersion {
         match ZoneScope::of(spec, self.config.state.txn_ops) {
-            ZoneScope::PerRecord => Dialect::LARGE_ZONE_BOUND,
-            ZoneScope::WholeJob if spec.kind == JobKind::Gang => Dialect::GANGS,
-            ZoneScope::WholeJob => Dialect::default(),
+            ZoneScope::PerRecord => ProtocolVersion::LARGE_ZONE_BOUND,
+            ZoneScope::WholeJob if spec.kind == JobKind::Gang => ProtocolVersion::GANGS,
+            ZoneScope::WholeJob => ProtocolVersion::default(),
         }
     }
 
     /// Whether the job can ever run; an error when that cannot be told yet.
-    fn judge(&self, spec: &JobSpec) -> Result<Result<(), Impossible>, UserError> {
+    fn check_feasible(&self, spec: &JobSpec) -> Result<Result<(), Infeasible>, JobError> {
         if !self.store.is_loaded() {
-            return Err(UserError::Unavailable);
+            return Err(JobError::Unavailable);
         }
         let cache = self.store.cache();
         let Some(catalog) = &cache.catalog else {
-            return Err(UserError::Unavailable);
+            return Err(JobError::Unavailable);
         };
         let Some(team) = self.config.team(&spec.team) else {
-            return Ok(Err(Impossible::Team));
+            return Ok(Err(Infeasible::Team));
         };
         let fits = catalog.value.types.iter().any(|kind| {
             spec.allows_type(&kind.name)
@@ -139,7 +141,7 @@
                 && spec.per_task.fits_in(&kind.size)
         });
         if !fits {
-            return Ok(Err(Impossible::Type));
+            return Ok(Err(Infeasible::Type));
         }
         let at_once = match spec.kind {
             JobKind::Array => 1,
@@ -147,79 +149,79 @@
         };
         let needed = Quota::from(&spec.per_task).times(f64::from(at_once));
         if !team.limit.covers(&needed) {
-            return Ok(Err(Impossible::Limit));
+            return Ok(Err(Infeasible::Limit));
         }
         Ok(Ok(()))
     }
 
     /// A job's status as of now: final ones from memory, others by a fresh read.
-    pub async fn ask(&self, id: &JobId) -> Result<JobStatus, UserError> {
-        if let Some(fate) = self.store.cache().fate(id) {
-            return Ok(fate.into());
+    pub async fn job_status(&self, id: &JobId) -> Result<JobStatus, JobError> {
+        if let Some(outcome) = self.store.cache().outcome(id) {
+            return Ok(outcome.into());
         }
-        if !self.store.fresh().await {
-            return Err(UserError::Unavailable);
+        if !self.store.read_barrier().await {
+            return Err(JobError::Unavailable);
         }
         {
             let cache = self.store.cache();
-            if let Some(fate) = cache.fate(id) {
-                return Ok(fate.into());
+            if let Some(outcome) = cache.outcome(id) {
+                return Ok(outcome.into());
             }
             if let Some(job) = cache.jobs.get(id)
                 && job.spec.is_some()
-                && job.draining.is_none()
+                && job.cleanup_since.is_none()
             {
                 return Ok(current(job));
             }
         }
-        // Over long ago, or never accepted: its fate was written before its
+        // Over long ago, or never accepted: its outcome was written before its
         // other keys went.
-        match self.store.look_up_fate(id).await {
-            Ok(Some(fate)) => Ok(fate.into()),
-            Ok(None) => Err(UserError::Unknown),
-            Err(_) => Err(UserError::Unavailable),
+        match self.store.look_up_outcome(id).await {
+            Ok(Some(outcome)) => Ok(outcome.into()),
+            Ok(None) => Err(JobError::Unknown),
+            Err(_) => Err(JobError::Unavailable),
         }
     }
 
-    pub async fn abort(&self, id: &JobId) -> Result<JobStatus, UserError> {
+    pub async fn cancel_job(&self, id: &JobId) -> Result<JobStatus, JobError> {
         for _ in 0..3 {
-            let status = self.ask(id).await?;
+            let status = self.job_status(id).await?;
             if matches!(status.state, JobState::Done | JobState::Cancelled) {
                 return Ok(status);
             }
-            let Some(mark) = ({
+            let Some(revision) = ({
                 let cache = self.store.cache();
                 cache
                     .jobs
                     .get(id)
                     .and_then(|job| job.spec.as_ref())
-                    .map(|kept| kept.revision)
+                    .map(|entry| entry.revision)
             }) else {
                 continue;
             };
-            let fate = OutcomeRecord {
-                fate: JobOutcome::Cancelled,
+            let outcome = OutcomeRecord {
+                outcome: JobOutcome::Cancelled,
                 done: status.done,
             };
             let transaction = Transaction::default()
-                .require(keys::spec(id), mark)
-                .require(keys::fate(id), Revision(0))
-                .set(keys::fate(id), &fate)
-                .set(keys::drain(id), &1);
-            match self.store.commit(&transaction, Urgency::User).await {
+                .require(keys::spec(id), revision)
+                .require(keys::outcome(id), Revision(0))
+                .set(keys::outcome(id), &outcome)
+                .set(keys::cleanup(id), &1);
+            match self.store.commit(&transaction, RequestPriority::User).await {
                 Ok(_) => {
-                    tracing::debug!(job = %id, "cancelled");
-                    self.holder_kick.notify_one();
-                    return Ok(fate.into());
+                    tracing::debug!(job = %id, "job cancelled");
+                    self.owner_wakeup.notify_one();
+                    return Ok(outcome.into());
                 }
                 Err(CommitError::Conflict(_)) => {}
                 Err(error) if error.is_unknown() => {
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
-                Err(_) => return Err(UserError::Unavailable),
+                Err(_) => return Err(JobError::Unavailable),
             }
         }
-        Err(UserError::Unavailable)
+        Err(JobError::Unavailable)
     }
 }
 
--- a/src/coordination/leader/fleet/autoscaler.rs
+++ b/src/coordination/leader/fleet/autoscaler.rs
@@ -7,42 +7,42 @@
 
 use tokio::time::Instant;
 
-use super::market::{Demand, Market, booting_slots, empty_slot, used_machines};
+use super::market::{Demand, Market, booting_candidates, empty_candidate, used_machines};
 use crate::{
     coordination::{
+        controller::Controller,
         leader::{
             LeaderState,
             fleet::FleetState,
-            pool::{Pool, Rental, Suited},
+            pool::{Pool, ProvisionPlan, Suited},
             routing::Unplaced,
         },
-        node::Node,
-        policy::{band, giveback, remedial},
+        policy::{band, remedial, scale_in},
     },
     storage::{MachineId, StateCache},
 };
 
-/// Machines rented with one request.
-pub(super) const PER_REQUEST: u32 = 50;
+/// Machines provisioned with one request.
+pub(super) const MACHINES_PER_REQUEST: u32 = 50;
 /// Requests that one pass writes down.
-const REQUESTS: usize = 24;
+const MAX_REQUESTS_PER_PASS: usize = 24;
 /// One of so many machines is marked in a round.
-const MACHINES_A_MARK: usize = 16;
+const MACHINES_PER_DRAIN: usize = 16;
 /// One of so many machines that stand idle is marked in a round.
-const IDLE_A_MARK: usize = 3;
+const IDLE_MACHINES_PER_DRAIN: usize = 3;
 /// One of so many machines may stand idle for the next jobs.
-const RESERVE: usize = 4;
+const RESERVE_FRACTION: usize = 4;
 /// Machines for which replicas' room elsewhere is looked for in one round.
-const TRIED: usize = 24;
+const MAX_RELOCATION_CHECKS: usize = 24;
 
-impl Node {
+impl Controller {
     /// The band's round, and the remedial rule between rounds.
-    pub(super) fn judge_band(
+    pub(super) fn evaluate_scaling(
         &self,
         cache: &StateCache,
         state: &mut LeaderState,
         now: Instant,
-    ) -> Vec<Rental> {
+    ) -> Vec<ProvisionPlan> {
         let tuning = &self.config.tuning;
         let wall = (self.config.wall)();
         let up: BTreeSet<MachineId> = cache
@@ -53,16 +53,16 @@
             .collect();
         let LeaderState {
             fleet,
-            stats,
+            miss_rate,
             unplaced,
-            tally,
+            routing_counts,
             since,
             ..
         } = state;
         let refused = fleet.refused.clone();
         let market = Market::new(cache, &refused, tuning, now, wall);
-        stats.starve(unplaced.iter().map(|item| &item.job), now);
-        stats.observe(
+        miss_rate.add_starvation(unplaced.iter().map(|item| &item.job), now);
+        miss_rate.observe(
             cache,
             now,
             wall,
@@ -73,12 +73,12 @@
                 suited.into_iter().next().map(|suited| suited.pool)
             },
         );
-        let mut booting = booting_slots(cache, self.config.now_ms(), |id| up.contains(id));
-        // Rents on their way count as well.
-        for kept in cache.rents.values() {
-            if let Some(kind) = cache.machine_type(&kept.value.kind) {
-                for _ in 0..kept.value.count {
-                    booting.push(empty_slot(kind, &kept.value.zone, kept.value.spot));
+        let mut booting = booting_candidates(cache, self.config.now_ms(), |id| up.contains(id));
+        // Provision requests on their way count as well.
+        for entry in cache.provision_requests.values() {
+            if let Some(kind) = cache.machine_type(&entry.value.kind) {
+                for _ in 0..entry.value.count {
+                    booting.push(empty_candidate(kind, &entry.value.zone, entry.value.spot));
                 }
             }
         }
@@ -88,8 +88,8 @@
             .last_round
             .or(*since)
             .is_none_or(|at| now.duration_since(at) >= tuning.round);
-        let remedy_due = fleet
-            .last_remedy
+        let remedial_due = fleet
+            .last_remedial
             .is_none_or(|at| now.duration_since(at) >= Duration::from_secs(1));
         let mut wanted: Vec<(Pool, u32)> = Vec::new();
         if round_due {
@@ -97,20 +97,20 @@
             let machines = used_machines(cache, tuning.paid, self.config.now_ms(), |id| {
                 up.contains(id)
             });
-            wanted = self.periodic(&market, fleet, stats, (unplaced, &need), machines);
-            tracing::info!(?tally, "waiting tasks");
-        } else if remedy_due {
-            fleet.last_remedy = Some(now);
+            wanted = self.evaluate_band(&market, fleet, miss_rate, (unplaced, &need), machines);
+            tracing::info!(?routing_counts, "waiting tasks");
+        } else if remedial_due {
+            fleet.last_remedial = Some(now);
             // Exception to section 5.4, see docs/DESIGN.md: a job of many tasks
             // counts as the machines that they fill.
             let fills: f64 = market.need(unplaced, &mut []).values().sum();
-            let mut left = remedial::rent(
+            let mut left = remedial::scale_out(
                 unplaced.len().max(fills.ceil() as usize),
                 tuning.remedial_theta,
                 tuning.beta,
                 booting_count,
             );
-            left = left.max(std::mem::take(&mut fleet.carried));
+            left = left.max(std::mem::take(&mut fleet.unfilled));
             // Exception to section 5.4, see docs/DESIGN.md: never more than the
             // waiting tasks would fill.
             while left > 0
@@ -124,19 +124,19 @@
                 left -= count;
                 need.remove(&pool);
                 tracing::info!(%pool, count, jobs = unplaced.len(),
-                    booting = booting_count, "remedial rule rents");
+                    booting = booting_count, "remedial scale-out");
                 wanted.push((pool, count));
             }
         }
         if !wanted.is_empty() {
-            fleet.marked.clear();
+            fleet.draining_machines.clear();
         }
-        let mut rents = Vec::new();
+        let mut provision_requests = Vec::new();
         for (pool, count) in wanted {
             for (zone, mut count) in market.split(&pool, count) {
-                while count > 0 && rents.len() < REQUESTS {
-                    let part = count.min(PER_REQUEST);
-                    rents.push(Rental {
+                while count > 0 && provision_requests.len() < MAX_REQUESTS_PER_PASS {
+                    let part = count.min(MACHINES_PER_REQUEST);
+                    provision_requests.push(ProvisionPlan {
                         pool: pool.clone(),
                         zone: zone.clone(),
                         count: part,
@@ -145,16 +145,16 @@
                 }
             }
         }
-        rents
+        provision_requests
     }
 
-    fn periodic(
+    fn evaluate_band(
         &self,
         market: &Market<'_>,
         fleet: &mut FleetState,
-        stats: &super::super::stats::Stats,
+        miss_rate: &super::super::miss_rate::MissRateWindow,
         (unplaced, need): (&[Unplaced], &BTreeMap<Pool, f64>),
-        machines: Vec<(giveback::Used<MachineId>, bool)>,
+        machines: Vec<(scale_in::MachineUtilisation<MachineId>, bool)>,
     ) -> Vec<(Pool, u32)> {
         let cache = market.cache;
         let tuning = &self.config.tuning;
@@ -178,7 +178,7 @@
                 overdue.push((None, nowhere));
             }
         }
-        let misses = stats.misses(&overdue);
+        let misses = miss_rate.misses(&overdue);
         let mut pools: BTreeSet<Pool> = queue.keys().cloned().collect();
         pools.extend(misses.shares.keys().cloned());
         let pools: Vec<Pool> = pools.into_iter().collect();
@@ -191,15 +191,15 @@
                     .iter()
                     .filter(|(used, _)| {
                         let machine = cache.machines.get(&used.id);
-                        machine.is_some_and(|machine| pool.holds(machine))
+                        machine.is_some_and(|machine| pool.contains(machine))
                     })
                     .map(|(used, _)| used.utilisation)
                     .min_by(f64::total_cmp),
                 need: need.get(pool).map_or(0, |need| need.ceil() as u32),
             })
             .collect();
-        let arrivals = stats.arrival_rate(tuning.window);
-        let rents = band::rent(
+        let arrivals = miss_rate.arrival_rate(tuning.window);
+        let provision_requests = band::scale_out(
             misses.rate,
             arrivals,
             &loads,
@@ -210,7 +210,7 @@
                 utilisation: tuning.utilisation_threshold,
             },
         );
-        let total: u32 = rents.iter().sum();
+        let total: u32 = provision_requests.iter().sum();
         let used: f64 = machines.iter().map(|(m, _)| m.utilisation * m.power).sum();
         let size: f64 = machines.iter().map(|(m, _)| m.power).sum();
         tracing::info!(
@@ -219,38 +219,40 @@
             waiting,
             machines = machines.len(),
             utilisation = used / size.max(1.0),
-            marked = fleet.marked.len(),
+            marked = fleet.draining_machines.len(),
             renting = total,
             "band"
         );
         let kinds = cache
             .catalog
             .as_ref()
-            .map_or(1, |kept| kept.value.types.len());
+            .map_or(1, |entry| entry.value.types.len());
         // Exception to section 5.3.2, see docs/DESIGN.md: one machine a round would
         // take hours for a large fleet. Of those that stand idle beyond a reserve
         // for the next jobs more are marked, which takes nothing from anybody now.
         let idle = machines
             .iter()
-            .filter(|(used, _)| used.utilisation <= 0.0 && !fleet.marked.contains(&used.id))
+            .filter(|(used, _)| {
+                used.utilisation <= 0.0 && !fleet.draining_machines.contains(&used.id)
+            })
             .count();
-        let spare = idle.saturating_sub(machines.len() / RESERVE);
-        let most = (machines.len() / MACHINES_A_MARK)
-            .max(spare / IDLE_A_MARK)
+        let spare = idle.saturating_sub(machines.len() / RESERVE_FRACTION);
+        let most = (machines.len() / MACHINES_PER_DRAIN)
+            .max(spare / IDLE_MACHINES_PER_DRAIN)
             .max(1);
-        // A marked machine that is idle already only waits for its paid period's
+        // A draining machine that is idle already only waits for its paid period's
         // end, which need not keep others from being marked.
         let emptying = fleet
-            .marked
+            .draining_machines
             .iter()
             .filter(|id| cache.on_machine.contains_key(*id))
             .count();
         let most = most.saturating_sub(emptying);
         if total == 0 && most > 0 {
             let mut services: BTreeSet<MachineId> = BTreeSet::new();
-            let mut candidates: Vec<giveback::Used<MachineId>> = Vec::new();
+            let mut candidates: Vec<scale_in::MachineUtilisation<MachineId>> = Vec::new();
             for (used, service) in machines {
-                if fleet.marked.contains(&used.id) {
+                if fleet.draining_machines.contains(&used.id) {
                     continue;
                 }
                 if service {
@@ -259,23 +261,23 @@
                 candidates.push(used);
             }
             let mut except = fleet.refusing.clone();
-            except.extend(fleet.marked.iter().cloned());
+            except.extend(fleet.draining_machines.iter().cloned());
             let mut tried = 0;
-            let mut marked_now = 0;
-            while marked_now < most && tried < TRIED {
-                let marked = giveback::mark(
+            let mut newly_draining = 0;
+            while newly_draining < most && tried < MAX_RELOCATION_CHECKS {
+                let selected = scale_in::select_machine(
                     misses.rate,
                     waiting as usize,
                     &candidates,
                     kinds,
-                    &giveback::Thresholds {
+                    &scale_in::Thresholds {
                         alpha: tuning.alpha,
                         evenness: tuning.evenness_threshold,
                         utilisation: tuning.utilisation_threshold,
                     },
                 )
                 .cloned();
-                let Some(used) = marked else {
+                let Some(used) = selected else {
                     break;
                 };
                 candidates.retain(|other| other.id != used.id);
@@ -284,20 +286,20 @@
                 // replicas have room elsewhere, to where they are moved.
                 if services.contains(&used.id) {
                     tried += 1;
-                    if !self.can_rehouse(cache, &used.id, &except) {
+                    if !self.can_relocate_replicas(cache, &used.id, &except) {
                         continue;
                     }
                 }
                 tracing::info!(machine = %used.id, utilisation = used.utilisation,
-                    "marked to be given back");
+                    "scale-in: machine draining");
                 except.insert(used.id.clone());
-                fleet.marked.insert(used.id);
-                marked_now += 1;
+                fleet.draining_machines.insert(used.id);
+                newly_draining += 1;
             }
         }
         pools
             .into_iter()
-            .zip(rents)
+            .zip(provision_requests)
             .filter(|(_, count)| *count > 0)
             .collect()
     }
