--- a/src/coordination/leader/fleet/failure_detector.rs
+++ b/src/coordination/leader/fleet/failure_detector.rs
@@ -10,116 +10,116 @@
 
 use crate::{
     coordination::{
+        controller::{Controller, lock},
         leader::{
             LeaderState,
-            fleet::{Reason, Return},
+            fleet::{PendingRelease, ReleaseReason},
         },
-        node::{Node, lock},
-        ports::{PeerAnswer, PeerCall},
+        ports::{PeerRequest, PeerResponse},
     },
-    storage::{BlockId, MachineId, NodeName, StateCache, TaskId, ZoneName},
+    storage::{ControllerName, MachineId, ShardId, StateCache, TaskId, ZoneName},
 };
 
 /// A machine that seems to be gone.
-pub(super) struct Suspect {
+pub(super) struct UnresponsiveMachine {
     pub(super) machine: MachineId,
     pub(super) address: String,
     pub(super) neighbours: Vec<String>,
 }
 
-/// A silent machine that another controller reaches is left alone this long.
-pub(super) const FOUND_UP: Duration = Duration::from_secs(3);
+/// An unresponsive machine that another controller reaches is left alone this long.
+pub(super) const VERIFIED_TTL: Duration = Duration::from_secs(3);
 
-/// A machine is suspect for this long before it goes: what failed on it is tried
+/// A machine is quarantined for this long before it goes: what failed on it is tried
 /// elsewhere meanwhile, which shows whether the jobs are to blame.
-pub(super) const SUSPECT_FOR: Duration = Duration::from_secs(8);
+pub(super) const QUARANTINE_PERIOD: Duration = Duration::from_secs(8);
 
-/// A suspect machine's tasks are left this long to end by themselves.
-pub(super) const EMPTY_AFTER: Duration = Duration::from_secs(15);
+/// A quarantined machine's tasks are left this long to end by themselves.
+pub(super) const QUARANTINE_EVICTION_DELAY: Duration = Duration::from_secs(15);
 
-/// Machines looked at beside a silent one, to tell a hang from a cut.
+/// Neighbours probed beside an unresponsive machine, to tell a hang from a network partition.
 pub(super) const NEIGHBOURS: usize = 6;
 
-/// Blocks on their way to another controller at a time.
-pub(super) const MOVES: usize = 2;
+/// Shards on their way to another controller at a time.
+pub(super) const MAX_MOVES: usize = 2;
 
-/// A controller has lived this long before blocks are moved to it: one that
+/// A controller has lived this long before shards are moved to it: one that
 /// keeps ending gets none.
-const LIVED: Duration = Duration::from_secs(5);
+const MIN_UPTIME: Duration = Duration::from_secs(5);
 
-/// Machines by which two controllers of a zone may differ beside a whole block.
-const EVEN_ENOUGH: usize = 8;
+/// Machines by which two controllers of a zone may differ beside a whole shard.
+const BALANCE_TOLERANCE: usize = 8;
 
-/// A look at a machine by a controller that hears it, which its holder does not.
+/// A probe of a machine by a controller that hears it, while its owner does not.
 #[derive(Clone, Debug)]
-pub struct Look {
+pub struct IndirectProbe {
     /// Who reached it.
-    by: Option<NodeName>,
+    by: Option<ControllerName>,
     since: Instant,
     asked: Instant,
 }
 
-/// Between two looks at the same machine, and how many begin in one pass.
-const LOOK_AGAIN: Duration = Duration::from_secs(2);
-const LOOKS_AT_ONCE: usize = 64;
-/// Looks are forgotten after this time without another.
-const REACHED_LIFE: Duration = Duration::from_secs(12);
+/// Between two probes of the same machine, and how many begin in one pass.
+const INDIRECT_PROBE_INTERVAL: Duration = Duration::from_secs(2);
+const MAX_INDIRECT_PROBES_PER_PASS: usize = 64;
+/// Probes are forgotten after this time without another.
+const INDIRECT_PROBE_TTL: Duration = Duration::from_secs(12);
 
-/// A holder that has lost this many machines of a block, and one of so many of all
-/// in it, has lost the block.
-const LOST_LEAST: usize = 3;
-const LOST_PART: usize = 6;
-/// A controller that lost a block gets no others for this long.
-const SHUNNED: Duration = Duration::from_secs(30);
+/// An owner that has lost this many machines of a shard, and one of so many of all
+/// in it, has lost the shard.
+const LOST_SHARD_MIN_MACHINES: usize = 3;
+const LOST_SHARD_FRACTION: usize = 6;
+/// A controller that lost a shard gets no others for this long.
+const AVOID_OWNER_PERIOD: Duration = Duration::from_secs(30);
 
-/// From so many unreachable machines of a zone on, what their holders say tells a
-/// hang from a cut, without further looks.
-const ENOUGH: usize = 2 * NEIGHBOURS;
+/// From so many unreachable machines of a zone on, what their owners say tells a
+/// hang from a network partition, without further probes.
+const PARTITION_EVIDENCE: usize = 2 * NEIGHBOURS;
 
-impl Node {
-    /// Every controller looks at a machine that is silent to its holder: only
+impl Controller {
+    /// Every controller probes a machine that is unresponsive to its owner: only
     /// one that nobody reaches is returned. If most of its neighbours do not
-    /// answer either, that is a cut which the others have not shown yet, since
-    /// reports come at different times.
-    pub(super) async fn verify_silent(&self, suspect: Suspect) {
-        let Suspect {
+    /// answer either, that is a network partition which the others have not shown yet, since
+    /// heartbeats come at different times.
+    pub(super) async fn verify_unresponsive(&self, quarantined: UnresponsiveMachine) {
+        let UnresponsiveMachine {
             machine,
             address,
             neighbours,
-        } = suspect;
-        let looks = neighbours
+        } = quarantined;
+        let probes = neighbours
             .iter()
-            .map(|address| self.workers.inspect(address));
+            .map(|address| self.agent_client.inspect(address));
         let others = self.config.peers.iter().map(|(peer, _)| {
-            let call = PeerCall::Probe(address.clone());
+            let call = PeerRequest::Probe(address.clone());
             async move {
                 matches!(
                     self.peers.call(peer, call).await,
-                    Ok(PeerAnswer::Probed(true))
+                    Ok(PeerResponse::ProbeResult(true))
                 )
             }
         });
-        let (own, others, looks) = futures::future::join3(
-            self.workers.inspect(&address),
+        let (own, others, probes) = futures::future::join3(
+            self.agent_client.inspect(&address),
             futures::future::join_all(others),
-            futures::future::join_all(looks),
+            futures::future::join_all(probes),
         )
         .await;
-        let dark = looks.iter().filter(|look| look.is_err()).count();
-        let is_cut = dark * 2 > neighbours.len();
+        let unreachable_count = probes.iter().filter(|probe| probe.is_err()).count();
+        let is_partition = unreachable_count * 2 > neighbours.len();
         let now = Instant::now();
         let mut state = lock(&self.leader);
-        if own.is_ok() || others.contains(&true) || is_cut {
-            tracing::debug!(%machine, is_cut, "silent to its holder, but not gone");
-            state.fleet.verifying.insert(machine, now + FOUND_UP);
+        if own.is_ok() || others.contains(&true) || is_partition {
+            tracing::debug!(%machine, is_partition, "unresponsive to its owner, but not terminated");
+            state.fleet.verifying.insert(machine, now + VERIFIED_TTL);
             return;
         }
         state.fleet.verifying.remove(&machine);
-        tracing::info!(%machine, reason = ?Reason::Silent, "to be returned");
-        state.returning.insert(
+        tracing::info!(%machine, reason = ?ReleaseReason::Unresponsive, "release scheduled");
+        state.releasing.insert(
             machine,
-            Return {
-                reason: Reason::Silent,
+            PendingRelease {
+                reason: ReleaseReason::Unresponsive,
                 since: now,
                 in_flight: false,
             },
@@ -128,35 +128,35 @@
 
     /// Finds machines that must go back for a reason of their own, and the
     /// marked ones whose time has come. Returns those that seem to be gone.
-    pub(super) fn find_faulty(
+    pub(super) fn detect_failures(
         self: &Arc<Self>,
         cache: &StateCache,
         state: &mut LeaderState,
         now: Instant,
-    ) -> Vec<Suspect> {
+    ) -> Vec<UnresponsiveMachine> {
         let paid = self.config.tuning.paid;
-        let limit = self.config.silent();
+        let limit = self.config.unresponsive_after();
         let now_ms = self.config.now_ms();
-        let mut silent = Vec::new();
-        let mut deaf = Vec::new();
+        let mut unresponsive = Vec::new();
+        let mut command_path_lost = Vec::new();
         let mut refusing = BTreeSet::new();
-        let mut suspects = BTreeMap::new();
+        let mut quarantined_since = BTreeMap::new();
         let mut unreachable = 0;
         // Ordinary machines of each zone, and how many of them nobody reaches.
         let mut zones: BTreeMap<&ZoneName, (usize, usize)> = BTreeMap::new();
         let mut to_reach = Vec::new();
-        let mut stranded = BTreeMap::new();
-        let mut found: Vec<(MachineId, Reason)> = Vec::new();
+        let mut owner_unreachable = BTreeMap::new();
+        let mut found: Vec<(MachineId, ReleaseReason)> = Vec::new();
         state
-            .returning
+            .releasing
             .retain(|id, _| cache.machines.contains_key(id));
-        for kept in cache.blocks.values() {
-            let node = &kept.value.node;
-            for id in kept.value.machines.keys() {
+        for entry in cache.shards.values() {
+            let controller = &entry.value.controller;
+            for id in entry.value.machines.keys() {
                 let Some(record) = cache.machines.get(id) else {
                     continue;
                 };
-                let age = Duration::from_millis(now_ms.saturating_sub(record.rented_ms));
+                let age = Duration::from_millis(now_ms.saturating_sub(record.provisioned_ms));
                 if !record.spot {
                     zones.entry(&record.zone).or_default().0 += 1;
                 }
@@ -165,31 +165,31 @@
                         .machine_type(&record.kind)
                         .map_or(Duration::from_secs(60), |kind| kind.boot);
                     if age > boot.mul_f64(2.5) + Duration::from_secs(15) {
-                        found.push((id.clone(), Reason::Stuck));
+                        found.push((id.clone(), ReleaseReason::BootTimeout));
                     }
                     refusing.insert(id.clone());
                     continue;
                 }
-                if let Some((held, quiet)) = state.held(node, id) {
-                    // Only one that its holder has not heard lately is looked
+                if let Some((held, since_heartbeat)) = state.owned_machine(controller, id) {
+                    // Only one that its owner has not heard lately is looked
                     // for elsewhere: that is work for each machine.
-                    let sighted = (quiet > self.config.worker_report)
-                        .then(|| state.sighted_by(node, id))
+                    let indirectly_heard = (since_heartbeat > self.config.heartbeat_interval)
+                        .then(|| state.indirectly_heard_by(controller, id))
                         .flatten()
-                        .filter(|(_, age)| *age < self.config.sighted());
-                    match sighted {
-                        Some((other, _)) if quiet > limit.mul_f64(0.7) => {
-                            match state.fleet.reached.get(id) {
-                                Some(look) if look.by.as_ref() == Some(&other) => {
-                                    stranded.insert(id.clone(), other.clone());
+                        .filter(|(_, age)| *age < self.config.indirect_heartbeat_max_age());
+                    match indirectly_heard {
+                        Some((other, _)) if since_heartbeat > limit.mul_f64(0.7) => {
+                            match state.fleet.indirect_probes.get(id) {
+                                Some(probe) if probe.by.as_ref() == Some(&other) => {
+                                    owner_unreachable.insert(id.clone(), other.clone());
                                 }
-                                // Its reports get out, but nobody gets in.
-                                Some(look)
-                                    if look.by.is_none()
-                                        && now.duration_since(look.since)
-                                            > self.config.deaf_after() =>
+                                // Its heartbeats get out, but nobody gets in.
+                                Some(probe)
+                                    if probe.by.is_none()
+                                        && now.duration_since(probe.since)
+                                            > self.config.command_path_timeout() =>
                                 {
-                                    deaf.push(id.clone());
+                                    command_path_lost.push(id.clone());
                                 }
                                 _ => {}
                             }
@@ -203,44 +203,54 @@
                             if !record.spot {
                                 zones.entry(&record.zone).or_default().1 += 1;
                             }
-                            if quiet > limit
+                            if since_heartbeat > limit
                                 && let Some(address) = &record.address
                             {
-                                silent.push((id.clone(), address.clone(), quiet, record.spot));
+                                unresponsive.push((
+                                    id.clone(),
+                                    address.clone(),
+                                    since_heartbeat,
+                                    record.spot,
+                                ));
                             }
                         }
                         None => {}
                     }
                     if held.unreachable
-                        || held.suspect
+                        || held.quarantined
                         || held.leaving
-                        || held.deaf
-                        || quiet > limit
+                        || held.command_path_lost
+                        || since_heartbeat > limit
                     {
                         refusing.insert(id.clone());
                     }
-                    if held.suspect {
-                        let since = state.fleet.suspects.get(id).copied().unwrap_or(now);
-                        suspects.insert(id.clone(), since);
-                        if now.duration_since(since) > SUSPECT_FOR {
-                            found.push((id.clone(), Reason::Suspect));
+                    if held.quarantined {
+                        let since = state
+                            .fleet
+                            .quarantined_since
+                            .get(id)
+                            .copied()
+                            .unwrap_or(now);
+                        quarantined_since.insert(id.clone(), since);
+                        if now.duration_since(since) > QUARANTINE_PERIOD {
+                            found.push((id.clone(), ReleaseReason::Quarantined));
                         }
                     }
-                    if held.deaf {
-                        deaf.push(id.clone());
+                    if held.command_path_lost {
+                        command_path_lost.push(id.clone());
                     }
                 }
                 let idle = !cache.on_machine.contains_key(id);
-                if state.fleet.marked.contains(id)
+                if state.fleet.draining_machines.contains(id)
                     && idle
                     && paid.left(age) < Duration::from_secs(3)
                 {
-                    found.push((id.clone(), Reason::Unneeded));
+                    found.push((id.clone(), ReleaseReason::ScaledIn));
                 }
             }
         }
-        // One silent machine is a hang, and returning it is the quick proof
-        // that its tasks are gone. Many at once are rather a cut, in which they
+        // One unresponsive machine is a hang, and returning it is the quick proof
+        // that its tasks are gone. Many at once are rather a network partition, in which they
         // go on working until their leases end; only spot machines are taken in
         // numbers. They cross the threshold one after the other, so all that
         // cannot be reached count.
@@ -248,162 +258,177 @@
         let threshold = 2.max(ordinary.count() / 4);
         let many = unreachable > threshold;
         // The same holds for machines that hear nothing of us.
-        if deaf.len() <= 2.max(cache.machines.len() / 10) {
-            found.extend(deaf.into_iter().map(|id| (id, Reason::Deaf)));
+        if command_path_lost.len() <= 2.max(cache.machines.len() / 10) {
+            found.extend(
+                command_path_lost
+                    .into_iter()
+                    .map(|id| (id, ReleaseReason::CommandPathLost)),
+            );
         }
-        let patience = self.config.worker_lease + self.config.worker_report;
+        let patience = self.config.agent_lease + self.config.heartbeat_interval;
         state.fleet.verifying.retain(|_, until| *until > now);
         let mut to_verify = Vec::new();
-        for (id, address, quiet, spot) in silent {
+        for (id, address, since_heartbeat, spot) in unresponsive {
             let known = state
-                .returning
+                .releasing
                 .get(&id)
-                .is_some_and(|item| item.reason == Reason::Silent);
-            if (spot || !many || quiet > patience)
+                .is_some_and(|item| item.reason == ReleaseReason::Unresponsive);
+            if (spot || !many || since_heartbeat > patience)
                 && !known
                 && !state.fleet.verifying.contains_key(&id)
-                && state.fleet.verifying.len() < self.config.looks_at_once()
+                && state.fleet.verifying.len() < self.config.max_concurrent_probes()
             {
-                state.fleet.verifying.insert(id.clone(), now + FOUND_UP);
+                state.fleet.verifying.insert(id.clone(), now + VERIFIED_TTL);
                 let zone = cache.machines.get(&id).map(|record| &record.zone);
-                let (all, dark) = zone
+                let (all, unreachable_count) = zone
                     .and_then(|zone| zones.get(zone))
                     .copied()
                     .unwrap_or_default();
-                let neighbours = if spot || quiet > patience {
+                let neighbours = if spot || since_heartbeat > patience {
                     Vec::new()
-                } else if dark >= ENOUGH {
-                    if dark * 2 > all {
-                        // Most of the zone: rather a cut.
+                } else if unreachable_count >= PARTITION_EVIDENCE {
+                    if unreachable_count * 2 > all {
+                        // Most of the zone: rather a network partition.
                         continue;
                     }
                     Vec::new()
                 } else {
                     self.neighbours(cache, state, &id, zone)
                 };
-                to_verify.push(Suspect {
+                to_verify.push(UnresponsiveMachine {
                     machine: id,
                     address,
                     neighbours,
                 });
             }
         }
-        state.fleet.suspects = suspects;
-        self.look_from_others(state, to_reach, now);
-        state.stranded = Self::move_lost_blocks(cache, state, stranded, now);
+        state.fleet.quarantined_since = quarantined_since;
+        self.probe_indirectly(state, to_reach, now);
+        state.owner_unreachable = Self::move_lost_shards(cache, state, owner_unreachable, now);
         state.fleet.refusing = refusing;
         for (id, reason) in found {
-            if !state.returning.contains_key(&id) {
-                tracing::info!(machine = %id, ?reason, "to be returned");
-                state.returning.insert(
+            if !state.releasing.contains_key(&id) {
+                tracing::info!(machine = %id, ?reason, "release scheduled");
+                state.releasing.insert(
                     id.clone(),
-                    Return {
+                    PendingRelease {
                         reason,
                         since: now,
                         in_flight: false,
                     },
                 );
             }
-            state.fleet.marked.remove(&id);
+            state.fleet.draining_machines.remove(&id);
         }
         state
             .fleet
-            .marked
+            .draining_machines
             .retain(|id| cache.machines.contains_key(id));
         to_verify
     }
 
-    /// Blocks of which their holder has lost a good part go as a whole to the
+    /// Shards of which their owner has lost a good part go as a whole to the
     /// controller that has most of these: one by one, each machine would cost two
-    /// changes of its block, and each of these a new token for all of its machines.
+    /// changes of its shard, and each of these a new token for all of its machines.
     /// Returns the machines that are to move by themselves.
-    fn move_lost_blocks(
+    fn move_lost_shards(
         cache: &StateCache,
         state: &mut LeaderState,
-        mut stranded: BTreeMap<MachineId, NodeName>,
+        mut owner_unreachable: BTreeMap<MachineId, ControllerName>,
         now: Instant,
-    ) -> BTreeMap<MachineId, NodeName> {
+    ) -> BTreeMap<MachineId, ControllerName> {
         state
             .fleet
-            .shunned
-            .retain(|_, at| now.duration_since(*at) < SHUNNED);
-        if stranded.is_empty() {
-            return stranded;
+            .avoided_owners
+            .retain(|_, at| now.duration_since(*at) < AVOID_OWNER_PERIOD);
+        if owner_unreachable.is_empty() {
+            return owner_unreachable;
         }
-        for (id, kept) in &cache.blocks {
-            let block = &kept.value;
-            let mut targets: BTreeMap<&NodeName, usize> = BTreeMap::new();
-            for machine in block.machines.keys() {
-                if let Some(target) = stranded.get(machine) {
+        for (id, entry) in &cache.shards {
+            let shard = &entry.value;
+            let mut targets: BTreeMap<&ControllerName, usize> = BTreeMap::new();
+            for machine in shard.machines.keys() {
+                if let Some(target) = owner_unreachable.get(machine) {
                     *targets.entry(target).or_default() += 1;
                 }
             }
             let lost: usize = targets.values().sum();
-            if lost < LOST_LEAST || lost * LOST_PART < block.machines.len() {
+            if lost < LOST_SHARD_MIN_MACHINES || lost * LOST_SHARD_FRACTION < shard.machines.len() {
                 continue;
             }
             let Some((target, _)) = targets.into_iter().max_by_key(|(_, count)| *count) else {
                 continue;
             };
             let target = target.clone();
-            state.fleet.shunned.insert(block.node.clone(), now);
-            stranded.retain(|machine, _| !block.machines.contains_key(machine));
+            state
+                .fleet
+                .avoided_owners
+                .insert(shard.controller.clone(), now);
+            owner_unreachable.retain(|machine, _| !shard.machines.contains_key(machine));
             if !state.moving.contains_key(id) {
-                tracing::info!(block = %id, from = %block.node, to = %target, lost,
-                    "its holder has lost it");
+                tracing::info!(shard = %id, from = %shard.controller, to = %target, lost,
+                    "shard owner lost its agents");
                 state.moving.insert(*id, (target, now));
             }
         }
-        stranded
+        owner_unreachable
     }
 
-    /// Asks controllers that hear a machine, which its holder does not, whether
-    /// they reach it too. Its reports may arrive while nothing reaches it: moved to
-    /// whom it reports, it would go round all controllers and answer to none.
-    fn look_from_others(
+    /// Asks controllers that hear a machine, which its owner does not, whether
+    /// they reach it too. Its heartbeats may arrive while nothing reaches it: moved to
+    /// whom it sends heartbeats, it would go round all controllers and answer to none.
+    fn probe_indirectly(
         self: &Arc<Self>,
         state: &mut LeaderState,
-        machines: Vec<(MachineId, String, NodeName)>,
+        machines: Vec<(MachineId, String, ControllerName)>,
         now: Instant,
     ) {
         let fleet = &mut state.fleet;
         fleet
-            .reached
-            .retain(|_, look| now.duration_since(look.asked) < REACHED_LIFE);
+            .indirect_probes
+            .retain(|_, probe| now.duration_since(probe.asked) < INDIRECT_PROBE_TTL);
         let mut asked = 0;
         for (machine, address, other) in machines {
-            let look = fleet.reached.entry(machine.clone()).or_insert(Look {
-                by: None,
-                since: now,
-                asked: now - LOOK_AGAIN,
-            });
-            if now.duration_since(look.asked) < LOOK_AGAIN || asked >= LOOKS_AT_ONCE {
+            let probe = fleet
+                .indirect_probes
+                .entry(machine.clone())
+                .or_insert(IndirectProbe {
+                    by: None,
+                    since: now,
+                    asked: now - INDIRECT_PROBE_INTERVAL,
+                });
+            if now.duration_since(probe.asked) < INDIRECT_PROBE_INTERVAL
+                || asked >= MAX_INDIRECT_PROBES_PER_PASS
+            {
                 continue;
             }
-            look.asked = now;
+            probe.asked = now;
             asked += 1;
-            let node = self.clone();
+            let controller = self.clone();
             tokio::spawn(async move {
-                let reached = if other == node.config.node {
-                    node.workers.inspect(&address).await.is_ok()
+                let reached = if other == controller.config.name {
+                    controller.agent_client.inspect(&address).await.is_ok()
                 } else {
                     matches!(
-                        node.peers.call(&other, PeerCall::Probe(address)).await,
-                        Ok(PeerAnswer::Probed(true))
+                        controller
+                            .peers
+                            .call(&other, PeerRequest::Probe(address))
+                            .await,
+                        Ok(PeerResponse::ProbeResult(true))
                     )
                 };
-                let mut state = lock(&node.leader);
-                if let Some(look) = state.fleet.reached.get_mut(&machine)
-                    && (reached || look.by.is_none())
+                let mut state = lock(&controller.leader);
+                if let Some(probe) = state.fleet.indirect_probes.get_mut(&machine)
+                    && (reached || probe.by.is_none())
                 {
-                    look.by = reached.then_some(other);
+                    probe.by = reached.then_some(other);
                 }
             });
         }
     }
 
     /// Some ordinary machines of the zone. Those already found unreachable are
-    /// not among them: several may hang at once, which would look like a cut.
+    /// not among them: several may hang at once, which would look like a network partition.
     fn neighbours(
         &self,
         cache: &StateCache,
@@ -423,29 +448,32 @@
             .collect()
     }
 
-    /// Blocks go to a controller of their own zone, and evenly. Their tasks do
+    /// Shards go to a controller of their own zone, and evenly. Their tasks do
     /// not notice; new ones wait for a moment.
     pub(super) fn rebalance(&self, cache: &StateCache, state: &mut LeaderState, now: Instant) {
-        if state.moving.len() >= MOVES || !state.unplaced.is_empty() {
+        if state.moving.len() >= MAX_MOVES || !state.unplaced.is_empty() {
             return;
         }
-        let settled = |node: &NodeName| {
-            state.statuses.get(node).is_some_and(|told| {
-                told.at.elapsed() < super::super::STATUS_LIFE
-                    && told.since.elapsed() > LIVED
-                    && Some(told.incarnation)
-                        == cache.nodes.get(node).map(|kept| kept.value.incarnation)
+        let is_stable = |controller: &ControllerName| {
+            state.statuses.get(controller).is_some_and(|peer| {
+                peer.at.elapsed() < super::super::STATUS_TTL
+                    && peer.since.elapsed() > MIN_UPTIME
+                    && Some(peer.incarnation)
+                        == cache
+                            .controllers
+                            .get(controller)
+                            .map(|entry| entry.value.incarnation)
             })
         };
-        let load = |node: &NodeName| cache.machines_of(node).count();
-        let mut best: Option<(usize, BlockId, NodeName)> = None;
-        for (id, kept) in &cache.blocks {
-            let block = &kept.value;
-            let size = block.machines.len();
-            if size == 0 || state.moving.contains_key(id) || !cache.is_seated(block) {
+        let load = |controller: &ControllerName| cache.machines_of(controller).count();
+        let mut best: Option<(usize, ShardId, ControllerName)> = None;
+        for (id, entry) in &cache.shards {
+            let shard = &entry.value;
+            let size = shard.machines.len();
+            if size == 0 || state.moving.contains_key(id) || !cache.has_current_owner(shard) {
                 continue;
             }
-            let Some(zone) = block
+            let Some(zone) = shard
                 .machines
                 .keys()
                 .find_map(|machine| cache.machines.get(machine))
@@ -453,50 +481,56 @@
             else {
                 continue;
             };
-            let near = cache.nodes.get(&block.node).map(|kept| &kept.value.zone) == Some(zone);
-            let count = load(&block.node);
-            for (other, record) in &cache.nodes {
-                if *other == block.node
-                    || !settled(other)
-                    || state.fleet.shunned.contains_key(other)
+            let near = cache
+                .controllers
+                .get(&shard.controller)
+                .map(|entry| &entry.value.zone)
+                == Some(zone);
+            let count = load(&shard.controller);
+            for (other, record) in &cache.controllers {
+                if *other == shard.controller
+                    || !is_stable(other)
+                    || state.fleet.avoided_owners.contains_key(other)
                 {
                     continue;
                 }
                 let theirs = load(other);
                 let nearer = record.value.zone == *zone;
-                let better =
-                    (nearer && !near) || (nearer == near && theirs + size + EVEN_ENOUGH < count);
+                let better = (nearer && !near)
+                    || (nearer == near && theirs + size + BALANCE_TOLERANCE < count);
                 if better && best.as_ref().is_none_or(|(least, _, _)| theirs < *least) {
                     best = Some((theirs, *id, other.clone()));
                 }
             }
         }
         if let Some((_, id, other)) = best {
-            tracing::info!(block = %id, to = %other, "moves");
+            tracing::info!(shard = %id, to = %other, "shard rebalanced");
             state.moving.insert(id, (other, now));
         }
     }
 
-    /// Suspect machines that do not empty by themselves are cleared.
-    pub(super) async fn empty_suspects(&self) {
-        let mut orders: BTreeMap<NodeName, Vec<TaskId>> = BTreeMap::new();
+    /// Quarantined machines that do not empty by themselves are cleared.
+    pub(super) async fn evict_quarantined(&self) {
+        let mut preemptions: BTreeMap<ControllerName, Vec<TaskId>> = BTreeMap::new();
         {
             let cache = self.store.cache();
             let state = lock(&self.leader);
-            for (id, item) in &state.returning {
-                if item.reason != Reason::Suspect || item.since.elapsed() < EMPTY_AFTER {
+            for (id, item) in &state.releasing {
+                if item.reason != ReleaseReason::Quarantined
+                    || item.since.elapsed() < QUARANTINE_EVICTION_DELAY
+                {
                     continue;
                 }
-                if let (Some(load), Some((_, kept))) =
-                    (cache.on_machine.get(id), cache.block_of(id))
+                if let (Some(load), Some((_, entry))) =
+                    (cache.on_machine.get(id), cache.shard_of(id))
                 {
-                    orders
-                        .entry(kept.value.node.clone())
+                    preemptions
+                        .entry(entry.value.controller.clone())
                         .or_default()
                         .extend(load.tasks.keys().cloned());
                 }
             }
         }
-        self.send_preemptions(orders).await;
+        self.send_preemptions(preemptions).await;
     }
 }
--- a/src/coordination/leader/fleet/inventory.rs
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -6,20 +6,19 @@
 
 use crate::{
     coordination::{
-        leader::fleet::{FleetState, Reason, Return},
-        node::{Node, lock},
-        ports::{ListedMachine, MachineStage, Sighting},
+        controller::{Controller, lock},
+        leader::fleet::{FleetState, PendingRelease, ReleaseReason},
+        ports::{IndirectHeartbeat, ListedMachine, MachineStage},
     },
     storage::{
-        RentName, Revision, Transaction, TypeName, ZoneName,
-        budget::{Budget, Urgency},
-        keys,
-        records::{CatalogRecord, RentalRecord},
+        ProvisionId, Revision, Transaction, TypeName, ZoneName, keys,
+        rate_limiter::{RateLimiter, RequestPriority},
+        records::{CatalogRecord, MachineGroupRecord},
     },
 };
 
-impl Node {
-    pub(super) async fn poll_catalog(&self, budget: &Budget) {
+impl Controller {
+    pub(super) async fn poll_catalog(&self, budget: &RateLimiter) {
         {
             let state = lock(&self.leader);
             let known = self.store.cache().catalog.is_some();
@@ -33,7 +32,7 @@
             }
         }
         lock(&self.leader).fleet.last_catalog = Some(Instant::now());
-        budget.acquire(1.0, Urgency::Fence).await;
+        budget.acquire(1.0, RequestPriority::Fencing).await;
         let types = match self.cloud.catalog().await {
             Ok(types) => types,
             Err(error) => {
@@ -42,65 +41,71 @@
             }
         };
         let record = CatalogRecord { types };
-        let mark = {
+        let revision = {
             let cache = self.store.cache();
             match &cache.catalog {
-                Some(kept) if kept.value == record => return,
-                Some(kept) => kept.revision,
+                Some(entry) if entry.value == record => return,
+                Some(entry) => entry.revision,
                 None => Revision(0),
             }
         };
         let transaction = Transaction::default()
-            .require(keys::CATALOG.into(), mark)
+            .require(keys::CATALOG.into(), revision)
             .set(keys::CATALOG.into(), &record);
-        let _ = self.commit_as_leader(transaction, Urgency::Fence).await;
+        let _ = self
+            .commit_as_leader(transaction, RequestPriority::Fencing)
+            .await;
     }
 
-    pub(super) fn poll_list(self: &Arc<Self>, budget: &Arc<Budget>) {
+    pub(super) fn poll_inventory(self: &Arc<Self>, budget: &Arc<RateLimiter>) {
         {
             let mut state = lock(&self.leader);
             // It is behind by the lag anyway, and each page costs time.
             let every = (self.config.list_lag / 2).max(Duration::from_secs(5));
-            if state.fleet.last_list.is_some_and(|at| at.elapsed() < every) {
+            if state
+                .fleet
+                .last_inventory
+                .is_some_and(|at| at.elapsed() < every)
+            {
                 return;
             }
-            state.fleet.last_list = Some(Instant::now());
+            state.fleet.last_inventory = Some(Instant::now());
         }
-        let node = self.clone();
+        let controller = self.clone();
         let budget = budget.clone();
         tokio::spawn(async move {
-            budget.acquire(1.0, Urgency::Rest).await;
-            match node.cloud.list().await {
-                Ok(list) => node.compare_list(list).await,
+            budget.acquire(1.0, RequestPriority::Background).await;
+            match controller.cloud.list_machines().await {
+                Ok(list) => controller.reconcile_inventory(list).await,
                 Err(error) => tracing::debug!(%error, "the machine list cannot be read"),
             }
         });
     }
 
-    /// Machines that the cloud lists, or whose workers report, but that are not
-    /// in the cache: rented by a request that was executed late, perhaps.
-    pub(super) async fn compare_list(&self, list: Vec<ListedMachine>) {
-        let adopt: Vec<RentalRecord> = {
+    /// Machines that the cloud lists, or whose agents send heartbeats, but that are not
+    /// in the cache: provisioned by a request that was executed late, perhaps.
+    pub(super) async fn reconcile_inventory(&self, list: Vec<ListedMachine>) {
+        let adopt: Vec<MachineGroupRecord> = {
             let cache = self.store.cache();
             let mut state = lock(&self.leader);
             let now = Instant::now();
             let lag = self.config.list_lag;
             state
                 .fleet
-                .forget_returned(self.config.machines_tracked, now);
+                .forget_released(self.config.machines_tracked, now);
             let mut adopt = Vec::new();
             let mut still = BTreeMap::new();
             state.fleet.listed = list.iter().map(|machine| machine.id.clone()).collect();
             for machine in list {
                 if cache.machines.contains_key(&machine.id) {
                     if machine.stage == MachineStage::Failed
-                        && !state.returning.contains_key(&machine.id)
+                        && !state.releasing.contains_key(&machine.id)
                     {
                         tracing::info!(machine = %machine.id, "listed as failed");
-                        state.returning.insert(
+                        state.releasing.insert(
                             machine.id.clone(),
-                            Return {
-                                reason: Reason::Failed,
+                            PendingRelease {
+                                reason: ReleaseReason::Failed,
                                 since: now,
                                 in_flight: false,
                             },
@@ -108,7 +113,7 @@
                     }
                     continue;
                 }
-                if state.fleet.returned.contains_key(&machine.id) {
+                if state.fleet.released.contains_key(&machine.id) {
                     continue;
                 }
                 let since = state.fleet.unknown.get(&machine.id).copied().unwrap_or(now);
@@ -121,76 +126,79 @@
                 }
             }
             state.fleet.unknown = still;
-            // Reported to some controller and listed: a report alone may be a copy
+            // Heard by some controller and listed: a heartbeat alone may be a copy
             // of one from a machine that went back long ago.
-            let sighted: Vec<Sighting> = state
+            let has_heartbeat: Vec<IndirectHeartbeat> = state
                 .statuses
                 .values()
-                .filter(|told| told.at.elapsed() < super::super::STATUS_LIFE)
-                .flat_map(|told| told.sightings.values().cloned())
+                .filter(|peer| peer.at.elapsed() < super::super::STATUS_TTL)
+                .flat_map(|peer| peer.indirect_heartbeats.values().cloned())
                 .collect();
-            for seen in sighted {
+            for seen in has_heartbeat {
                 let known = cache.machines.contains_key(&seen.machine)
-                    || state.fleet.returned.contains_key(&seen.machine);
+                    || state.fleet.released.contains_key(&seen.machine);
                 let listed = state.fleet.unknown.contains_key(&seen.machine);
-                if !known && listed && cache.rents.is_empty() {
+                if !known && listed && cache.provision_requests.is_empty() {
                     adopt.push((seen.machine, seen.kind, seen.zone, seen.spot));
                 }
             }
             let at = self.config.now_ms();
-            let mut rentals: BTreeMap<(TypeName, ZoneName, bool), RentalRecord> = BTreeMap::new();
+            let mut groups: BTreeMap<(TypeName, ZoneName, bool), MachineGroupRecord> =
+                BTreeMap::new();
             for (id, kind, zone, spot) in adopt {
                 let key = (kind.clone(), zone.clone(), spot);
-                let rental = rentals.entry(key).or_insert_with(|| RentalRecord {
+                let group = groups.entry(key).or_insert_with(|| MachineGroupRecord {
                     kind,
                     zone,
                     spot,
-                    rented_ms: at,
+                    provisioned_ms: at,
                     machines: BTreeMap::new(),
                 });
-                if rental.machines.len() < ADOPTED_AT_ONCE {
-                    rental.machines.insert(id, None);
+                if group.machines.len() < ADOPTED_AT_ONCE {
+                    group.machines.insert(id, None);
                 }
             }
-            rentals.into_values().collect()
+            groups.into_values().collect()
         };
-        for rental in adopt {
-            tracing::info!(machines = ?rental.machines.keys(), "unknown machines are taken on");
+        for group in adopt {
+            tracing::info!(machines = ?group.machines.keys(), "adopting unknown machines");
             let name = {
                 let mut state = lock(&self.leader);
-                state.fleet.rents += 1;
-                RentName::new(format!(
+                state.fleet.provision_count += 1;
+                ProvisionId::new(format!(
                     "x-{:016x}-{}",
-                    self.config.incarnation.0, state.fleet.rents
+                    self.config.incarnation.0, state.fleet.provision_count
                 ))
             };
-            let key = keys::machines(&name);
+            let key = keys::machine_group(&name);
             let transaction = Transaction::default()
                 .require(key.clone(), Revision(0))
-                .set(key, &rental);
-            let _ = self.commit_as_leader(transaction, Urgency::Rest).await;
+                .set(key, &group);
+            let _ = self
+                .commit_as_leader(transaction, RequestPriority::Background)
+                .await;
         }
     }
 }
 
 /// Unknown machines of one kind and place taken on at a time.
 const ADOPTED_AT_ONCE: usize = 50;
-/// Returned machines are remembered for so long: copies of reports come well over a lease late.
-const RETURNED_LIFE: Duration = Duration::from_secs(600);
+/// Returned machines are remembered for so long: copies of heartbeats come well over a lease late.
+const RELEASED_TTL: Duration = Duration::from_secs(600);
 
 impl FleetState {
     /// Forgets machines that were returned long ago, and beyond `most` the oldest.
-    fn forget_returned(&mut self, most: usize, now: Instant) {
-        self.returned
-            .retain(|_, at| now.duration_since(*at) < RETURNED_LIFE);
-        let excess = self.returned.len().saturating_sub(most);
+    fn forget_released(&mut self, most: usize, now: Instant) {
+        self.released
+            .retain(|_, at| now.duration_since(*at) < RELEASED_TTL);
+        let excess = self.released.len().saturating_sub(most);
         if excess == 0 {
             return;
         }
-        tracing::info!(excess, "too many returned machines to remember all");
-        let mut times: Vec<Instant> = self.returned.values().copied().collect();
+        tracing::info!(excess, "too many released machines to remember all");
+        let mut times: Vec<Instant> = self.released.values().copied().collect();
         times.sort_unstable();
         let oldest_kept = times[excess];
-        self.returned.retain(|_, at| *at >= oldest_kept);
+        self.released.retain(|_, at| *at >= oldest_kept);
     }
 }
--- a/src/coordination/leader/fleet/market.rs
+++ b/src/coordination/leader/fleet/market.rs
@@ -1,4 +1,4 @@
-//! What can be rented, where, and how much of it is needed.
+//! What can be provisioned, where, and how much of it is needed.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,8 +15,8 @@
             pool::{Pool, Suited},
             routing::Unplaced,
         },
-        policy::{giveback, placement, suitability, zones::ZoneConstraint},
-        zones,
+        policy::{placement, scale_in, suitability, zone_constraint::ZoneConstraint},
+        zone_usage,
     },
     storage::{JobKind, JobSpec, MachineId, MachineType, Priority, StateCache, TypeName, ZoneName},
 };
@@ -27,45 +27,45 @@
 /// Capacity that was refused is not asked for again for a while, which doubles
 /// with each refusal in a row.
 #[derive(Clone, Copy, Debug)]
-pub struct Refusal {
+pub struct CapacityRefusal {
     until: Instant,
     streak: u32,
 }
 
-impl Refusal {
-    pub(super) fn after(known: Option<&Refusal>, now: Instant) -> Self {
+impl CapacityRefusal {
+    pub(super) fn after(known: Option<&CapacityRefusal>, now: Instant) -> Self {
         let streak = known.map_or(0, |known| known.streak + 1).min(3);
-        let pause = REFUSED * (1 << streak);
-        Refusal {
-            until: now + pause.min(REFUSED_LONGEST),
+        let pause = REFUSAL_PAUSE * (1 << streak);
+        CapacityRefusal {
+            until: now + pause.min(MAX_REFUSAL_PAUSE),
             streak,
         }
     }
 }
 
-pub(super) const REFUSED: Duration = Duration::from_secs(10);
+pub(super) const REFUSAL_PAUSE: Duration = Duration::from_secs(10);
 
-pub(super) const REFUSED_LONGEST: Duration = Duration::from_secs(40);
+pub(super) const MAX_REFUSAL_PAUSE: Duration = Duration::from_secs(40);
 
-/// A dear machine of which the waiting tasks fill less than this is not rented,
+/// A dear machine of which the waiting tasks fill less than this is not provisioned,
 /// unless they are overdue or cannot wait. Dear is one that costs more than
 /// [`CHEAP`] times the cheapest machine on which they could run.
-pub(super) const LEAST_FILL: f64 = 0.6;
-const CHEAP: f64 = 1.6;
+pub(super) const MIN_FILL: f64 = 0.6;
+const DEAR_PRICE_FACTOR: f64 = 1.6;
 
-/// However short a task, it takes a part of its machine's paid time: start, report and
+/// However short a task, it takes a part of its machine's paid time: start, heartbeat and
 /// the record of its end.
-const LEAST_PART: f64 = 0.05;
+const MIN_PAID_FRACTION: f64 = 0.05;
 
 /// Idle work of which nothing runs after this time gets ordinary machines as well, since
 /// there may never be a spot machine.
-const SPOT_ONLY: Duration = Duration::from_secs(120);
+const SPOT_ONLY_PERIOD: Duration = Duration::from_secs(120);
 
 /// What a job with waiting tasks needs of the market.
 pub struct Demand {
     spec: Arc<JobSpec>,
     constraint: ZoneConstraint,
-    /// No ordinary machines: idle work is rented the cheap ones that it may use.
+    /// No ordinary machines: idle work is provisioned the cheap ones that it may use.
     spot_only: bool,
 }
 
@@ -80,17 +80,17 @@
     }
 }
 
-/// What renting looks at.
+/// What scaling out looks at.
 pub struct Market<'a> {
     pub cache: &'a StateCache,
-    pub refused: &'a BTreeMap<Place, Refusal>,
+    pub refused: &'a BTreeMap<Place, CapacityRefusal>,
     pub now: Instant,
     pub k: f64,
     /// The time of day, by which jobs age.
     pub wall: SystemTime,
     /// The least time that a machine is paid for.
     pub paid: Duration,
-    /// Machines in each zone, counted once: a look at all of them for each waiting job
+    /// Machines in each zone, counted once: a probe at all of them for each waiting job
     /// took most of a pass in fleets of thousands.
     machines_in: BTreeMap<&'a ZoneName, usize>,
 }
@@ -98,7 +98,7 @@
 impl<'a> Market<'a> {
     pub fn new(
         cache: &'a StateCache,
-        refused: &'a BTreeMap<Place, Refusal>,
+        refused: &'a BTreeMap<Place, CapacityRefusal>,
         tuning: &Tuning,
         now: Instant,
         wall: SystemTime,
@@ -162,7 +162,11 @@
         let Demand {
             spec, constraint, ..
         } = demand;
-        let types = self.cache.catalog.iter().flat_map(|kept| &kept.value.types);
+        let types = self
+            .cache
+            .catalog
+            .iter()
+            .flat_map(|entry| &entry.value.types);
         let types =
             types.filter(|kind| spec.per_task.fits_in(&kind.size) && spec.allows_type(&kind.name));
         let mut places = Vec::new();
@@ -227,10 +231,10 @@
     fn demand(&self, waiting: &Unplaced) -> Option<Demand> {
         let job = self.cache.jobs.get(&waiting.job)?;
         let spec = job.spec()?;
-        let constraint = zones::of_job(self.cache, job);
-        let is_served = job.present() > 0 || spec.age(self.wall) < SPOT_ONLY;
+        let constraint = zone_usage::of_job(self.cache, job);
+        let is_served = job.present() > 0 || spec.age(self.wall) < SPOT_ONLY_PERIOD;
         let spot_only = spec.is_idle_work() && spec.spot && is_served;
-        if spec.home.is_none() || job.present() > 0 {
+        if spec.assigned_zone.is_none() || job.present() > 0 {
             return Some(Demand {
                 spec: spec.clone(),
                 constraint,
@@ -240,7 +244,7 @@
         // Nothing of it is there yet: it moves to where machines are to be had, since
         // those of its zone may never be enough.
         let anywhere = JobSpec {
-            home: None,
+            assigned_zone: None,
             ..(**spec).clone()
         };
         Some(Demand {
@@ -260,7 +264,11 @@
 
     /// The price of the cheapest machine that the job may run on, to be had or not.
     fn least_rate(&self, spec: &JobSpec) -> f64 {
-        let types = self.cache.catalog.iter().flat_map(|kept| &kept.value.types);
+        let types = self
+            .cache
+            .catalog
+            .iter()
+            .flat_map(|entry| &entry.value.types);
         types
             .filter(|kind| spec.allows_type(&kind.name) && spec.per_task.fits_in(&kind.size))
             .map(|kind| {
@@ -277,7 +285,7 @@
     pub fn need(
         &self,
         unplaced: &[Unplaced],
-        booting: &mut [placement::Slot],
+        booting: &mut [placement::CandidateMachine],
     ) -> BTreeMap<Pool, f64> {
         let mut need: BTreeMap<Pool, f64> = BTreeMap::new();
         let mut pressing: BTreeSet<Pool> = BTreeSet::new();
@@ -302,13 +310,13 @@
                 *need.entry(pool).or_default() += machines * self.part_of_period(spec);
             }
         }
-        need.retain(|pool, machines| *machines >= LEAST_FILL || pressing.contains(pool));
+        need.retain(|pool, machines| *machines >= MIN_FILL || pressing.contains(pool));
         need
     }
 
     /// The part of a machine's least paid period for which a task of the job takes its
     /// room. Work of the lowest priority is in no hurry: its short tasks follow one
-    /// another on few machines. Rented for as if all were to run at once, an array of
+    /// another on few machines. Provisioned for as if all were to run at once, an array of
     /// thousands of tasks of a few seconds brings a fleet that is idle right after
     /// (exception to section 5.4, see docs/DESIGN.md).
     fn part_of_period(&self, spec: &JobSpec) -> f64 {
@@ -316,18 +324,18 @@
             return 1.0;
         }
         let part = spec.estimate.as_secs_f64() / self.paid.as_secs_f64().max(1.0);
-        part.clamp(LEAST_PART, 1.0)
+        part.clamp(MIN_PAID_FRACTION, 1.0)
     }
 
     /// Whether tasks get a machine that they do not fill.
     fn is_pressing(&self, waiting: &Unplaced, spec: &JobSpec, rate: f64) -> bool {
-        rate <= self.least_rate(spec) * CHEAP
+        rate <= self.least_rate(spec) * DEAR_PRICE_FACTOR
             || waiting.overdue
             || spec.kind == JobKind::Service
             || spec.priority == Priority::Production
     }
 
-    /// Spreads a rental over the zones that have not refused, so that they come
+    /// Spreads a provision request over the zones that have not refused, so that they come
     /// to have equally many machines.
     pub fn split(&self, pool: &Pool, count: u32) -> Vec<(ZoneName, u32)> {
         if let Some(zone) = &pool.zone {
@@ -360,20 +368,20 @@
 fn fill_booting(
     spec: &JobSpec,
     tasks: u32,
-    booting: &mut [placement::Slot],
+    booting: &mut [placement::CandidateMachine],
     constraint: &mut ZoneConstraint,
 ) -> u32 {
     let mut left = tasks;
-    for slot in booting {
+    for candidate in booting {
         if left == 0 {
             break;
         }
-        if placement::allowed(spec, slot) {
-            let fit = spec.per_task.count_in(&slot.room).min(left);
-            let fit = fit.min(constraint.room(&slot.zone));
+        if placement::allowed(spec, candidate) {
+            let fit = spec.per_task.count_in(&candidate.room).min(left);
+            let fit = fit.min(constraint.room(&candidate.zone));
             if fit > 0 {
-                slot.room -= spec.per_task.times(f64::from(fit));
-                constraint.add_tasks(&slot.zone, fit);
+                candidate.room -= spec.per_task.times(f64::from(fit));
+                constraint.add_tasks(&candidate.zone, fit);
                 left -= fit;
             }
         }
@@ -382,11 +390,15 @@
 }
 
 /// Boots usually take up to one and a half times what the catalog says.
-const USUAL_BOOT: f64 = 1.6;
-
-pub(super) fn empty_slot(kind: &MachineType, zone: &ZoneName, spot: bool) -> placement::Slot {
-    placement::Slot {
-        group: 0,
+const MAX_BOOT_FACTOR: f64 = 1.6;
+
+pub(super) fn empty_candidate(
+    kind: &MachineType,
+    zone: &ZoneName,
+    spot: bool,
+) -> placement::CandidateMachine {
+    placement::CandidateMachine {
+        owner: 0,
         machine: MachineId::new(""),
         kind: kind.name.clone(),
         zone: zone.clone(),
@@ -400,23 +412,23 @@
     }
 }
 
-/// Rented machines whose workers have not been heard of yet. One that takes far
+/// Provisioned machines whose agents have not been heard of yet. One that takes far
 /// longer than usual is no longer counted on: a few take several times as long,
 /// or never come up, and what waits for them would wait as long.
-pub(super) fn booting_slots(
+pub(super) fn booting_candidates(
     cache: &StateCache,
     now_ms: u64,
     is_up: impl Fn(&MachineId) -> bool,
-) -> Vec<placement::Slot> {
+) -> Vec<placement::CandidateMachine> {
     cache
         .machines
         .iter()
         .filter(|(id, _)| !is_up(id))
         .filter_map(|(_, record)| {
             let kind = cache.machine_type(&record.kind)?;
-            let age = Duration::from_millis(now_ms.saturating_sub(record.rented_ms));
-            (age < kind.boot.mul_f64(USUAL_BOOT))
-                .then(|| empty_slot(kind, &record.zone, record.spot))
+            let age = Duration::from_millis(now_ms.saturating_sub(record.provisioned_ms));
+            (age < kind.boot.mul_f64(MAX_BOOT_FACTOR))
+                .then(|| empty_candidate(kind, &record.zone, record.spot))
         })
         .collect()
 }
@@ -424,14 +436,14 @@
 /// Machines that are up, with their utilisation, and whether a service is on them.
 pub(super) fn used_machines(
     cache: &StateCache,
-    period: giveback::PaidPeriods,
+    period: scale_in::PaidPeriods,
     now_ms: u64,
     is_up: impl Fn(&MachineId) -> bool,
-) -> Vec<(giveback::Used<MachineId>, bool)> {
+) -> Vec<(scale_in::MachineUtilisation<MachineId>, bool)> {
     let kinds: Vec<&MachineType> = cache
         .catalog
         .iter()
-        .flat_map(|kept| kept.value.types.iter())
+        .flat_map(|entry| entry.value.types.iter())
         .collect();
     cache
         .machines
@@ -441,13 +453,13 @@
             let at = kinds.iter().position(|kind| kind.name == record.kind)?;
             let size = kinds[at].size;
             let load = cache.on_machine.get(id);
-            let age = Duration::from_millis(now_ms.saturating_sub(record.rented_ms));
-            let used = giveback::Used {
+            let age = Duration::from_millis(now_ms.saturating_sub(record.provisioned_ms));
+            let used = scale_in::MachineUtilisation {
                 id: id.clone(),
                 kind: at,
                 utilisation: load.map_or(0.0, |load| load.taken.cpus) / size.cpus.max(0.001),
                 power: size.cpus,
-                block: cache.block_of(id).map_or(0, |(block, _)| block.0),
+                shard: cache.shard_of(id).map_or(0, |(shard, _)| shard.0),
                 paid_left: period.left(age),
             };
             Some((used, load.is_some_and(|load| load.service)))
--- a/src/coordination/leader/fleet/mod.rs
+++ b/src/coordination/leader/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! Renting, repairing and giving back machines: the policy's rounds, and the
+//! Scaling out, repairing and scaling in machines: the policy's rounds, and the
 //! calls to the cloud that follow from them.
 
-pub mod faults;
-mod lists;
+mod autoscaler;
+pub mod failure_detector;
+mod inventory;
 mod market;
-mod rents;
-mod returns;
-mod rounds;
+mod provisioning;
+mod release;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,152 +14,157 @@
     time::Duration,
 };
 
-use market::{Place, Refusal};
+use market::{CapacityRefusal, Place};
 use tokio::time::Instant;
 
 use crate::{
-    coordination::node::{Node, lock},
+    coordination::controller::{Controller, lock},
     storage::{
-        MachineId, NodeName, RentName, Revision, Transaction,
-        budget::{Budget, Urgency},
-        keys,
-        records::RentRecord,
+        ControllerName, MachineId, ProvisionId, Revision, Transaction, keys,
+        rate_limiter::{RateLimiter, RequestPriority},
+        records::ProvisionRecord,
     },
 };
 
 /// Why a machine goes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum ReleaseReason {
     /// Not needed: marked, and its paid period is over.
-    Unneeded,
+    ScaledIn,
     /// Several jobs failed on it.
-    Suspect,
-    /// Neither reports nor answers: returning it proves its tasks gone.
-    Silent,
+    Quarantined,
+    /// Neither sends heartbeats nor answers: releasing it proves its tasks gone.
+    Unresponsive,
     /// It does not come up.
-    Stuck,
+    BootTimeout,
     /// The cloud says that it has stopped.
     Failed,
-    /// It reports, but nothing that we say reaches it.
-    Deaf,
+    /// Its heartbeats arrive, but no command reaches it.
+    CommandPathLost,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Return {
-    reason: Reason,
+pub struct PendingRelease {
+    reason: ReleaseReason,
     since: Instant,
     in_flight: bool,
 }
 
-impl Return {
+impl PendingRelease {
     /// Whether it is emptied before it goes.
-    pub fn freezes(&self) -> bool {
-        matches!(self.reason, Reason::Unneeded | Reason::Suspect)
+    pub fn drains_first(&self) -> bool {
+        matches!(
+            self.reason,
+            ReleaseReason::ScaledIn | ReleaseReason::Quarantined
+        )
     }
 }
 
 #[derive(Default)]
 pub struct FleetState {
-    /// To be given back, each at the end of its paid period.
-    pub marked: BTreeSet<MachineId>,
-    refused: BTreeMap<Place, Refusal>,
+    /// To be released, each at the end of its paid period.
+    pub draining_machines: BTreeSet<MachineId>,
+    refused: BTreeMap<Place, CapacityRefusal>,
     /// Machines that a round asked for and no place had: asked for elsewhere.
-    carried: u32,
-    in_flight: BTreeSet<RentName>,
-    next_try: BTreeMap<RentName, Instant>,
-    /// Names of rents that this process has used.
-    pub(super) rents: u64,
+    unfilled: u32,
+    in_flight: BTreeSet<ProvisionId>,
+    next_try: BTreeMap<ProvisionId, Instant>,
+    /// Names of provision requests that this process has used.
+    pub(super) provision_count: u64,
     last_round: Option<Instant>,
-    last_remedy: Option<Instant>,
+    last_remedial: Option<Instant>,
     last_catalog: Option<Instant>,
-    last_list: Option<Instant>,
+    last_inventory: Option<Instant>,
     /// Machines that no task is routed to now.
     refusing: BTreeSet<MachineId>,
     /// Machines on which several jobs have failed, since when.
-    suspects: BTreeMap<MachineId, Instant>,
-    /// Silent machines being looked at by all controllers, or lately found up.
+    quarantined_since: BTreeMap<MachineId, Instant>,
+    /// Unresponsive machines being probed by all controllers, or lately found up.
     verifying: BTreeMap<MachineId, Instant>,
-    /// Machines heard by others than their holder, and who reaches them.
-    reached: BTreeMap<MachineId, faults::Look>,
-    /// Controllers that have lost blocks of theirs, since when.
-    pub shunned: BTreeMap<NodeName, Instant>,
+    /// Machines heard by others than their owner, and who reaches them.
+    indirect_probes: BTreeMap<MachineId, failure_detector::IndirectProbe>,
+    /// Controllers that have lost shards of theirs, since when.
+    pub avoided_owners: BTreeMap<ControllerName, Instant>,
     unknown: BTreeMap<MachineId, Instant>,
     /// Names are never used again: what speaks under one of these is a copy.
-    returned: BTreeMap<MachineId, Instant>,
+    released: BTreeMap<MachineId, Instant>,
     /// Machines that the latest list of the cloud showed.
     listed: BTreeSet<MachineId>,
     last_addresses: Option<Instant>,
 }
 
-const RENTS_PER_COMMIT: usize = 8;
+const PROVISION_REQUESTS_PER_COMMIT: usize = 8;
 
-impl Node {
+impl Controller {
     /// Duty: the leader's slower loop.
-    pub(in super::super) async fn keep_fleet(self: &Arc<Self>) {
-        let budget = Arc::new(Budget::new((self.config.cloud_rps * 0.8).max(0.5)));
+    pub(in super::super) async fn run_fleet_manager(self: &Arc<Self>) {
+        let budget = Arc::new(RateLimiter::new((self.config.cloud_rps * 0.8).max(0.5)));
         while self.pause(Duration::from_millis(400)).await {
             if !self.store.is_loaded()
                 || !self.store.is_reachable()
-                || self.is_leader().is_none()
-                || lock(&self.leader).must_void_pending
+                || self.leadership().is_none()
+                || lock(&self.leader).has_commit_in_doubt
             {
                 continue;
             }
             self.poll_catalog(&budget).await;
-            self.judge_fleet().await;
-            self.send_rents(&budget);
-            self.empty_suspects().await;
+            self.evaluate_fleet().await;
+            self.send_provision_requests(&budget);
+            self.evict_quarantined().await;
             self.move_replicas().await;
-            self.send_returns(&budget);
+            self.send_releases(&budget);
             self.write_addresses().await;
-            self.poll_list(&budget);
+            self.poll_inventory(&budget);
         }
     }
 
-    /// Decides what to rent, mark, return and move, and writes the rents down.
-    async fn judge_fleet(self: &Arc<Self>) {
-        let (rents, silent) = {
+    /// Decides what to provision, mark, return and move, and writes the provision requests down.
+    async fn evaluate_fleet(self: &Arc<Self>) {
+        let (provision_requests, unresponsive) = {
             let cache = self.store.cache();
             if cache.catalog.is_none() {
                 return;
             }
             let mut state = lock(&self.leader);
             let now = Instant::now();
-            let silent = self.find_faulty(&cache, &mut state, now);
+            let unresponsive = self.detect_failures(&cache, &mut state, now);
             self.rebalance(&cache, &mut state, now);
-            (self.judge_band(&cache, &mut state, now), silent)
+            (self.evaluate_scaling(&cache, &mut state, now), unresponsive)
         };
-        for suspect in silent {
-            let node = self.clone();
-            tokio::spawn(async move { node.verify_silent(suspect).await });
+        for quarantined in unresponsive {
+            let controller = self.clone();
+            tokio::spawn(async move { controller.verify_unresponsive(quarantined).await });
         }
         // Recorded before they are sent; several in one commit.
-        let parts = rents.chunks(self.config.state.txn_ops.min(RENTS_PER_COMMIT));
+        let parts =
+            provision_requests.chunks(self.config.state.txn_ops.min(PROVISION_REQUESTS_PER_COMMIT));
         for part in parts {
             let mut transaction = Transaction::default();
-            for rental in part {
+            for group in part {
                 let name = {
                     let mut state = lock(&self.leader);
-                    state.fleet.rents += 1;
+                    state.fleet.provision_count += 1;
                     // The incarnation is drawn at random for each process.
-                    RentName::new(format!(
+                    ProvisionId::new(format!(
                         "r-{:016x}-{}",
-                        self.config.incarnation.0, state.fleet.rents
+                        self.config.incarnation.0, state.fleet.provision_count
                     ))
                 };
-                let record = RentRecord {
-                    kind: rental.pool.kind.clone(),
-                    zone: rental.zone.clone(),
-                    spot: rental.pool.spot,
-                    count: rental.count,
+                let record = ProvisionRecord {
+                    kind: group.pool.kind.clone(),
+                    zone: group.zone.clone(),
+                    spot: group.pool.spot,
+                    count: group.count,
                     at_ms: self.config.now_ms(),
                 };
-                let key = keys::rent(&name);
+                let key = keys::provision_request(&name);
                 transaction = transaction
                     .require(key.clone(), Revision(0))
                     .set(key, &record);
             }
-            let sent = self.commit_as_leader(transaction, Urgency::Place).await;
+            let sent = self
+                .commit_as_leader(transaction, RequestPriority::Placement)
+                .await;
             if sent.is_err() {
                 return;
             }
--- a/src/coordination/leader/fleet/provisioning.rs
+++ b/src/coordination/leader/fleet/provisioning.rs
@@ -1,49 +1,48 @@
-//! Sends rental requests and writes down what came of them.
+//! Sends provision requests and writes down what came of them.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use tokio::time::Instant;
 
-use super::market::Refusal;
+use super::market::CapacityRefusal;
 use crate::{
     coordination::{
-        node::{Node, lock},
-        ports::{CloudError, Wanted},
+        controller::{Controller, lock},
+        ports::{CloudError, ProvisionRequest},
     },
     storage::{
-        MachineId, RentName, Revision, Transaction,
-        budget::{Budget, Urgency},
-        chance, keys,
-        records::{RentRecord, RentalRecord},
+        MachineId, ProvisionId, Revision, Transaction, jitter, keys,
+        rate_limiter::{RateLimiter, RequestPriority},
+        records::{MachineGroupRecord, ProvisionRecord},
     },
 };
 
-/// Rental calls under way at a time; the cloud's limit paces them.
-const RENTS_AT_ONCE: usize = 12;
+/// Provision calls under way at a time; the cloud's limit paces them.
+const MAX_PROVISION_CALLS: usize = 12;
 /// Machines' addresses are written together, this often.
 const ADDRESSES: Duration = Duration::from_millis(2500);
 
-impl Node {
-    /// Sends the rents that are written down, each under its own name until it
+impl Controller {
+    /// Sends the provision requests that are written down, each under its own name until it
     /// is answered; also those that an earlier leader left.
-    pub(super) fn send_rents(self: &Arc<Self>, budget: &Arc<Budget>) {
-        let due: Vec<(RentName, RentRecord)> = {
+    pub(super) fn send_provision_requests(self: &Arc<Self>, budget: &Arc<RateLimiter>) {
+        let due: Vec<(ProvisionId, ProvisionRecord)> = {
             let cache = self.store.cache();
             let mut state = lock(&self.leader);
             let now = Instant::now();
             let fleet = &mut state.fleet;
             fleet
                 .next_try
-                .retain(|name, _| cache.rents.contains_key(name));
+                .retain(|name, _| cache.provision_requests.contains_key(name));
             let due: Vec<_> = cache
-                .rents
+                .provision_requests
                 .iter()
                 .filter(|(name, _)| {
                     !fleet.in_flight.contains(*name)
                         && fleet.next_try.get(*name).is_none_or(|at| *at <= now)
                 })
-                .take(RENTS_AT_ONCE)
-                .map(|(name, kept)| (name.clone(), kept.value.clone()))
+                .take(MAX_PROVISION_CALLS)
+                .map(|(name, entry)| (name.clone(), entry.value.clone()))
                 .collect();
             fleet
                 .in_flight
@@ -51,87 +50,93 @@
             due
         };
         for (name, record) in due {
-            let node = self.clone();
+            let controller = self.clone();
             let budget = budget.clone();
             tokio::spawn(async move {
-                budget.acquire(1.0, Urgency::Fence).await;
-                let wanted = Wanted {
+                budget.acquire(1.0, RequestPriority::Fencing).await;
+                let wanted = ProvisionRequest {
                     kind: record.kind.clone(),
                     zone: record.zone.clone(),
                     spot: record.spot,
                     count: record.count,
                 };
-                let answer = node.cloud.rent(&name, &wanted).await;
-                node.rent_answered(&name, &record, answer).await;
-                lock(&node.leader).fleet.in_flight.remove(&name);
+                let answer = controller.cloud.provision(&name, &wanted).await;
+                controller
+                    .handle_provision_response(&name, &record, answer)
+                    .await;
+                lock(&controller.leader).fleet.in_flight.remove(&name);
             });
         }
     }
 
-    pub(super) async fn rent_answered(
+    pub(super) async fn handle_provision_response(
         &self,
-        name: &RentName,
-        record: &RentRecord,
+        name: &ProvisionId,
+        record: &ProvisionRecord,
         answer: Result<Vec<MachineId>, CloudError>,
     ) {
         let place = (record.kind.clone(), record.zone.clone(), record.spot);
-        let refuse = |node: &Node, missing: u32| {
-            let mut state = lock(&node.leader);
+        let refuse = |controller: &Controller, missing: u32| {
+            let mut state = lock(&controller.leader);
             let fleet = &mut state.fleet;
-            let refusal = Refusal::after(fleet.refused.get(&place), Instant::now());
+            let refusal = CapacityRefusal::after(fleet.refused.get(&place), Instant::now());
             fleet.refused.insert(place.clone(), refusal);
-            fleet.carried = fleet.carried.max(missing);
+            fleet.unfilled = fleet.unfilled.max(missing);
             // The next best place is asked at once.
-            fleet.last_remedy = None;
+            fleet.last_remedial = None;
         };
-        let mark = {
+        let revision = {
             let cache = self.store.cache();
-            match cache.rents.get(name) {
-                Some(kept) => kept.revision,
+            match cache.provision_requests.get(name) {
+                Some(entry) => entry.revision,
                 None => return,
             }
         };
         match answer {
             Ok(machines) => {
                 tracing::info!(%name, kind = %record.kind, zone = %record.zone,
-                    spot = record.spot, asked = record.count, got = machines.len(), "rented");
+                    spot = record.spot, asked = record.count, got = machines.len(), "machines provisioned");
                 if machines.len() < record.count as usize {
                     refuse(self, record.count - machines.len() as u32);
                 } else {
                     lock(&self.leader).fleet.refused.remove(&place);
                 }
                 let mut transaction = Transaction::default()
-                    .require(keys::rent(name), mark)
-                    .remove(keys::rent(name));
+                    .require(keys::provision_request(name), revision)
+                    .remove(keys::provision_request(name));
                 if !machines.is_empty() {
-                    let rental = RentalRecord {
+                    let group = MachineGroupRecord {
                         kind: record.kind.clone(),
                         zone: record.zone.clone(),
                         spot: record.spot,
-                        rented_ms: record.at_ms,
+                        provisioned_ms: record.at_ms,
                         machines: machines.into_iter().map(|id| (id, None)).collect(),
                     };
-                    let key = keys::machines(name);
+                    let key = keys::machine_group(name);
                     transaction = transaction
                         .require(key.clone(), Revision(0))
-                        .set(key, &rental);
+                        .set(key, &group);
                 }
                 // Unanswered, the request is repeated under its name, which the
                 // cloud answers with the same machines.
-                let _ = self.commit_as_leader(transaction, Urgency::Place).await;
+                let _ = self
+                    .commit_as_leader(transaction, RequestPriority::Placement)
+                    .await;
             }
             Err(CloudError::NoCapacity) => {
                 tracing::info!(%name, kind = %record.kind, zone = %record.zone,
                     spot = record.spot, "no capacity");
                 refuse(self, record.count);
                 let transaction = Transaction::default()
-                    .require(keys::rent(name), mark)
-                    .remove(keys::rent(name));
-                let _ = self.commit_as_leader(transaction, Urgency::Place).await;
+                    .require(keys::provision_request(name), revision)
+                    .remove(keys::provision_request(name));
+                let _ = self
+                    .commit_as_leader(transaction, RequestPriority::Placement)
+                    .await;
             }
             Err(error) => {
-                tracing::info!(%name, %error, "rent to be repeated");
-                let pause = chance::millis(1500, 3000);
+                tracing::info!(%name, %error, "provision request to be retried");
+                let pause = jitter::millis(1500, 3000);
                 lock(&self.leader)
                     .fleet
                     .next_try
@@ -140,7 +145,7 @@
         }
     }
 
-    /// Writes down where workers listen, which a new holder needs to look at a
+    /// Writes down where agents listen, which a new owner needs to look at a
     /// machine that it has never heard. Many come up in the same seconds, so that
     /// these are written together.
     pub(super) async fn write_addresses(&self) {
@@ -154,8 +159,8 @@
             {
                 return;
             }
-            let mut changed: BTreeMap<&RentName, RentalRecord> = BTreeMap::new();
-            for (id, held) in state.statuses.values().flat_map(|told| &told.held) {
+            let mut changed: BTreeMap<&ProvisionId, MachineGroupRecord> = BTreeMap::new();
+            for (id, held) in state.statuses.values().flat_map(|peer| &peer.owned) {
                 let (Some(address), Some(record)) = (&held.address, cache.machines.get(id)) else {
                     continue;
                 };
@@ -163,15 +168,15 @@
                     continue;
                 }
                 let full = changed.len() >= self.config.state.txn_ops / 2;
-                if full && !changed.contains_key(&record.rental) {
+                if full && !changed.contains_key(&record.machine_group) {
                     continue;
                 }
-                let Some(kept) = cache.rentals.get(&record.rental) else {
+                let Some(entry) = cache.machine_groups.get(&record.machine_group) else {
                     continue;
                 };
                 changed
-                    .entry(&record.rental)
-                    .or_insert_with(|| kept.value.clone())
+                    .entry(&record.machine_group)
+                    .or_insert_with(|| entry.value.clone())
                     .machines
                     .insert(id.clone(), Some(address.clone()));
             }
@@ -179,14 +184,19 @@
                 return;
             }
             let mut transaction = Transaction::default();
-            for (name, rental) in &changed {
-                let mark = cache.rentals.get(*name).map_or(Revision(0), |k| k.revision);
-                let key = keys::machines(name);
-                transaction = transaction.require(key.clone(), mark).set(key, rental);
+            for (name, group) in &changed {
+                let revision = cache
+                    .machine_groups
+                    .get(*name)
+                    .map_or(Revision(0), |k| k.revision);
+                let key = keys::machine_group(name);
+                transaction = transaction.require(key.clone(), revision).set(key, group);
             }
             state.fleet.last_addresses = Some(Instant::now());
             transaction
         };
-        let _ = self.commit_as_leader(transaction, Urgency::Place).await;
+        let _ = self
+            .commit_as_leader(transaction, RequestPriority::Placement)
+            .await;
     }
 }
--- a/src/coordination/leader/fleet/release.rs
+++ b/src/coordination/leader/fleet/release.rs
@@ -1,4 +1,4 @@
-//! Gives machines back, emptied first where they still work.
+//! Releases machines, emptied first where they still work.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,50 +10,49 @@
 
 use crate::{
     coordination::{
-        node::{Node, lock},
+        controller::{Controller, lock},
         policy::placement,
-        ports::PeerCall,
+        ports::PeerRequest,
     },
     storage::{
-        JobKind, MachineId, NodeName, RentName, Resources, Revision, StateCache, TaskId,
-        Transaction,
-        budget::{Budget, Urgency},
-        chance, keys,
-        records::{MachineUse, RentalRecord},
+        ControllerName, JobKind, MachineId, ProvisionId, Resources, Revision, StateCache, TaskId,
+        Transaction, jitter, keys,
+        rate_limiter::{RateLimiter, RequestPriority},
+        records::{MachineGroupRecord, MachineUse},
     },
 };
 
 /// Replicas of younger jobs are not moved.
-pub(super) const SETTLED: Duration = Duration::from_secs(45);
+pub(super) const MIN_AGE_TO_MOVE: Duration = Duration::from_secs(45);
 
-/// Marked machines whose replicas' room is looked for in one pass.
+/// Draining machines whose replicas' room is looked for in one pass.
 const TRIED_AT_ONCE: usize = 3;
 
 /// Names in one call of the cloud.
-const RETURNED_AT_ONCE: usize = 100;
+const MAX_MACHINES_PER_RELEASE: usize = 100;
 
-impl Node {
+impl Controller {
     /// Whether the replicas on a machine would fit on the others.
-    pub(super) fn can_rehouse(
+    pub(super) fn can_relocate_replicas(
         &self,
         cache: &StateCache,
         machine: &MachineId,
         except: &BTreeSet<MachineId>,
     ) -> bool {
-        let usable = |_: &NodeName, id: &MachineId| {
-            (id != machine && !except.contains(id)).then(|| super::super::routing::Usage {
+        let usable = |_: &ControllerName, id: &MachineId| {
+            (id != machine && !except.contains(id)).then(|| super::super::routing::UsableMachine {
                 images: Arc::default(),
                 speed: 1.0,
                 freed: Resources::default(),
             })
         };
-        let mut slots = super::super::routing::open_machines(
+        let mut candidates = super::super::routing::candidate_machines(
             cache,
             &usable,
             self.config.now_ms(),
             self.config.tuning.paid,
         )
-        .slots;
+        .candidates;
         for placed in cache
             .on_machine
             .get(machine)
@@ -67,20 +66,20 @@
                 continue;
             }
             let now = (self.config.wall)();
-            if spec.spread && spec.tasks > 1 || spec.one_zone || spec.age(now) < SETTLED {
+            if spec.spread && spec.tasks > 1 || spec.one_zone || spec.age(now) < MIN_AGE_TO_MOVE {
                 return false;
             }
-            match placement::choose(spec, &slots, 1.0, |_| true) {
-                Some(at) => slots[at].put(spec),
+            match placement::choose(spec, &candidates, 1.0, |_| true) {
+                Some(at) => candidates[at].put(spec),
                 None => return false,
             }
         }
         true
     }
 
-    /// Replicas leave a marked machine once nothing else is on it.
+    /// Replicas leave a draining machine once nothing else is on it.
     pub(super) async fn move_replicas(&self) {
-        let mut orders: BTreeMap<NodeName, Vec<TaskId>> = BTreeMap::new();
+        let mut preemptions: BTreeMap<ControllerName, Vec<TaskId>> = BTreeMap::new();
         {
             let cache = self.store.cache();
             let mut state = lock(&self.leader);
@@ -88,16 +87,16 @@
                 return;
             }
             let mut except = state.fleet.refusing.clone();
-            except.extend(state.fleet.marked.iter().cloned());
+            except.extend(state.fleet.draining_machines.iter().cloned());
             let mut stuck = Vec::new();
-            for id in &state.fleet.marked {
-                let Some((_, kept)) = cache.block_of(id) else {
+            for id in &state.fleet.draining_machines {
+                let Some((_, entry)) = cache.shard_of(id) else {
                     continue;
                 };
                 let Some(load) = cache.on_machine.get(id) else {
                     continue;
                 };
-                let marked = kept.value.machines.get(id) == Some(&MachineUse::Marked);
+                let marked = entry.value.machines.get(id) == Some(&MachineUse::Draining);
                 let all_services = load.tasks.values().all(|placed| {
                     placed
                         .spec
@@ -107,7 +106,7 @@
                 if !marked || !all_services {
                     continue;
                 }
-                if !self.can_rehouse(&cache, id, &except) {
+                if !self.can_relocate_replicas(&cache, id, &except) {
                     // Its replicas have no room elsewhere any more.
                     stuck.push(id.clone());
                     if stuck.len() >= TRIED_AT_ONCE {
@@ -115,38 +114,44 @@
                     }
                     continue;
                 }
-                tracing::info!(machine = %id, replicas = load.tasks.len(), "its replicas move");
+                tracing::info!(machine = %id, replicas = load.tasks.len(), "moving replicas off a draining machine");
                 let tasks = load.tasks.keys().cloned();
-                orders
-                    .entry(kept.value.node.clone())
+                preemptions
+                    .entry(entry.value.controller.clone())
                     .or_default()
                     .extend(tasks);
                 // One at a time: the next finds the room that this one leaves.
                 break;
             }
             for id in stuck {
-                state.fleet.marked.remove(&id);
+                state.fleet.draining_machines.remove(&id);
             }
         }
-        self.send_preemptions(orders).await;
+        self.send_preemptions(preemptions).await;
     }
 
-    pub(super) async fn send_preemptions(&self, mut orders: BTreeMap<NodeName, Vec<TaskId>>) {
-        self.add_mates(&mut orders);
-        for (node, tasks) in orders {
-            if node == self.config.node {
-                self.take_preemptions(tasks);
+    pub(super) async fn send_preemptions(
+        &self,
+        mut preemptions: BTreeMap<ControllerName, Vec<TaskId>>,
+    ) {
+        self.add_mates(&mut preemptions);
+        for (controller, tasks) in preemptions {
+            if controller == self.config.name {
+                self.accept_preemptions(tasks);
             } else {
                 // Unanswered: asked for again as long as it is wanted.
-                let _ = self.peers.call(&node, PeerCall::Preempt(tasks)).await;
+                let _ = self
+                    .peers
+                    .call(&controller, PeerRequest::Preempt(tasks))
+                    .await;
             }
         }
     }
 
     /// A gang saves only if all of it is told to stop within `gang_peer_s`.
-    fn add_mates(&self, orders: &mut BTreeMap<NodeName, Vec<TaskId>>) {
+    fn add_mates(&self, preemptions: &mut BTreeMap<ControllerName, Vec<TaskId>>) {
         let cache = self.store.cache();
-        let stopped: Vec<TaskId> = orders.values().flatten().cloned().collect();
+        let stopped: Vec<TaskId> = preemptions.values().flatten().cloned().collect();
         for task in stopped {
             let Some(job) = cache.jobs.get(&task.job) else {
                 continue;
@@ -156,8 +161,10 @@
             }
             for (index, placement) in job.present_placements() {
                 let mate = TaskId::new(task.job.clone(), index);
-                if let Some((_, kept)) = cache.block_of(&placement.machine) {
-                    let tasks = orders.entry(kept.value.node.clone()).or_default();
+                if let Some((_, entry)) = cache.shard_of(&placement.machine) {
+                    let tasks = preemptions
+                        .entry(entry.value.controller.clone())
+                        .or_default();
                     if !tasks.contains(&mate) {
                         tasks.push(mate);
                     }
@@ -166,31 +173,31 @@
         }
     }
 
-    pub(super) fn send_returns(self: &Arc<Self>, budget: &Arc<Budget>) {
+    pub(super) fn send_releases(self: &Arc<Self>, budget: &Arc<RateLimiter>) {
         let due: Vec<MachineId> = {
             let cache = self.store.cache();
             let mut state = lock(&self.leader);
             let due: Vec<MachineId> = state
-                .returning
+                .releasing
                 .iter()
                 .filter(|(id, item)| {
                     if item.in_flight {
                         return false;
                     }
-                    if !item.freezes() {
+                    if !item.drains_first() {
                         return true;
                     }
-                    // Empty for good: frozen by a commit that the cache has passed.
-                    cache.block_of(id).is_some_and(|(_, kept)| {
-                        kept.revision <= cache.revision
-                            && kept.value.machines.get(*id) == Some(&MachineUse::Frozen)
+                    // Empty for good: cordoned by a commit that the cache has passed.
+                    cache.shard_of(id).is_some_and(|(_, entry)| {
+                        entry.revision <= cache.revision
+                            && entry.value.machines.get(*id) == Some(&MachineUse::Cordoned)
                     }) && !cache.on_machine.contains_key(*id)
                 })
                 .map(|(id, _)| id.clone())
-                .take(RETURNED_AT_ONCE)
+                .take(MAX_MACHINES_PER_RELEASE)
                 .collect();
             for id in &due {
-                if let Some(item) = state.returning.get_mut(id) {
+                if let Some(item) = state.releasing.get_mut(id) {
                     item.in_flight = true;
                 }
             }
@@ -199,21 +206,21 @@
         if due.is_empty() {
             return;
         }
-        let node = self.clone();
+        let controller = self.clone();
         let budget = budget.clone();
         tokio::spawn(async move {
-            budget.acquire(1.0, Urgency::Fence).await;
-            let answer = node.cloud.give_back(&due).await;
+            budget.acquire(1.0, RequestPriority::Fencing).await;
+            let answer = controller.cloud.release(&due).await;
             match answer {
-                Ok(()) => node.machines_gone(&due).await,
+                Ok(()) => controller.record_terminated(&due).await,
                 Err(error) => {
-                    tracing::info!(%error, machines = due.len(), "return to be repeated");
-                    node.pause(chance::millis(800, 1600)).await;
+                    tracing::info!(%error, machines = due.len(), "release to be retried");
+                    controller.pause(jitter::millis(800, 1600)).await;
                 }
             }
-            let mut state = lock(&node.leader);
+            let mut state = lock(&controller.leader);
             for id in &due {
-                if let Some(item) = state.returning.get_mut(id) {
+                if let Some(item) = state.releasing.get_mut(id) {
                     item.in_flight = false;
                 }
             }
@@ -221,34 +228,37 @@
     }
 
     /// Their return was answered: they and all on them are gone.
-    pub(super) async fn machines_gone(&self, machines: &[MachineId]) {
+    pub(super) async fn record_terminated(&self, machines: &[MachineId]) {
         let parts = {
             let cache = self.store.cache();
-            let mut rentals: BTreeMap<&RentName, RentalRecord> = BTreeMap::new();
+            let mut groups: BTreeMap<&ProvisionId, MachineGroupRecord> = BTreeMap::new();
             for id in machines {
                 if let Some(record) = cache.machines.get(id)
-                    && let Some(kept) = cache.rentals.get(&record.rental)
+                    && let Some(entry) = cache.machine_groups.get(&record.machine_group)
                 {
-                    rentals
-                        .entry(&record.rental)
-                        .or_insert_with(|| kept.value.clone())
+                    groups
+                        .entry(&record.machine_group)
+                        .or_insert_with(|| entry.value.clone())
                         .machines
                         .remove(id);
                 }
             }
-            let rentals: Vec<(&RentName, RentalRecord)> = rentals.into_iter().collect();
-            let parts = rentals
+            let groups: Vec<(&ProvisionId, MachineGroupRecord)> = groups.into_iter().collect();
+            let parts = groups
                 .chunks((self.config.state.txn_ops / 2).max(1))
                 .map(|part| {
                     let mut transaction = Transaction::default();
-                    for (name, rental) in part {
-                        let mark = cache.rentals.get(*name).map_or(Revision(0), |k| k.revision);
-                        let key = keys::machines(name);
-                        transaction = transaction.require(key.clone(), mark);
-                        transaction = if rental.machines.is_empty() {
+                    for (name, group) in part {
+                        let revision = cache
+                            .machine_groups
+                            .get(*name)
+                            .map_or(Revision(0), |k| k.revision);
+                        let key = keys::machine_group(name);
+                        transaction = transaction.require(key.clone(), revision);
+                        transaction = if group.machines.is_empty() {
                             transaction.remove(key)
                         } else {
-                            transaction.set(key, rental)
+                            transaction.set(key, group)
                         };
                     }
                     transaction
@@ -260,21 +270,21 @@
             let now = Instant::now();
             state
                 .fleet
-                .returned
+                .released
                 .extend(machines.iter().map(|id| (id.clone(), now)));
         }
         for transaction in parts {
             if self
-                .commit_as_leader(transaction, Urgency::Place)
+                .commit_as_leader(transaction, RequestPriority::Placement)
                 .await
                 .is_err()
             {
                 // They are returned again, which changes nothing, until the
                 // records say so.
-                self.store.fresh().await;
+                self.store.read_barrier().await;
             }
         }
-        tracing::info!(?machines, "returned");
-        self.leader_kick.notify_one();
+        tracing::info!(?machines, "machines released");
+        self.leader_wakeup.notify_one();
     }
 }
--- a/src/coordination/leader/miss_rate.rs
+++ b/src/coordination/leader/miss_rate.rs
@@ -19,7 +19,7 @@
 }
 
 #[derive(Debug)]
-struct Judged {
+struct MissSample {
     at: Instant,
     pool: Option<Pool>,
     count: u32,
@@ -31,13 +31,13 @@
 const ENTRIES: usize = 16_384;
 
 #[derive(Debug, Default)]
-pub struct Stats {
+pub struct MissRateWindow {
     progress: BTreeMap<JobId, Progress>,
-    judged: VecDeque<Judged>,
+    judged: VecDeque<MissSample>,
     arrivals: VecDeque<(Instant, u32)>,
     primed: bool,
     /// How long each job's tasks have waited for room.
-    starved: BTreeMap<JobId, Duration>,
+    starved_for: BTreeMap<JobId, Duration>,
     looked: Option<Instant>,
 }
 
@@ -45,26 +45,26 @@
 /// any number of machines.
 const STARVED: Duration = Duration::from_secs(1);
 
-pub struct Misses {
+pub struct MissRate {
     pub rate: f64,
     /// Each pool's share of the misses.
     pub shares: BTreeMap<Pool, f64>,
 }
 
-impl Stats {
+impl MissRateWindow {
     /// Adds to the time that jobs have waited for room. Time spent waiting for a
     /// team's limit is not in it: no machine would shorten that, and counting it
-    /// kept the miss rate up and idle machines rented.
-    pub fn starve<'a>(&mut self, waiting: impl Iterator<Item = &'a JobId>, now: Instant) {
+    /// kept the miss rate up and idle machines provisioned.
+    pub fn add_starvation<'a>(&mut self, waiting: impl Iterator<Item = &'a JobId>, now: Instant) {
         let since = self.looked.replace(now);
         let step = since.map_or(Duration::ZERO, |at| now.duration_since(at));
         for job in waiting {
-            *self.starved.entry(job.clone()).or_default() += step;
+            *self.starved_for.entry(job.clone()).or_default() += step;
         }
     }
 
-    fn starved(&self, job: &JobId) -> Duration {
-        self.starved.get(job).copied().unwrap_or_default()
+    fn starved_for(&self, job: &JobId) -> Duration {
+        self.starved_for.get(job).copied().unwrap_or_default()
     }
 
     /// Takes note of what has happened since the last call. `suited` names the
@@ -101,11 +101,11 @@
             let (count, missed) = match spec.deadline {
                 Some(deadline) => (
                     seen.done.saturating_sub(before.done),
-                    age > deadline && self.starved(id) > STARVED,
+                    age > deadline && self.starved_for(id) > STARVED,
                 ),
                 None => (
                     seen.started.saturating_sub(before.started),
-                    self.starved(id) > start_target && !spec.is_idle_work(),
+                    self.starved_for(id) > start_target && !spec.is_idle_work(),
                 ),
             };
             if count > 0 {
@@ -120,12 +120,12 @@
                 },
             );
         }
-        self.starved.retain(|id, _| progress.contains_key(id));
+        self.starved_for.retain(|id, _| progress.contains_key(id));
         self.progress = progress;
         self.primed = true;
         let judged = judged.into_iter();
         self.judged
-            .extend(judged.map(|((pool, missed), count)| Judged {
+            .extend(judged.map(|((pool, missed), count)| MissSample {
                 at: now,
                 pool,
                 count,
@@ -157,7 +157,7 @@
 
     /// The miss rate, with tasks that wait beyond their target counted as
     /// missed already.
-    pub fn misses(&self, overdue: &[(Option<Pool>, u32)]) -> Misses {
+    pub fn misses(&self, overdue: &[(Option<Pool>, u32)]) -> MissRate {
         let mut all = 0;
         let mut missed = 0;
         let mut shares: BTreeMap<Pool, f64> = BTreeMap::new();
@@ -177,7 +177,7 @@
                 *share /= f64::from(missed);
             }
         }
-        Misses {
+        MissRate {
             rate: f64::from(missed) / f64::from(all.max(1)),
             shares,
         }
--- a/src/coordination/leader/miss_rate/tests.rs
+++ b/src/coordination/leader/miss_rate/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `coordination::leader::stats`.
+//! Tests of `coordination::leader::miss_rate`.
 
 use super::*;
 use crate::storage::TypeName;
@@ -10,17 +10,17 @@
         spot: false,
         zone: None,
     };
-    let stats = Stats {
-        judged: VecDeque::from([Judged {
+    let miss_rate = MissRateWindow {
+        judged: VecDeque::from([MissSample {
             at: Instant::now(),
             pool: Some(pool.clone()),
             count: 9,
             missed: false,
         }]),
-        ..Stats::default()
+        ..MissRateWindow::default()
     };
-    assert_eq!(stats.misses(&[]).rate, 0.0);
-    let misses = stats.misses(&[(Some(pool.clone()), 1)]);
+    assert_eq!(miss_rate.misses(&[]).rate, 0.0);
+    let misses = miss_rate.misses(&[(Some(pool.clone()), 1)]);
     assert!((misses.rate - 0.1).abs() < 1e-9);
     assert_eq!(misses.shares[&pool], 1.0);
 }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,12 +1,12 @@
-//! The leader's work: blocks and budgets, routing, renting and giving back.
+//! The leader's work: shards and budgets, routing, scaling out and scaling in.
 
-pub mod blocks;
 pub mod fleet;
-mod homes;
+pub mod miss_rate;
 pub mod pool;
+mod quota_targets;
 pub mod routing;
-pub mod stats;
-mod targets;
+pub mod shards;
+mod zone_assignment;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,178 +18,188 @@
 
 use crate::{
     coordination::{
-        node::{Node, lock},
-        ports::{Dialect, HeldMachine, PeerCall, Sighting, Status},
+        controller::{Controller, lock},
+        ports::{IndirectHeartbeat, OwnedMachine, PeerRequest, ProtocolVersion, StatusMessage},
     },
     storage::{
-        BlockId, CommitError, Incarnation, JobId, JobOutcome, MachineId, NodeName, Quota, Revision,
-        StateCache, TeamName, Transaction,
-        budget::Urgency,
-        client::GrantId,
+        CommitError, ControllerName, Incarnation, JobId, JobOutcome, MachineId, Quota, Revision,
+        ShardId, StateCache, TeamName, Transaction,
+        client::LeaseId,
         keys,
-        records::{FormatRecord, LeaderRecord, OutcomeRecord},
+        rate_limiter::RequestPriority,
+        records::{CommonVersionRecord, LeaderRecord, OutcomeRecord},
     },
 };
 
 /// A status older than this says nothing about now.
-const STATUS_LIFE: Duration = Duration::from_secs(4);
+const STATUS_TTL: Duration = Duration::from_secs(4);
 /// Between two passes of the leader's quick loop.
-const LEAST_PAUSE: Duration = Duration::from_millis(25);
-const MOST_PAUSE: Duration = Duration::from_millis(200);
+const MIN_PASS_INTERVAL: Duration = Duration::from_millis(25);
+const MAX_PASS_INTERVAL: Duration = Duration::from_millis(200);
 /// Changes in one commit at most, for the service's 64 KiB.
 const OPS_PER_COMMIT: usize = 12;
-/// Between two writes of changes of blocks that nobody waits for.
-const USE_CHANGES: Duration = Duration::from_millis(2_500);
+/// Between two writes of changes of shards that nobody waits for.
+const USE_WRITE_INTERVAL: Duration = Duration::from_millis(2_500);
 /// Tasks that went with their machine and found no other place for this long are
 /// written down as waiting.
-const FREED_AFTER: Duration = Duration::from_secs(10);
+const LOST_TASK_TIMEOUT: Duration = Duration::from_secs(10);
 /// Transactions of a pass of cleaning up.
-const PARTS: usize = 24;
+const MAX_CLEANUP_TRANSACTIONS: usize = 24;
 
-/// What a holder said last.
-struct Told {
+/// The last status of a peer controller.
+struct PeerStatus {
     at: Instant,
     /// Since when this process tells us.
     since: Instant,
     incarnation: Incarnation,
-    held: BTreeMap<MachineId, HeldMachine>,
-    sightings: BTreeMap<MachineId, Sighting>,
+    owned: BTreeMap<MachineId, OwnedMachine>,
+    indirect_heartbeats: BTreeMap<MachineId, IndirectHeartbeat>,
     failing: Vec<(JobId, Duration)>,
 }
 
 #[derive(Default)]
 pub struct LeaderState {
-    grant: Option<GrantId>,
+    lease: Option<LeaseId>,
     since: Option<Instant>,
-    statuses: BTreeMap<NodeName, Told>,
-    offered: routing::Offered,
-    clearing: routing::Clearing,
+    statuses: BTreeMap<ControllerName, PeerStatus>,
+    offered: routing::OutstandingOffers,
+    pending_preemptions: routing::PendingPreemptions,
     reclaiming: routing::Reclaiming,
-    bound: routing::Bound,
-    gangs: routing::Gangs,
-    lapsed: routing::Lapsed,
+    record_affinity: routing::RecordAffinity,
+    gangs: routing::PartialGangs,
+    expired_offers: routing::ExpiredOffersByJob,
     /// When the zone of a job was last written or taken back.
-    homes: BTreeMap<JobId, Instant>,
+    zone_assignments: BTreeMap<JobId, Instant>,
     unplaced: Vec<routing::Unplaced>,
-    tally: routing::Tally,
+    routing_counts: routing::RoutingCounts,
     /// Machines that are gone with tasks on them, since when.
     lost_since: BTreeMap<MachineId, Instant>,
-    short: BTreeMap<(NodeName, TeamName), Quota>,
-    kept: BTreeMap<(NodeName, TeamName), Quota>,
+    deficit: BTreeMap<(ControllerName, TeamName), Quota>,
+    reserved: BTreeMap<(ControllerName, TeamName), Quota>,
     /// Tasks with room that lack quota, the most pressing first.
-    wanted: Vec<routing::WantedQuota>,
+    demand: Vec<routing::QuotaDemand>,
     /// What is free on each controller's machines.
-    free: BTreeMap<NodeName, Quota>,
+    free: BTreeMap<ControllerName, Quota>,
     /// The quota targets told last, and when.
-    told_targets: Option<(blocks::Targets, Instant)>,
-    moving: BTreeMap<BlockId, (NodeName, Instant)>,
-    /// When changes of machines' use within their blocks were last written.
-    last_use_change: Option<Instant>,
-    pub(super) returning: BTreeMap<MachineId, fleet::Return>,
-    stranded: BTreeMap<MachineId, NodeName>,
-    stats: stats::Stats,
+    sent_targets: Option<(shards::Targets, Instant)>,
+    moving: BTreeMap<ShardId, (ControllerName, Instant)>,
+    /// When changes of machines' use within their shards were last written.
+    last_use_write: Option<Instant>,
+    pub(super) releasing: BTreeMap<MachineId, fleet::PendingRelease>,
+    owner_unreachable: BTreeMap<MachineId, ControllerName>,
+    miss_rate: miss_rate::MissRateWindow,
     pub(super) fleet: fleet::FleetState,
     /// The outcome of a commit is unknown: our record is written anew, which
     /// voids it, before anything else is decided.
-    must_void_pending: bool,
+    has_commit_in_doubt: bool,
 }
 
 impl LeaderState {
-    pub(super) fn reset(&mut self, _mark: Revision, grant: GrantId) {
+    pub(super) fn reset(&mut self, _revision: Revision, lease: LeaseId) {
         let statuses = std::mem::take(&mut self.statuses);
-        // A process may lead a second time. Names of rents contain its incarnation
+        // A process may lead a second time. Names of provision requests contain its incarnation
         // and this number, and must never be used again: the cloud would answer
-        // with the machines of the first time, and rent none.
-        let rents = self.fleet.rents;
+        // with the machines of the first time, and provision none.
+        let provision_count = self.fleet.provision_count;
         *self = Self {
-            grant: Some(grant),
+            lease: Some(lease),
             since: Some(Instant::now()),
             statuses,
             ..Self::default()
         };
-        self.fleet.rents = rents;
+        self.fleet.provision_count = provision_count;
     }
 
-    /// The grant that our claim is attached to from the next must_void_pending on. Without
+    /// The lease that our claim is attached to once it is next written anew. Without
     /// it a leader that was elected unawares could never write its record anew,
     /// and so could not act after its first commit without an answer.
-    pub(super) fn take_grant(&mut self, grant: GrantId) {
-        if self.grant != Some(grant) {
-            self.grant = Some(grant);
+    pub(super) fn adopt_lease(&mut self, lease: LeaseId) {
+        if self.lease != Some(lease) {
+            self.lease = Some(lease);
             self.since.get_or_insert_with(Instant::now);
-            self.must_void_pending = true;
+            self.has_commit_in_doubt = true;
         }
     }
 
-    pub(super) fn take_status(&mut self, status: Status, at: Instant) {
+    pub(super) fn record_status(&mut self, status: StatusMessage, at: Instant) {
         let known = self
             .statuses
-            .get(&status.node)
-            .filter(|told| told.incarnation == status.incarnation);
-        if known.is_some_and(|told| told.at > at) {
+            .get(&status.controller)
+            .filter(|peer| peer.incarnation == status.incarnation);
+        if known.is_some_and(|peer| peer.at > at) {
             // An earlier word of this process.
             return;
         }
-        let since = known.map_or(at, |told| told.since);
-        let held = status.held.into_iter();
-        let sightings = status.sightings.into_iter();
-        let told = Told {
+        let since = known.map_or(at, |peer| peer.since);
+        let held = status.owned.into_iter();
+        let indirect_heartbeats = status.indirect_heartbeats.into_iter();
+        let peer = PeerStatus {
             at,
             since,
             incarnation: status.incarnation,
-            held: held.map(|held| (held.machine.clone(), held)).collect(),
-            sightings: sightings.map(|seen| (seen.machine.clone(), seen)).collect(),
+            owned: held.map(|held| (held.machine.clone(), held)).collect(),
+            indirect_heartbeats: indirect_heartbeats
+                .map(|heartbeat| (heartbeat.machine.clone(), heartbeat))
+                .collect(),
             failing: status.failing,
         };
-        self.statuses.insert(status.node, told);
+        self.statuses.insert(status.controller, peer);
     }
 
-    /// What a holder says of a machine of its.
-    fn held(&self, node: &NodeName, machine: &MachineId) -> Option<(&HeldMachine, Duration)> {
-        let told = self.statuses.get(node)?;
-        let held = told.held.get(machine)?;
-        let age = told.at.elapsed();
-        (age < STATUS_LIFE).then(|| (held, held.silent + age))
+    /// What an owner says of a machine of its.
+    fn owned_machine(
+        &self,
+        controller: &ControllerName,
+        machine: &MachineId,
+    ) -> Option<(&OwnedMachine, Duration)> {
+        let peer = self.statuses.get(controller)?;
+        let held = peer.owned.get(machine)?;
+        let age = peer.at.elapsed();
+        (age < STATUS_TTL).then(|| (held, held.since_heartbeat + age))
     }
 
-    /// Whether a holder has heard this machine's worker, so that it is up.
+    /// Whether an owner has heard this machine's agent, so that it is up.
     pub(super) fn is_up(&self, cache: &StateCache, machine: &MachineId) -> bool {
         cache
             .machines
             .get(machine)
             .is_some_and(|record| record.address.is_some())
-            || cache.block_of(machine).is_some_and(|(_, kept)| {
-                self.held(&kept.value.node, machine)
+            || cache.shard_of(machine).is_some_and(|(_, entry)| {
+                self.owned_machine(&entry.value.controller, machine)
                     .is_some_and(|(held, _)| held.address.is_some())
             })
     }
 
-    /// Another controller that hears the machine's worker, by a newer report
-    /// than the holder has: copies of old ones arrive late.
-    fn sighted_by(&self, holder: &NodeName, machine: &MachineId) -> Option<(NodeName, Duration)> {
+    /// Another controller that hears the machine's agent, by a newer heartbeat
+    /// than the owner has: copies of old ones arrive late.
+    fn indirectly_heard_by(
+        &self,
+        owner: &ControllerName,
+        machine: &MachineId,
+    ) -> Option<(ControllerName, Duration)> {
         let known = self
             .statuses
-            .get(holder)
-            .and_then(|told| told.held.get(machine))
-            .map(|held| (held.session, held.sequence));
+            .get(owner)
+            .and_then(|peer| peer.owned.get(machine))
+            .map(|held| (held.epoch, held.sequence));
         self.statuses
             .iter()
-            .filter(|(node, told)| *node != holder && told.at.elapsed() < STATUS_LIFE)
-            .filter_map(|(node, told)| {
-                let seen = told.sightings.get(machine)?;
-                let newer = known.is_none_or(|known| (seen.session, seen.sequence) > known);
-                newer.then(|| (node.clone(), seen.age + told.at.elapsed()))
+            .filter(|(controller, peer)| *controller != owner && peer.at.elapsed() < STATUS_TTL)
+            .filter_map(|(controller, peer)| {
+                let heartbeat = peer.indirect_heartbeats.get(machine)?;
+                let newer = known.is_none_or(|known| (heartbeat.epoch, heartbeat.sequence) > known);
+                newer.then(|| (controller.clone(), heartbeat.age + peer.at.elapsed()))
             })
             .min_by_key(|(_, age)| *age)
     }
 }
 
-/// Quota of the tasks that are offered to holders and not yet placed.
-fn quota_under_way(
+/// Quota of the tasks that are offered to owners and not yet placed.
+fn quota_in_flight(
     cache: &StateCache,
-    offered: &routing::Offered,
-) -> BTreeMap<(NodeName, TeamName), Quota> {
-    let mut under_way: BTreeMap<(NodeName, TeamName), Quota> = BTreeMap::new();
+    offered: &routing::OutstandingOffers,
+) -> BTreeMap<(ControllerName, TeamName), Quota> {
+    let mut in_flight: BTreeMap<(ControllerName, TeamName), Quota> = BTreeMap::new();
     for (id, tasks) in offered {
         let Some(job) = cache.jobs.get(id) else {
             continue;
@@ -199,48 +209,50 @@
             if job.placement(*task).is_some() || job.is_task_done(*task) {
                 continue;
             }
-            let key = (offered.node.clone(), spec.team.clone());
-            let sum = under_way.entry(key).or_default();
+            let key = (offered.controller.clone(), spec.team.clone());
+            let sum = in_flight.entry(key).or_default();
             *sum = sum.plus(&Quota::from(&spec.per_task));
         }
     }
-    under_way
+    in_flight
 }
 
-impl Node {
-    /// Duty: the leader's quick loop. On a node that does not lead it waits.
-    pub(super) async fn lead(self: &Arc<Self>) {
+impl Controller {
+    /// Duty: the leader's quick loop. On a controller that does not lead it waits.
+    pub(super) async fn run_leader(self: &Arc<Self>) {
         let mut changes = self.store.changes();
         while !self.stop.is_cancelled() {
             tokio::select! {
                 biased;
                 _ = self.stop.cancelled() => return,
                 _ = changes.changed() => {}
-                _ = self.leader_kick.notified() => {}
+                _ = self.leader_wakeup.notified() => {}
                 _ = tokio::time::sleep(Duration::from_millis(500)) => {}
             }
             changes.mark_unchanged();
             let started = Instant::now();
-            if self.store.is_loaded() && self.store.is_reachable() && self.is_leader().is_some() {
-                self.lead_once().await;
+            if self.store.is_loaded() && self.store.is_reachable() && self.leadership().is_some() {
+                self.run_leader_pass().await;
             }
             // A controller that is short of processor time makes fewer passes.
-            let pause = started.elapsed().clamp(LEAST_PAUSE, MOST_PAUSE);
+            let pause = started
+                .elapsed()
+                .clamp(MIN_PASS_INTERVAL, MAX_PASS_INTERVAL);
             tokio::time::sleep(pause).await;
         }
     }
 
-    async fn lead_once(self: &Arc<Self>) {
-        if lock(&self.leader).must_void_pending && !self.void_pending_leader_commits().await {
+    async fn run_leader_pass(self: &Arc<Self>) {
+        if lock(&self.leader).has_commit_in_doubt && !self.resolve_leader_commit_in_doubt().await {
             return;
         }
         // Routing never waits for the state service's limit of changes: what has to
         // be written waits for a pass in which it may be.
-        if self.store.commit_wait(Urgency::Fence).is_none() {
+        if self.store.commit_wait(RequestPriority::Fencing).is_none() {
             self.write_format().await;
-            self.plan_blocks().await;
+            self.plan_shards().await;
         }
-        if self.store.commit_wait(Urgency::Place).is_none() {
+        if self.store.commit_wait(RequestPriority::Placement).is_none() {
             self.clean_up().await;
         }
         self.route().await;
@@ -250,17 +262,17 @@
     pub(super) async fn commit_as_leader(
         &self,
         transaction: Transaction,
-        urgency: Urgency,
+        priority: RequestPriority,
     ) -> Result<Revision, CommitError> {
-        let Some(mark) = self.is_leader() else {
+        let Some(revision) = self.leadership() else {
             return Err(CommitError::Conflict(vec![keys::LEADER.into()]));
         };
-        let transaction = transaction.require(keys::LEADER.into(), mark);
-        let result = self.store.commit(&transaction, urgency).await;
+        let transaction = transaction.require(keys::LEADER.into(), revision);
+        let result = self.store.commit(&transaction, priority).await;
         if let Err(error) = &result {
             tracing::debug!(%error, "leader's commit failed");
             if error.is_unknown() {
-                lock(&self.leader).must_void_pending = true;
+                lock(&self.leader).has_commit_in_doubt = true;
             }
         }
         result
@@ -268,27 +280,27 @@
 
     /// Writes our record anew: commits of ours that may still be on their way
     /// are conditional on the old one.
-    async fn void_pending_leader_commits(&self) -> bool {
-        let Some(grant) = lock(&self.leader).grant else {
+    async fn resolve_leader_commit_in_doubt(&self) -> bool {
+        let Some(lease) = lock(&self.leader).lease else {
             return false;
         };
-        let Some(mark) = self.is_leader() else {
+        let Some(revision) = self.leadership() else {
             return false;
         };
         let record = LeaderRecord {
-            node: self.config.node.clone(),
+            controller: self.config.name.clone(),
             incarnation: self.config.incarnation,
         };
         let transaction = Transaction::default()
-            .require(keys::LEADER.into(), mark)
-            .set_with(keys::LEADER.into(), &record, Some(grant));
+            .require(keys::LEADER.into(), revision)
+            .set_with(keys::LEADER.into(), &record, Some(lease));
         let done = self
             .store
-            .commit(&transaction, Urgency::Fence)
+            .commit(&transaction, RequestPriority::Fencing)
             .await
             .is_ok();
-        if done && self.store.fresh().await {
-            lock(&self.leader).must_void_pending = false;
+        if done && self.store.read_barrier().await {
+            lock(&self.leader).has_commit_in_doubt = false;
             return true;
         }
         false
@@ -296,114 +308,122 @@
 
     /// Writes down what all controllers can read, as soon as each has said so.
     async fn write_format(&self) {
-        let common = self.common_dialect().unwrap_or_default();
-        if common == Dialect::default() {
+        let common = self.common_protocol_version().unwrap_or_default();
+        if common == ProtocolVersion::default() {
             return;
         }
-        let mark = {
+        let revision = {
             let cache = self.store.cache();
-            match &cache.format {
-                Some(kept) if kept.value.dialect >= common.0 => return,
-                Some(kept) => kept.revision,
+            match &cache.common_version {
+                Some(entry) if entry.value.protocol_version >= common.0 => return,
+                Some(entry) => entry.revision,
                 None => Revision(0),
             }
         };
-        let record = FormatRecord { dialect: common.0 };
+        let record = CommonVersionRecord {
+            protocol_version: common.0,
+        };
         let transaction = Transaction::default()
-            .require(keys::FORMAT.into(), mark)
-            .set(keys::FORMAT.into(), &record);
+            .require(keys::COMMON_VERSION.into(), revision)
+            .set(keys::COMMON_VERSION.into(), &record);
         if self
-            .commit_as_leader(transaction, Urgency::Fence)
+            .commit_as_leader(transaction, RequestPriority::Fencing)
             .await
             .is_ok()
         {
-            tracing::info!(dialect = common.0, "all controllers read this");
+            tracing::info!(
+                protocol_version = common.0,
+                "protocol version common to all controllers"
+            );
         }
     }
 
-    async fn plan_blocks(self: &Arc<Self>) {
+    async fn plan_shards(self: &Arc<Self>) {
         let transfers = self.controllers_transfer();
         let (changed, transaction) = {
             let cache = self.store.cache();
-            if !self.has_seen_election(&cache) {
+            if !self.has_applied_election(&cache) {
                 return;
             }
             let mut state = lock(&self.leader);
             state.moving.retain(|id, (to, at)| {
                 at.elapsed() < Duration::from_secs(20)
                     && cache
-                        .blocks
+                        .shards
                         .get(id)
-                        .is_some_and(|kept| kept.value.node != *to)
+                        .is_some_and(|entry| entry.value.controller != *to)
             });
-            let hints = blocks::Hints {
+            let inputs = shards::ShardPlanInputs {
                 moving: state
                     .moving
                     .iter()
-                    .map(|(id, (node, _))| (*id, node.clone()))
+                    .map(|(id, (controller, _))| (*id, controller.clone()))
                     .collect(),
-                returning: state
-                    .returning
+                releasing: state
+                    .releasing
                     .iter()
-                    .filter(|(_, r)| r.freezes())
+                    .filter(|(_, r)| r.drains_first())
                     .map(|(id, _)| id.clone())
                     .collect::<BTreeSet<_>>(),
-                marked: state.fleet.marked.clone(),
-                stranded: state.stranded.clone(),
-                shunned: state.fleet.shunned.keys().cloned().collect(),
-                short: std::mem::take(&mut state.short),
-                kept: state.kept.clone(),
-                most: self.config.state.txn_ops.min(OPS_PER_COMMIT),
+                draining_machines: state.fleet.draining_machines.clone(),
+                owner_unreachable: state.owner_unreachable.clone(),
+                avoided_owners: state.fleet.avoided_owners.keys().cloned().collect(),
+                deficit: std::mem::take(&mut state.deficit),
+                reserved: state.reserved.clone(),
+                max_changes: self.config.state.txn_ops.min(OPS_PER_COMMIT),
                 controllers_transfer: transfers,
                 free: state.free.clone(),
-                under_way: quota_under_way(&cache, &state.offered),
-                wanted: state.wanted.clone(),
+                in_flight: quota_in_flight(&cache, &state.offered),
+                demand: state.demand.clone(),
             };
             drop(state);
-            let changed = blocks::plan(&cache, &self.config.teams, &hints);
+            let changed = shards::plan(&cache, &self.config.teams, &inputs);
             let transaction = changed.transaction(&cache);
             (changed, transaction)
         };
         self.send_quota_targets(&changed.targets);
-        if changed.is_empty() || self.is_put_off(&changed) {
+        if changed.is_empty() || self.is_deferred(&changed) {
             return;
         }
-        match self.commit_as_leader(transaction, Urgency::Fence).await {
-            Ok(mark) => {
-                for (node, seat) in &changed.seats {
-                    tracing::debug!(%node, holder = ?seat.holder.map(|i| i.0), "seat granted");
+        match self
+            .commit_as_leader(transaction, RequestPriority::Fencing)
+            .await
+        {
+            Ok(revision) => {
+                for (controller, allocation) in &changed.allocations {
+                    tracing::debug!(%controller, owner = ?allocation.owner.map(|i| i.0), "quota allocation granted");
                 }
-                for (id, block) in &changed.blocks {
+                for (id, shard) in &changed.shards {
                     tracing::info!(
-                        block = %id, node = %block.node, token = %mark, holder = block.holder.0,
-                        machines = block.machines.len(), frozen = block.frozen, "block granted"
+                        shard = %id, controller = %shard.controller, token = %revision, owner = shard.owner.0,
+                        machines = shard.machines.len(), cordoned = shard.cordoned, "shard lease granted"
                     );
                 }
                 // The next pass wants the cache to have caught up.
-                self.store.fresh().await;
-                self.leader_kick.notify_one();
+                self.store.read_barrier().await;
+                self.leader_wakeup.notify_one();
             }
             Err(_) => {
-                self.store.fresh().await;
+                self.store.read_barrier().await;
             }
         }
     }
 
-    /// Whether changes of blocks that nobody waits for are put off, so that those of one
-    /// block come together. A shrinking fleet marks, freezes and loses a machine at a time:
+    /// Whether changes of shards that nobody waits for are put off, so that those of one
+    /// shard come together. A shrinking fleet marks, cordons and loses a machine at a time:
     /// written one by one that took so much of the leader's part of the state service's
     /// changes that the machines it held itself were not served.
-    fn is_put_off(&self, changed: &blocks::Changed) -> bool {
+    fn is_deferred(&self, changed: &shards::ShardPlanChanges) -> bool {
         let can_wait = changed.can_wait(&self.store.cache());
         let mut state = lock(&self.leader);
         let is_due = state
-            .last_use_change
-            .is_none_or(|at| at.elapsed() >= USE_CHANGES);
+            .last_use_write
+            .is_none_or(|at| at.elapsed() >= USE_WRITE_INTERVAL);
         if !can_wait {
             return false;
         }
         if is_due {
-            state.last_use_change = Some(Instant::now());
+            state.last_use_write = Some(Instant::now());
         }
         !is_due
     }
@@ -415,38 +435,42 @@
         {
             let cache = self.store.cache();
             let caught_up = cache
-                .rentals
+                .machine_groups
                 .values()
-                .all(|kept| kept.revision <= cache.revision);
+                .all(|entry| entry.revision <= cache.revision);
             let most = self.config.state.txn_ops;
-            for id in &cache.ending {
-                if parts.len() >= PARTS / 2 {
+            for id in &cache.pending_cleanup {
+                if parts.len() >= MAX_CLEANUP_TRANSACTIONS / 2 {
                     break;
                 }
                 let Some(job) = cache.jobs.get(id) else {
                     continue;
                 };
-                // Its fate was written with the drain key, so that nothing is
+                // Its outcome was written with the drain key, so that nothing is
                 // placed after that; what was placed before it the cache holds
                 // only once it has passed that revision.
                 let gone = job.placed == 0 || (caught_up && job.present() == 0);
-                if job.draining.is_some_and(|mark| mark <= cache.revision) && gone {
+                if job
+                    .cleanup_since
+                    .is_some_and(|revision| revision <= cache.revision)
+                    && gone
+                {
                     let mut part = Transaction::default();
                     for chunk in job.chunks.keys().take(most - 2) {
                         part = part.remove(keys::run(id, *chunk));
                     }
                     if job.chunks.len() <= most - 2 {
-                        part = part.remove(keys::spec(id)).remove(keys::drain(id));
+                        part = part.remove(keys::spec(id)).remove(keys::cleanup(id));
                     }
                     parts.push(part);
-                } else if job.draining.is_none() && job.all_done() {
-                    let fate = OutcomeRecord {
-                        fate: JobOutcome::Done,
+                } else if job.cleanup_since.is_none() && job.all_done() {
+                    let outcome = OutcomeRecord {
+                        outcome: JobOutcome::Done,
                         done: job.done,
                     };
                     let mut part = Transaction::default()
-                        .require(keys::fate(id), Revision(0))
-                        .set(keys::fate(id), &fate);
+                        .require(keys::outcome(id), Revision(0))
+                        .set(keys::outcome(id), &outcome);
                     if job.chunks.len() + 2 <= most {
                         // All of it at once.
                         for chunk in job.chunks.keys() {
@@ -454,17 +478,17 @@
                         }
                         part = part.remove(keys::spec(id));
                     } else {
-                        part = part.set(keys::drain(id), &1);
+                        part = part.set(keys::cleanup(id), &1);
                     }
                     parts.push(part);
                 }
             }
             if caught_up {
                 let mut state = lock(&self.leader);
-                self.free_places(&cache, &mut state.lost_since, &mut parts);
+                self.unplace_lost_tasks(&cache, &mut state.lost_since, &mut parts);
             }
         }
-        let more = parts.len() >= PARTS / 2;
+        let more = parts.len() >= MAX_CLEANUP_TRANSACTIONS / 2;
         let mut parts = parts.into_iter().peekable();
         while let Some(mut group) = parts.next() {
             // Several in one commit, as far as they have room in it.
@@ -475,16 +499,20 @@
             }) {
                 group.absorb(next);
             }
-            if self.commit_as_leader(group, Urgency::Place).await.is_err() {
-                self.store.fresh().await;
+            if self
+                .commit_as_leader(group, RequestPriority::Placement)
+                .await
+                .is_err()
+            {
+                self.store.read_barrier().await;
                 break;
             }
-            if self.store.commit_wait(Urgency::Place).is_some() {
+            if self.store.commit_wait(RequestPriority::Placement).is_some() {
                 break;
             }
         }
         if more {
-            self.leader_kick.notify_one();
+            self.leader_wakeup.notify_one();
         }
     }
 
@@ -492,7 +520,7 @@
     /// return was answered, so that all that was on them is gone. Such tasks wait
     /// at once, and their next placement replaces the old one; what has found none
     /// for a while uses quota for nothing and is freed here.
-    fn free_places(
+    fn unplace_lost_tasks(
         &self,
         cache: &StateCache,
         since: &mut BTreeMap<MachineId, Instant>,
@@ -504,7 +532,7 @@
         for (machine, load) in &cache.on_machine {
             if !cache.machines.contains_key(machine) {
                 let at = *since.entry(machine.clone()).or_insert(now);
-                if now.duration_since(at) < FREED_AFTER {
+                if now.duration_since(at) < LOST_TASK_TIMEOUT {
                     continue;
                 }
                 for task in load.tasks.keys() {
@@ -515,7 +543,7 @@
             }
         }
         for ((id, chunk), tasks) in lost {
-            if parts.len() >= PARTS {
+            if parts.len() >= MAX_CLEANUP_TRANSACTIONS {
                 return;
             }
             let Some(job) = cache.jobs.get(id) else {
@@ -523,18 +551,22 @@
             };
             // Of a job that is over the whole record goes, perhaps in this very
             // pass; no transaction may change a key twice.
-            let Some(kept) = job.chunks.get(&chunk).filter(|_| job.draining.is_none()) else {
+            let Some(entry) = job
+                .chunks
+                .get(&chunk)
+                .filter(|_| job.cleanup_since.is_none())
+            else {
                 continue;
             };
-            tracing::debug!(job = %id, ?tasks, "gone with their machines");
-            let mut record = kept.value.clone();
+            tracing::debug!(job = %id, ?tasks, "tasks lost with their machines");
+            let mut record = entry.value.clone();
             for task in tasks {
                 record.unplace(task);
             }
             let key = keys::run(id, chunk);
             parts.push(
                 Transaction::default()
-                    .require(key.clone(), kept.revision)
+                    .require(key.clone(), entry.revision)
                     .set(key, &record),
             );
         }
@@ -547,124 +579,131 @@
                 let mut state = lock(&self.leader);
                 state.offered.clear();
                 state.unplaced.clear();
-                state.tally = Default::default();
-                state.short.clear();
-                state.kept.clear();
-                state.wanted.clear();
+                state.routing_counts = Default::default();
+                state.deficit.clear();
+                state.reserved.clear();
+                state.demand.clear();
                 return;
             }
             let now = Instant::now();
             let wall = (self.config.wall)();
-            let learning = lock(&self.learning);
+            let estimator = lock(&self.estimator);
             let mut state = lock(&self.leader);
             let LeaderState {
                 statuses,
                 fleet,
                 offered,
-                clearing,
+                pending_preemptions,
                 reclaiming,
-                bound,
+                record_affinity,
                 gangs,
-                lapsed,
+                expired_offers,
                 free,
                 ..
             } = &mut *state;
             let mut failing: BTreeMap<JobId, Instant> = BTreeMap::new();
-            for told in statuses.values() {
-                if told.at.elapsed() <= STATUS_LIFE {
-                    for (job, pause) in &told.failing {
-                        failing.insert(job.clone(), told.at + *pause);
+            for peer in statuses.values() {
+                if peer.at.elapsed() <= STATUS_TTL {
+                    for (job, pause) in &peer.failing {
+                        failing.insert(job.clone(), peer.at + *pause);
                     }
                 }
             }
-            let silent = self.config.silent();
-            let usable = |node: &NodeName, id: &MachineId| {
-                let told = statuses.get(node)?;
-                let held = told.held.get(id)?;
-                let age = told.at.elapsed();
-                // Marked and idle: it is to stay so.
-                let leaves = fleet.marked.contains(id) && !cache.on_machine.contains_key(id);
-                (age <= STATUS_LIFE
+            let unresponsive_after = self.config.unresponsive_after();
+            let usable = |controller: &ControllerName, id: &MachineId| {
+                let peer = statuses.get(controller)?;
+                let held = peer.owned.get(id)?;
+                let age = peer.at.elapsed();
+                // Draining and idle: it is to stay so.
+                let leaves =
+                    fleet.draining_machines.contains(id) && !cache.on_machine.contains_key(id);
+                (age <= STATUS_TTL
                     && !leaves
-                    && held.silent + age < silent
+                    && held.since_heartbeat + age < unresponsive_after
                     && !held.unreachable
-                    && !held.suspect
+                    && !held.quarantined
                     && !held.leaving
-                    && !held.deaf)
-                    .then(|| routing::Usage {
+                    && !held.command_path_lost)
+                    .then(|| routing::UsableMachine {
                         images: held.images.clone(),
                         speed: held.speed,
                         freed: held.freed,
                     })
             };
-            let open = routing::open_machines(
+            let free_capacity = routing::candidate_machines(
                 &cache,
                 &usable,
                 self.config.now_ms(),
                 self.config.tuning.paid,
             );
-            *free = open.free_quota();
-            let routing = routing::Routing {
+            *free = free_capacity.free_quota();
+            let routing = routing::RoutingPass {
                 cache: &cache,
                 teams: &self.config.teams,
-                open,
+                free_capacity,
                 offered,
-                clearing,
+                pending_preemptions,
                 reclaiming,
-                bound,
+                record_affinity,
                 gangs,
-                lapsed,
+                expired_offers,
                 failing: &failing,
                 changes_per_transaction: self.config.state.txn_ops,
                 start_target: self.config.tuning.start_target,
-                offer_life: self.config.tuning.offer,
+                offer_ttl: self.config.tuning.offer,
                 now,
                 wall,
-                factor: &|class| learning.factor(class),
+                factor: &|class| estimator.factor(class),
                 full: BTreeSet::new(),
             };
             let mut routed = routing.run();
-            state.short = std::mem::take(&mut routed.short);
-            state.kept = std::mem::take(&mut routed.kept);
-            state.wanted = std::mem::take(&mut routed.wanted);
+            state.deficit = std::mem::take(&mut routed.deficit);
+            state.reserved = std::mem::take(&mut routed.reserved);
+            state.demand = std::mem::take(&mut routed.demand);
             state.unplaced = std::mem::take(&mut routed.unplaced);
-            state.tally = routed.tally;
-            if !state.short.is_empty() {
-                self.leader_kick.notify_one();
+            state.routing_counts = routed.counts;
+            if !state.deficit.is_empty() {
+                self.leader_wakeup.notify_one();
             }
             routed
         };
-        self.write_homes(routed.homes).await;
-        for (node, tasks) in routed.preempt {
-            if node == self.config.node {
-                self.take_preemptions(tasks);
+        self.write_zone_assignments(routed.zone_assignments).await;
+        for (controller, tasks) in routed.preempt {
+            if controller == self.config.name {
+                self.accept_preemptions(tasks);
                 continue;
             }
             let this = self.clone();
             tokio::spawn(async move {
                 // Unanswered: the room does not show and is asked for again.
-                let _ = this.peers.call(&node, PeerCall::Preempt(tasks)).await;
+                let _ = this
+                    .peers
+                    .call(&controller, PeerRequest::Preempt(tasks))
+                    .await;
             });
         }
-        for (node, offers) in routed.offers {
-            if node == self.config.node {
-                self.take_offers(offers);
+        for (controller, offers) in routed.offers {
+            if controller == self.config.name {
+                self.accept_offers(offers);
                 continue;
             }
             let this = self.clone();
             tokio::spawn(async move {
                 let jobs: Vec<JobId> = offers.iter().map(|offer| offer.job.clone()).collect();
-                let sent = this.peers.call(&node, PeerCall::Offers(offers)).await;
+                let sent = this
+                    .peers
+                    .call(&controller, PeerRequest::Offers(offers))
+                    .await;
                 if sent.is_err() {
                     // It may have got them all the same; its commits would then
                     // win or lose like any other's.
                     let mut state = lock(&this.leader);
                     for job in jobs {
                         if let Some(tasks) = state.offered.get_mut(&job) {
-                            tasks.retain(|_, offered| offered.node != node);
+                            tasks.retain(|_, offered| offered.controller != controller);
                         }
                     }
-                    state.statuses.remove(&node);
+                    state.statuses.remove(&controller);
                 }
             });
         }
--- a/src/coordination/leader/pool.rs
+++ b/src/coordination/leader/pool.rs
@@ -18,7 +18,7 @@
 
 impl Pool {
     /// Whether a machine belongs to it.
-    pub fn holds(&self, machine: &MachineRecord) -> bool {
+    pub fn contains(&self, machine: &MachineRecord) -> bool {
         machine.kind == self.kind
             && machine.spot == self.spot
             && self.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
@@ -36,12 +36,12 @@
     }
 }
 
-/// A rental of machines of a pool that the policy wants.
+/// A provision request of machines of a pool that the policy wants.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rental {
-    /// What to rent.
+pub struct ProvisionPlan {
+    /// What to provision.
     pub pool: Pool,
-    /// Where to rent it.
+    /// Where to provision it.
     pub zone: ZoneName,
     /// How many machines.
     pub count: u32,
--- a/src/coordination/leader/quota_targets.rs
+++ b/src/coordination/leader/quota_targets.rs
@@ -5,11 +5,11 @@
 
 use tokio::time::Instant;
 
-use super::blocks::Targets;
+use super::shards::Targets;
 use crate::{
     coordination::{
-        node::{Node, lock},
-        ports::{PeerCall, QuotaTargets},
+        controller::{Controller, lock},
+        ports::{PeerRequest, QuotaTargets},
     },
     storage::StateCache,
 };
@@ -17,7 +17,7 @@
 /// Targets that have not changed are told again after this long.
 const REPEATED_AFTER: Duration = Duration::from_millis(500);
 
-impl Node {
+impl Controller {
     /// Whether every living controller transfers quota. Otherwise the leader takes and
     /// grants it.
     pub(super) fn controllers_transfer(&self) -> bool {
@@ -26,16 +26,16 @@
         }
         let cache = self.store.cache();
         cache
-            .nodes
+            .controllers
             .keys()
-            .all(|node| Self::takes_part(&cache, node))
+            .all(|controller| Self::takes_part(&cache, controller))
     }
 
     /// Whether the cache shows all that was written before we were elected. Our own claim
-    /// is in it ahead of the watch: a leader that follows an earlier process of its node
+    /// is in it ahead of the watch: a leader that follows an earlier process of its controller
     /// could otherwise grant what a late commit of that one has granted already.
-    pub(super) fn has_seen_election(&self, cache: &StateCache) -> bool {
-        let claim = cache.leader.as_ref().map(|kept| kept.revision);
+    pub(super) fn has_applied_election(&self, cache: &StateCache) -> bool {
+        let claim = cache.leader.as_ref().map(|entry| entry.revision);
         claim.is_some_and(|claim| cache.revision >= claim)
     }
 
@@ -44,32 +44,32 @@
         if targets.is_empty() {
             return;
         }
-        let Some(leader) = self.is_leader() else {
+        let Some(leader) = self.leadership() else {
             return;
         };
         {
             let mut state = lock(&self.leader);
             let is_known = state
-                .told_targets
+                .sent_targets
                 .as_ref()
-                .is_some_and(|(told, at)| told == targets && at.elapsed() < REPEATED_AFTER);
+                .is_some_and(|(peer, at)| peer == targets && at.elapsed() < REPEATED_AFTER);
             if is_known {
                 return;
             }
-            state.told_targets = Some((targets.clone(), Instant::now()));
+            state.sent_targets = Some((targets.clone(), Instant::now()));
         }
-        for (node, budgets) in targets {
+        for (controller, budgets) in targets {
             let budgets = budgets.clone();
             let targets = QuotaTargets { leader, budgets };
-            if *node == self.config.node {
-                self.take_quota_targets(targets);
+            if *controller == self.config.name {
+                self.accept_quota_targets(targets);
                 continue;
             }
-            let (this, node) = (self.clone(), node.clone());
+            let (this, controller) = (self.clone(), controller.clone());
             tokio::spawn(async move {
                 // Unanswered: they are told again as long as quota is lacking.
-                let call = PeerCall::SetQuotaTargets(targets);
-                let _ = this.peers.call(&node, call).await;
+                let call = PeerRequest::SetQuotaTargets(targets);
+                let _ = this.peers.call(&controller, call).await;
             });
         }
     }
--- a/src/coordination/leader/routing/candidates.rs
+++ b/src/coordination/leader/routing/candidates.rs
@@ -3,33 +3,37 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use crate::{
-    coordination::policy::{giveback, placement},
-    storage::{ImageName, MachineId, NodeName, Quota, Resources, StateCache, records::MachineUse},
+    coordination::policy::{placement, scale_in},
+    storage::{
+        ControllerName, ImageName, MachineId, Quota, Resources, StateCache, records::MachineUse,
+    },
 };
 
-/// Machines that tasks can be routed to; a slot's group tells its holder.
+/// Machines that tasks can be routed to; a slot's group tells its owner.
 #[derive(Clone, Debug, Default)]
-pub struct Open {
-    pub nodes: Vec<NodeName>,
-    pub slots: Vec<placement::Slot>,
+pub struct FreeCapacity {
+    pub controllers: Vec<ControllerName>,
+    pub candidates: Vec<placement::CandidateMachine>,
 }
 
-impl Open {
-    /// What is free on each holder's machines.
-    pub fn free_quota(&self) -> BTreeMap<NodeName, Quota> {
-        let mut free: BTreeMap<NodeName, Quota> = BTreeMap::new();
-        for slot in &self.slots {
-            let sum = free.entry(self.nodes[slot.group].clone()).or_default();
-            *sum = sum.plus(&Quota::from(&slot.room).at_least_zero());
+impl FreeCapacity {
+    /// What is free on each owner's machines.
+    pub fn free_quota(&self) -> BTreeMap<ControllerName, Quota> {
+        let mut free: BTreeMap<ControllerName, Quota> = BTreeMap::new();
+        for candidate in &self.candidates {
+            let sum = free
+                .entry(self.controllers[candidate.owner].clone())
+                .or_default();
+            *sum = sum.plus(&Quota::from(&candidate.room).at_least_zero());
         }
         free
     }
 }
 
-/// A holder's machine that takes tasks; none if it takes none now.
-pub type Usable<'a> = &'a dyn Fn(&NodeName, &MachineId) -> Option<Usage>;
+/// An owner's machine that takes tasks; none if it takes none now.
+pub type UsableMachines<'a> = &'a dyn Fn(&ControllerName, &MachineId) -> Option<UsableMachine>;
 
-pub struct Usage {
+pub struct UsableMachine {
     pub images: Arc<Vec<ImageName>>,
     pub speed: f64,
     /// Room of ended tasks that the cache still counts.
@@ -38,49 +42,53 @@
 
 /// The machines that the leader may route tasks to. Full ones are among them,
 /// since others may be stopped there.
-pub fn open_machines(
+pub fn candidate_machines(
     cache: &StateCache,
-    usable: Usable<'_>,
+    usable: UsableMachines<'_>,
     now_ms: u64,
-    paid: giveback::PaidPeriods,
-) -> Open {
-    let mut open = Open::default();
-    for kept in cache.blocks.values() {
-        let block = &kept.value;
-        if block.frozen || !cache.is_seated(block) {
+    paid: scale_in::PaidPeriods,
+) -> FreeCapacity {
+    let mut open = FreeCapacity::default();
+    for entry in cache.shards.values() {
+        let shard = &entry.value;
+        if shard.cordoned || !cache.has_current_owner(shard) {
             continue;
         }
-        let group = match open.nodes.iter().position(|node| *node == block.node) {
-            Some(group) => group,
+        let owner = match open
+            .controllers
+            .iter()
+            .position(|controller| *controller == shard.controller)
+        {
+            Some(owner) => owner,
             None => {
-                open.nodes.push(block.node.clone());
-                open.nodes.len() - 1
+                open.controllers.push(shard.controller.clone());
+                open.controllers.len() - 1
             }
         };
-        for (id, machine_use) in &block.machines {
+        for (id, machine_use) in &shard.machines {
             let Some(record) = cache.machines.get(id) else {
                 continue;
             };
             let Some(kind) = cache.machine_type(&record.kind) else {
                 continue;
             };
-            if *machine_use == MachineUse::Frozen {
+            if *machine_use == MachineUse::Cordoned {
                 continue;
             }
-            let Some(usage) = usable(&block.node, id) else {
+            let Some(usage) = usable(&shard.controller, id) else {
                 continue;
             };
             let mut room = kind.size;
             room -= cache.taken(id);
-            // What a holder says is behind by up to a second: never more than
+            // What an owner says is behind by up to a second: never more than
             // the cache counts.
             if cache.on_machine.contains_key(id) {
                 room += usage.freed;
                 room = room.at_most(&kind.size);
             }
-            let age = Duration::from_millis(now_ms.saturating_sub(record.rented_ms));
-            open.slots.push(placement::Slot {
-                group,
+            let age = Duration::from_millis(now_ms.saturating_sub(record.provisioned_ms));
+            open.candidates.push(placement::CandidateMachine {
+                owner,
                 machine: id.clone(),
                 kind: record.kind.clone(),
                 zone: record.zone.clone(),
@@ -90,7 +98,7 @@
                 fetch_gb_per_s: kind.fetch_gb_per_s,
                 speed: usage.speed,
                 images: usage.images,
-                leaves_in: (*machine_use == MachineUse::Marked).then(|| paid.left(age)),
+                leaves_in: (*machine_use == MachineUse::Draining).then(|| paid.left(age)),
             });
         }
     }
--- a/src/coordination/leader/routing/mod.rs
+++ b/src/coordination/leader/routing/mod.rs
@@ -1,16 +1,16 @@
-//! Which holder gets which waiting tasks: a trial placement over all blocks,
-//! by the same rule that the holders use.
+//! Which owner gets which waiting tasks: a trial placement over all shards,
+//! by the same rule that the owners use.
 
-mod bound;
+mod candidates;
 mod gangs;
-mod open;
 mod preemption;
-mod quota;
+mod queue_order;
+mod quota_use;
 mod reclaim;
 mod records;
-mod standing;
 mod unplaced;
-pub use open::{Open, Usage, open_machines};
+mod zone_bound;
+pub use candidates::{FreeCapacity, UsableMachine, candidate_machines};
 pub use reclaim::Reclaiming;
 
 use std::{
@@ -23,13 +23,13 @@
 use crate::{
     coordination::{
         leader::routing::{
-            quota::{Used, left},
-            standing::{Rank, aged},
+            queue_order::{QueueRank, raised_by_age},
+            quota_use::{QuotaUse, left},
         },
         ports::Offer,
     },
     storage::{
-        ClassName, JobId, JobKind, JobSpec, MachineId, NodeName, Priority, Quota, StateCache,
+        ClassName, ControllerName, JobId, JobKind, JobSpec, MachineId, Priority, Quota, StateCache,
         TaskId, Team, TeamName, TypeName, ZoneName, state_cache::Job,
     },
 };
@@ -45,9 +45,9 @@
 
 /// What became of the waiting tasks in one pass, for the log.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tally {
+pub struct RoutingCounts {
     pub offered: usize,
-    /// Under way to holders since an earlier pass.
+    /// Under way to owners since an earlier pass.
     pub under_way: usize,
     /// Beyond their team's limit.
     pub limited: usize,
@@ -58,29 +58,29 @@
     pub left: usize,
 }
 
-/// Tasks of a team for which holders have room, some of them without the quota for it.
+/// Tasks of a team for which owners have room, some of them without the quota for it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WantedQuota {
+pub struct QuotaDemand {
     pub team: TeamName,
-    pub tasks: ::quota::Wanted<NodeName>,
+    pub tasks: ::quota::TaskDemand<ControllerName>,
 }
 
 #[derive(Debug, Default)]
-pub struct Routed {
-    pub tally: Tally,
-    pub offers: BTreeMap<NodeName, Vec<Offer>>,
+pub struct RoutingResult {
+    pub counts: RoutingCounts,
+    pub offers: BTreeMap<ControllerName, Vec<Offer>>,
     pub unplaced: Vec<Unplaced>,
-    pub short: BTreeMap<(NodeName, TeamName), Quota>,
+    pub deficit: BTreeMap<(ControllerName, TeamName), Quota>,
     /// Tasks with room that lack quota somewhere, the most pressing first.
-    pub wanted: Vec<WantedQuota>,
-    /// Quota that a holder is about to need, beside what it uses.
-    pub kept: BTreeMap<(NodeName, TeamName), Quota>,
+    pub demand: Vec<QuotaDemand>,
+    /// Quota that an owner is about to need, beside what it uses.
+    pub reserved: BTreeMap<(ControllerName, TeamName), Quota>,
     /// Jobs whose zone is to be written, or to be taken back.
-    pub homes: Vec<HomeChange>,
+    pub zone_assignments: Vec<ZoneAssignment>,
     /// Tasks of lower standing to stop for those of higher standing.
-    pub preempt: BTreeMap<NodeName, Vec<TaskId>>,
+    pub preempt: BTreeMap<ControllerName, Vec<TaskId>>,
     /// Replicas for which room was looked for.
-    cleared: usize,
+    preempting_replicas: usize,
     /// Tasks of the lowest priority that are told to stop.
     reclaimed: usize,
     /// Tasks in the offers.
@@ -92,92 +92,92 @@
 /// The zone that a job of many records is confined to from now on; none: its zone has
 /// no room, and another is to be chosen once none of its tasks can be there.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HomeChange {
+pub struct ZoneAssignment {
     pub job: JobId,
     pub zone: Option<ZoneName>,
 }
 
-/// A task under way to a holder, with the machine that the trial found for it.
+/// A task under way to an owner, with the machine that the trial found for it.
 #[derive(Clone, Debug)]
-pub struct OfferedTo {
-    pub node: NodeName,
+pub struct OutstandingOffer {
+    pub controller: ControllerName,
     machine: MachineId,
     at: Instant,
 }
 
-/// Tasks under way to holders.
-pub type Offered = BTreeMap<JobId, BTreeMap<u32, OfferedTo>>;
+/// Tasks under way to owners.
+pub type OutstandingOffers = BTreeMap<JobId, BTreeMap<u32, OutstandingOffer>>;
 
 /// Waiting tasks for which others are being stopped, since when.
-pub type Clearing = BTreeMap<TaskId, Instant>;
+pub type PendingPreemptions = BTreeMap<TaskId, Instant>;
 
 /// A stopped task's room shows within this time, or it is asked for again.
-const CLEARING: Duration = Duration::from_millis(2500);
+const PREEMPTION_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Tasks offered in one pass, about what holders write down until the next.
+/// Tasks offered in one pass, about what owners write down until the next.
 const TASKS_PER_PASS: usize = 600;
 /// Tasks of one job looked at in one pass.
 const TASKS_PER_JOB: usize = 4_000;
 /// Jobs for which all free room is looked through in one pass.
 const JOBS_PER_PASS: usize = 96;
 /// Replicas for which other tasks are stopped in one pass.
-const CLEARED_PER_PASS: usize = 12;
+const PREEMPTING_REPLICAS_PER_PASS: usize = 12;
 
-pub struct Routing<'a> {
+pub struct RoutingPass<'a> {
     pub cache: &'a StateCache,
     pub teams: &'a [Team],
-    pub open: Open,
-    pub offered: &'a mut Offered,
-    pub clearing: &'a mut Clearing,
+    pub free_capacity: FreeCapacity,
+    pub offered: &'a mut OutstandingOffers,
+    pub pending_preemptions: &'a mut PendingPreemptions,
     pub reclaiming: &'a mut Reclaiming,
-    pub bound: &'a mut Bound,
-    pub gangs: &'a mut Gangs,
-    pub lapsed: &'a mut Lapsed,
+    pub record_affinity: &'a mut RecordAffinity,
+    pub gangs: &'a mut PartialGangs,
+    pub expired_offers: &'a mut ExpiredOffersByJob,
     /// Jobs that fail wherever they are tried, and until when they pause.
     pub failing: &'a BTreeMap<JobId, Instant>,
     /// Changes in a transaction, which decide what zone-bound placements depend on.
     pub changes_per_transaction: usize,
     pub start_target: Duration,
-    pub offer_life: Duration,
+    pub offer_ttl: Duration,
     pub now: Instant,
     pub wall: SystemTime,
     pub factor: &'a dyn Fn(&ClassName) -> f64,
     /// What has found no room in this pass.
-    pub full: BTreeSet<Shape>,
+    pub full: BTreeSet<PlacementRequirements>,
 }
 
-/// Records whose tasks wait for room at the holder that writes them, since when.
-pub type Bound = BTreeMap<(JobId, u32), Instant>;
+/// Records whose tasks wait for room at the owner that writes them, since when.
+pub type RecordAffinity = BTreeMap<(JobId, u32), Instant>;
 
 /// Gangs of which a part is there and a part is not, since when, and when that part
 /// was last told to leave.
-pub type Gangs = BTreeMap<JobId, (Instant, Option<Instant>)>;
+pub type PartialGangs = BTreeMap<JobId, (Instant, Option<Instant>)>;
 
-/// Offers of a job that one holder let lapse one after the other. Its machines may refuse
+/// Offers of a job that one owner let expire one after the other. Its machines may refuse
 /// the job after a failure, which the leader does not know.
 #[derive(Clone, Debug)]
-pub struct LapsedOffers {
-    node: NodeName,
+pub struct ExpiredOffers {
+    controller: ControllerName,
     last: Instant,
     count: u32,
 }
 
-/// The holders that let offers lapse.
-pub type Lapsed = BTreeMap<JobId, LapsedOffers>;
+/// The owners that let offers expire.
+pub type ExpiredOffersByJob = BTreeMap<JobId, ExpiredOffers>;
 
-/// A holder that may not write yet lets offers lapse as well, and is quicker than another
+/// An owner that may not write yet lets offers expire as well, and is quicker than another
 /// one that begins anew: only so many in a row say that it refuses the job.
-const REFUSES_AFTER: u32 = 4;
+const EXPIRED_OFFERS_LIMIT: u32 = 4;
 
-/// A lapsed offer says nothing any more after this long.
-const LAPSED_LIFE: Duration = Duration::from_secs(30);
+/// A expired offer says nothing any more after this long.
+const EXPIRED_OFFERS_TTL: Duration = Duration::from_secs(30);
 
 /// After this long such a record gets a second writer, if another has room.
-const SHARED_AFTER: Duration = Duration::from_secs(4);
+const RECORD_AFFINITY_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// What decides whether a task has room somewhere.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Shape {
+pub struct PlacementRequirements {
     size: [u64; 3],
     spot: bool,
     service: bool,
@@ -186,13 +186,13 @@
     types: Option<Vec<TypeName>>,
 }
 
-impl Shape {
+impl PlacementRequirements {
     fn of(spec: &JobSpec) -> Self {
         let size = &spec.per_task;
         Self {
             size: [size.cpus, size.gpus, size.memory].map(f64::to_bits),
             spot: spec.spot,
-            // A marked machine takes an array's short tasks only.
+            // A draining machine takes an array's short tasks only.
             service: spec.kind == JobKind::Service,
             bound: spec.is_zone_bound() || spec.kind == JobKind::Gang,
             zone: spec.zone.clone(),
@@ -201,70 +201,75 @@
     }
 }
 
-struct Candidate<'a> {
+struct QueuedJob<'a> {
     id: &'a JobId,
     spec: &'a JobSpec,
     job: &'a Job,
-    rank: Rank,
+    rank: QueueRank,
 }
 
-impl Routing<'_> {
-    pub fn run(mut self) -> Routed {
-        let mut routed = Routed::default();
-        let mut used = Used {
+impl RoutingPass<'_> {
+    pub fn run(mut self) -> RoutingResult {
+        let mut result = RoutingResult::default();
+        let mut used = QuotaUse {
             all: self.cache.quota_used(self.cache.on_machine.keys()),
-            by_node: self
-                .open
-                .nodes
+            by_controller: self
+                .free_capacity
+                .controllers
                 .iter()
-                .map(|node| self.cache.quota_used(self.cache.machines_of(node)))
+                .map(|controller| self.cache.quota_used(self.cache.machines_of(controller)))
                 .collect(),
         };
-        self.settle_offers(&mut used);
+        self.expire_offers(&mut used);
         let now = self.now;
-        self.clearing
-            .retain(|_, since| now.duration_since(*since) < CLEARING);
+        self.pending_preemptions
+            .retain(|_, since| now.duration_since(*since) < PREEMPTION_TIMEOUT);
         let jobs = &self.cache.jobs;
         self.gangs.retain(|id, _| jobs.contains_key(id));
         self.reclaiming.begin_pass(now);
-        self.bound
-            .retain(|_, since| now.duration_since(*since) < SHARED_AFTER * 3);
+        self.record_affinity
+            .retain(|_, since| now.duration_since(*since) < RECORD_AFFINITY_TIMEOUT * 3);
         let cache = self.cache;
-        let candidates = self.candidates(cache, &used);
+        let queued_jobs = self.queued_jobs(cache, &used);
         let mut jobs = 0;
-        for candidate in candidates {
-            let may_clear = candidate.spec.kind == JobKind::Service
-                && candidate.spec.priority == Priority::Production
-                && routed.cleared < CLEARED_PER_PASS;
-            if self.full.contains(&Shape::of(candidate.spec)) && !may_clear {
+        for queued in queued_jobs {
+            let may_clear = queued.spec.kind == JobKind::Service
+                && queued.spec.priority == Priority::Production
+                && result.preempting_replicas < PREEMPTING_REPLICAS_PER_PASS;
+            if self.full.contains(&PlacementRequirements::of(queued.spec)) && !may_clear {
                 // Others just like it have found nothing. They all count, since
-                // machines are rented by what waits.
-                self.count_unplaced(&candidate, &mut used, &mut routed);
-            } else if routed.offered < TASKS_PER_PASS && jobs < JOBS_PER_PASS {
+                // machines are provisioned by what waits.
+                self.count_unplaced(&queued, &mut used, &mut result);
+            } else if result.offered < TASKS_PER_PASS && jobs < JOBS_PER_PASS {
                 jobs += 1;
-                self.route_job(&candidate, &mut used, &mut routed);
+                self.route_job(&queued, &mut used, &mut result);
             } else {
-                routed.tally.left += candidate.job.waiting() as usize;
+                result.counts.left += queued.job.waiting() as usize;
             }
         }
-        routed.tally.offered = routed.offered;
-        routed.tally.unplaced = routed.unplaced.iter().map(|u| u.tasks as usize).sum();
-        routed.tally.under_way =
-            self.offered.values().map(BTreeMap::len).sum::<usize>() - routed.offered;
-        routed
+        result.counts.offered = result.offered;
+        result.counts.unplaced = result.unplaced.iter().map(|u| u.tasks as usize).sum();
+        result.counts.under_way =
+            self.offered.values().map(BTreeMap::len).sum::<usize>() - result.offered;
+        result
     }
 
     /// As [`Self::route_job`] for a job that has no room anywhere.
-    fn count_unplaced(&mut self, candidate: &Candidate<'_>, used: &mut Used, routed: &mut Routed) {
-        let Candidate { id, spec, job, .. } = candidate;
+    fn count_unplaced(
+        &mut self,
+        queued: &QueuedJob<'_>,
+        used: &mut QuotaUse,
+        result: &mut RoutingResult,
+    ) {
+        let QueuedJob { id, spec, job, .. } = queued;
         let under_way = self.offered.get(*id).map_or(0, BTreeMap::len);
         let tasks = (job.waiting() as usize).saturating_sub(under_way);
         let quota = Quota::from(&spec.per_task);
         let within = left(&self.limit(spec), &used.all(&spec.team), &quota);
-        let most = if self.is_probed(id) { 1 } else { tasks };
+        let most = if self.is_on_probation(id) { 1 } else { tasks };
         let tasks = tasks.min(within).min(most);
-        let reclaimed = self.reclaim_room(candidate, tasks, routed);
-        self.note_unplaced(candidate, (tasks - reclaimed) as u32, used, routed);
+        let reclaimed = self.reclaim_room(queued, tasks, result);
+        self.note_unplaced(queued, (tasks - reclaimed) as u32, used, result);
     }
 
     fn limit(&self, spec: &JobSpec) -> Quota {
@@ -277,28 +282,37 @@
 
     /// Offers that were taken up, or not in time, are forgotten; the room and
     /// quota of the others is set aside.
-    fn settle_offers(&mut self, used: &mut Used) {
-        let (cache, now, life) = (self.cache, self.now, self.offer_life);
-        let lapsed = &mut *self.lapsed;
-        lapsed.retain(|_, known| now.duration_since(known.last) < LAPSED_LIFE);
+    fn expire_offers(&mut self, used: &mut QuotaUse) {
+        let (cache, now, life) = (self.cache, self.now, self.offer_ttl);
+        let expired_offers = &mut *self.expired_offers;
+        expired_offers.retain(|_, known| now.duration_since(known.last) < EXPIRED_OFFERS_TTL);
         self.offered.retain(|id, tasks| {
             let Some(job) = cache.jobs.get(id) else {
                 return false;
             };
-            let mut lapsed_at = None;
+            let mut owner_with_expired_offers = None;
             tasks.retain(|task, offered| {
                 let waits = job.placement(*task).is_none() && !job.is_task_done(*task);
                 let is_open = now.duration_since(offered.at) < life;
                 if waits && !is_open {
-                    lapsed_at = Some(offered.node.clone());
+                    owner_with_expired_offers = Some(offered.controller.clone());
                 }
                 waits && is_open
             });
-            if let Some(node) = lapsed_at {
-                let known = lapsed.get(id).filter(|known| known.node == node);
+            if let Some(controller) = owner_with_expired_offers {
+                let known = expired_offers
+                    .get(id)
+                    .filter(|known| known.controller == controller);
                 let count = known.map_or(1, |known| known.count + 1);
                 let last = now;
-                lapsed.insert(id.clone(), LapsedOffers { node, last, count });
+                expired_offers.insert(
+                    id.clone(),
+                    ExpiredOffers {
+                        controller,
+                        last,
+                        count,
+                    },
+                );
             }
             !tasks.is_empty()
         });
@@ -306,11 +320,11 @@
             return;
         }
         let at: BTreeMap<MachineId, usize> = self
-            .open
-            .slots
+            .free_capacity
+            .candidates
             .iter()
             .enumerate()
-            .map(|(at, slot)| (slot.machine.clone(), at))
+            .map(|(at, candidate)| (candidate.machine.clone(), at))
             .collect();
         for (id, tasks) in self.offered.iter() {
             let Some(spec) = cache.jobs.get(id).and_then(Job::spec) else {
@@ -318,28 +332,33 @@
             };
             let quota = Quota::from(&spec.per_task);
             for offered in tasks.values() {
-                let group = self.open.nodes.iter().position(|n| *n == offered.node);
-                if let Some(group) = group {
-                    used.add(group, &spec.team, &quota);
+                let owner = self
+                    .free_capacity
+                    .controllers
+                    .iter()
+                    .position(|n| *n == offered.controller);
+                if let Some(owner) = owner {
+                    used.add(owner, &spec.team, &quota);
                 }
-                // Which machine the holder takes is its own choice; it decides
+                // Which machine the owner takes is its own choice; it decides
                 // by the same rule as the trial.
-                if let Some(slot) = at.get(&offered.machine) {
-                    self.open.slots[*slot].put(spec);
+                if let Some(candidate) = at.get(&offered.machine) {
+                    self.free_capacity.candidates[*candidate].put(spec);
                 }
             }
         }
     }
 
-    fn candidates<'b>(&self, cache: &'b StateCache, used: &Used) -> Vec<Candidate<'b>> {
-        let mut candidates: Vec<Candidate<'b>> = cache
+    fn queued_jobs<'b>(&self, cache: &'b StateCache, used: &QuotaUse) -> Vec<QueuedJob<'b>> {
+        let mut queued_jobs: Vec<QueuedJob<'b>> = cache
             .waiting
             .iter()
             .filter(|id| self.failing.get(*id).is_none_or(|until| *until <= self.now))
             .filter_map(|id| {
                 let job = cache.jobs.get(id)?;
                 let spec = job.spec()?;
-                if self.is_probed(id) && (job.present() > 0 || self.offered.contains_key(id)) {
+                if self.is_on_probation(id) && (job.present() > 0 || self.offered.contains_key(id))
+                {
                     return None;
                 }
                 let borrows = self
@@ -351,9 +370,10 @@
                         !team.guaranteed.covers(&after)
                     });
                 let begun = job.placed + job.done > 0;
-                let (priority, borrows) = aged(spec.priority, borrows, begun, spec.age(self.wall));
+                let (priority, borrows) =
+                    raised_by_age(spec.priority, borrows, begun, spec.age(self.wall));
                 let due = spec.accepted_ms + spec.deadline.map_or(0, |d| d.as_millis() as u64);
-                Some(Candidate {
+                Some(QueuedJob {
                     id,
                     spec,
                     job,
@@ -361,37 +381,42 @@
                 })
             })
             .collect();
-        candidates.sort_by(|a, b| a.rank.cmp(&b.rank).then_with(|| a.id.cmp(b.id)));
-        candidates
+        queued_jobs.sort_by(|a, b| a.rank.cmp(&b.rank).then_with(|| a.id.cmp(b.id)));
+        queued_jobs
     }
 
     /// Whether the job fails wherever it is tried, so that one task of it is tried at a
-    /// time: offers of all of them, which no holder takes, would keep room from others.
-    fn is_probed(&self, id: &JobId) -> bool {
+    /// time: offers of all of them, which no owner takes, would keep room from others.
+    fn is_on_probation(&self, id: &JobId) -> bool {
         self.failing.contains_key(id)
     }
 
-    /// How many more tasks the holder's budget for the job's team allows.
-    fn budget_left(&self, group: usize, spec: &JobSpec, used: &Used) -> usize {
+    /// How many more tasks the owner's budget for the job's team allows.
+    fn budget_left(&self, owner: usize, spec: &JobSpec, used: &QuotaUse) -> usize {
         let budget = self
             .cache
-            .seats
-            .get(&self.open.nodes[group])
-            .and_then(|kept| kept.value.budgets.get(&spec.team))
+            .allocations
+            .get(&self.free_capacity.controllers[owner])
+            .and_then(|entry| entry.value.budgets.get(&spec.team))
             .copied()
             .unwrap_or_default();
-        let used = used.of(group, &spec.team);
+        let used = used.of(owner, &spec.team);
         left(&budget, &used, &Quota::from(&spec.per_task))
     }
 
     /// Routes what it can of one job.
-    fn route_job(&mut self, candidate: &Candidate<'_>, used: &mut Used, routed: &mut Routed) {
-        let Candidate { id, spec, job, .. } = candidate;
+    fn route_job(
+        &mut self,
+        queued: &QueuedJob<'_>,
+        used: &mut QuotaUse,
+        result: &mut RoutingResult,
+    ) {
+        let QueuedJob { id, spec, job, .. } = queued;
         let gang = spec.kind == JobKind::Gang;
         if gang && self.offered.contains_key(*id) {
             return;
         }
-        if gang && !self.may_join(candidate, routed) {
+        if gang && !self.may_join(queued, result) {
             return;
         }
         let most = if gang {
@@ -408,7 +433,7 @@
         if tasks.is_empty() {
             return;
         }
-        if self.is_probed(id) && !gang {
+        if self.is_on_probation(id) && !gang {
             tasks.truncate(1);
         }
         let quota = Quota::from(&spec.per_task);
@@ -416,54 +441,54 @@
         if within < tasks.len() {
             if gang {
                 // More machines would not help it.
-                routed.tally.limited += tasks.len();
+                result.counts.limited += tasks.len();
                 return;
             }
             // More machines would not help those beyond the limit.
-            routed.tally.limited += tasks.len() - within;
-            self.clear_quota(candidate, tasks[within], routed);
+            result.counts.limited += tasks.len() - within;
+            self.preempt_for_quota(queued, tasks[within], result);
             tasks.truncate(within);
         }
-        if self.awaits_home(candidate, tasks.len(), routed) {
-            self.note_unplaced(candidate, tasks.len() as u32, used, routed);
+        if self.awaits_zone_assignment(queued, tasks.len(), result) {
+            self.note_unplaced(queued, tasks.len() as u32, used, result);
             return;
         }
         if gang {
-            self.route_gang(candidate, &tasks, used, routed);
+            self.route_gang(queued, &tasks, used, result);
             return;
         }
         let placed = if spec.is_zone_bound() {
-            self.place_bound(candidate, &tasks, used)
+            self.place_zone_bound(queued, &tasks, used)
         } else {
-            self.place_by_record(candidate, &tasks, used)
+            self.place_by_record(queued, &tasks, used)
         };
         let found: BTreeSet<u32> = placed.iter().map(|(task, _)| *task).collect();
         for (task, at) in placed {
-            self.offer(id, task, at, routed);
+            self.offer(id, task, at, result);
         }
         let left_over: Vec<u32> = tasks
             .into_iter()
             .filter(|task| !found.contains(task))
             .collect();
         if !left_over.is_empty() {
-            self.explain(candidate, &left_over, used, routed);
+            self.explain_unplaced(queued, &left_over, used, result);
         }
     }
 
-    fn offer(&mut self, id: &JobId, task: u32, at: usize, routed: &mut Routed) {
-        routed.offered += 1;
-        let slot = &self.open.slots[at];
-        let node = self.open.nodes[slot.group].clone();
-        let offered = OfferedTo {
-            node: node.clone(),
-            machine: slot.machine.clone(),
+    fn offer(&mut self, id: &JobId, task: u32, at: usize, result: &mut RoutingResult) {
+        result.offered += 1;
+        let candidate = &self.free_capacity.candidates[at];
+        let controller = self.free_capacity.controllers[candidate.owner].clone();
+        let offered = OutstandingOffer {
+            controller: controller.clone(),
+            machine: candidate.machine.clone(),
             at: self.now,
         };
         self.offered
             .entry(id.clone())
             .or_default()
             .insert(task, offered);
-        let offers = routed.offers.entry(node).or_default();
+        let offers = result.offers.entry(controller).or_default();
         match offers.iter_mut().find(|offer| offer.job == *id) {
             Some(offer) => offer.tasks.push(task),
             None => offers.push(Offer {
--- a/src/coordination/leader/routing/quota_use.rs
+++ b/src/coordination/leader/routing/quota_use.rs
@@ -4,16 +4,16 @@
 
 use crate::storage::{AMOUNT_SLACK, Quota, TeamName};
 
-/// What is used of each team's limit, by all and by each holder.
+/// What is used of each team's limit, by all and by each owner.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Used {
+pub(super) struct QuotaUse {
     pub(super) all: BTreeMap<TeamName, Quota>,
-    pub(super) by_node: Vec<BTreeMap<TeamName, Quota>>,
+    pub(super) by_controller: Vec<BTreeMap<TeamName, Quota>>,
 }
 
-impl Used {
-    pub(super) fn add(&mut self, group: usize, team: &TeamName, quota: &Quota) {
-        for map in [&mut self.all, &mut self.by_node[group]] {
+impl QuotaUse {
+    pub(super) fn add(&mut self, owner: usize, team: &TeamName, quota: &Quota) {
+        for map in [&mut self.all, &mut self.by_controller[owner]] {
             match map.get_mut(team) {
                 Some(sum) => *sum = sum.plus(quota),
                 None => {
@@ -27,8 +27,11 @@
         self.all.get(team).copied().unwrap_or_default()
     }
 
-    pub(super) fn of(&self, group: usize, team: &TeamName) -> Quota {
-        self.by_node[group].get(team).copied().unwrap_or_default()
+    pub(super) fn of(&self, owner: usize, team: &TeamName) -> Quota {
+        self.by_controller[owner]
+            .get(team)
+            .copied()
+            .unwrap_or_default()
     }
 }
 
--- a/src/coordination/leader/routing/reclaim.rs
+++ b/src/coordination/leader/routing/reclaim.rs
@@ -11,8 +11,8 @@
 use crate::{
     coordination::{
         leader::routing::{
-            CLEARING, Candidate, Routed, Routing,
-            standing::{Rank, aged},
+            PREEMPTION_TIMEOUT, QueuedJob, RoutingPass, RoutingResult,
+            queue_order::{QueueRank, raised_by_age},
         },
         policy::placement,
     },
@@ -28,7 +28,7 @@
 
 impl Reclaimed {
     fn is_fresh(&self, now: Instant) -> bool {
-        now.duration_since(self.since) < CLEARING
+        now.duration_since(self.since) < PREEMPTION_TIMEOUT
     }
 }
 
@@ -53,49 +53,49 @@
     }
 }
 
-/// Tasks told to stop in one pass, about what holders write down until the next.
+/// Tasks told to stop in one pass, about what owners write down until the next.
 const STOPPED_PER_PASS: usize = 128;
 /// A task that takes no longer than this leaves its room by itself as soon as a stopped
 /// one would.
-const SHORT: Duration = Duration::from_secs(8);
+const SHORT_TASK: Duration = Duration::from_secs(8);
 
 /// A task that may be stopped.
 #[derive(Debug)]
 struct Victim {
     task: TaskId,
     size: Resources,
-    rank: Rank,
+    rank: QueueRank,
 }
 
 /// A machine with tasks that may be stopped, the first to go last.
 #[derive(Debug)]
 struct Reclaimable {
-    slot: usize,
+    candidate: usize,
     victims: Vec<Victim>,
 }
 
 /// Whether a running task of this job may be stopped for work of a higher priority.
 fn is_stoppable(spec: &JobSpec) -> bool {
-    spec.is_idle_work() && spec.estimate > SHORT
+    spec.is_idle_work() && spec.estimate > SHORT_TASK
 }
 
-impl Routing<'_> {
+impl RoutingPass<'_> {
     /// Stops tasks of the lowest priority on machines that could take up to `tasks`
     /// waiting ones of the job. Returns for how many room is on its way.
     pub(super) fn reclaim_room(
         &mut self,
-        candidate: &Candidate<'_>,
+        queued: &QueuedJob<'_>,
         tasks: usize,
-        routed: &mut Routed,
+        result: &mut RoutingResult,
     ) -> usize {
-        let spec = candidate.spec;
+        let spec = queued.spec;
         let may_reclaim = spec.priority > Priority::BestEffort
             && spec.kind != JobKind::Gang
             && !spec.is_zone_bound();
         if !may_reclaim || tasks == 0 {
             return 0;
         }
-        let under_way = self.reclaiming.tasks_of(candidate.id);
+        let under_way = self.reclaiming.tasks_of(queued.id);
         if under_way >= tasks {
             return tasks;
         }
@@ -106,20 +106,20 @@
         let mut found = 0;
         for machine in &mut machines {
             while under_way + found < tasks
-                && routed.reclaimed < STOPPED_PER_PASS
-                && self.reclaim_one(candidate, machine, routed)
+                && result.reclaimed < STOPPED_PER_PASS
+                && self.reclaim_one(queued, machine, result)
             {
                 found += 1;
             }
         }
         self.reclaiming.machines = Some(machines);
         if found > 0 {
-            tracing::debug!(job = %candidate.id, tasks = found, "room is reclaimed");
+            tracing::debug!(job = %queued.id, tasks = found, "preempting idle work for capacity");
             let reclaimed = Reclaimed {
                 tasks: under_way + found,
                 since: self.now,
             };
-            self.reclaiming.jobs.insert(candidate.id.clone(), reclaimed);
+            self.reclaiming.jobs.insert(queued.id.clone(), reclaimed);
         }
         under_way + found
     }
@@ -128,7 +128,7 @@
     /// latest tasks go first, which have done least.
     fn find_reclaimable(&self) -> Vec<Reclaimable> {
         let mut machines = Vec::new();
-        for (slot, open) in self.open.slots.iter().enumerate() {
+        for (candidate, open) in self.free_capacity.candidates.iter().enumerate() {
             let Some(load) = self.cache.on_machine.get(&open.machine) else {
                 continue;
             };
@@ -136,10 +136,11 @@
             for (task, placed) in &load.tasks {
                 let Some(spec) = &placed.spec else { continue };
                 if is_stoppable(spec)
-                    && !self.clearing.contains_key(task)
-                    && !self.cache.ending.contains(&task.job)
+                    && !self.pending_preemptions.contains_key(task)
+                    && !self.cache.pending_cleanup.contains(&task.job)
                 {
-                    let (priority, borrows) = aged(spec.priority, true, true, spec.age(self.wall));
+                    let (priority, borrows) =
+                        raised_by_age(spec.priority, true, true, spec.age(self.wall));
                     victims.push(Victim {
                         task: task.clone(),
                         size: spec.per_task,
@@ -149,7 +150,7 @@
             }
             if !victims.is_empty() {
                 victims.sort_by(|a, b| (a.rank, &a.task).cmp(&(b.rank, &b.task)));
-                machines.push(Reclaimable { slot, victims });
+                machines.push(Reclaimable { candidate, victims });
             }
         }
         machines
@@ -158,23 +159,23 @@
     /// Stops what keeps one more task of the job from having room on this machine.
     fn reclaim_one(
         &mut self,
-        candidate: &Candidate<'_>,
+        queued: &QueuedJob<'_>,
         machine: &mut Reclaimable,
-        routed: &mut Routed,
+        result: &mut RoutingResult,
     ) -> bool {
-        let spec = candidate.spec;
-        let slot = &mut self.open.slots[machine.slot];
-        if !placement::allowed(spec, slot) || slot.leaves_in.is_some() {
+        let spec = queued.spec;
+        let candidate = &mut self.free_capacity.candidates[machine.candidate];
+        if !placement::allowed(spec, candidate) || candidate.leaves_in.is_some() {
             return false;
         }
-        let mut room = slot.room;
+        let mut room = candidate.room;
         let mut from = machine.victims.len();
         while !spec.per_task.fits_in(&room) {
             let Some(victim) = from.checked_sub(1).map(|at| &machine.victims[at]) else {
                 return false;
             };
             // One that has waited long enough to have risen stays.
-            if victim.rank.0 <= candidate.rank.0 {
+            if victim.rank.0 <= queued.rank.0 {
                 return false;
             }
             room += victim.size;
@@ -182,13 +183,17 @@
         }
         // What is free already goes to the waiting task as well.
         room -= spec.per_task;
-        slot.room = slot.room.at_most(&room);
-        let node = self.open.nodes[slot.group].clone();
+        candidate.room = candidate.room.at_most(&room);
+        let controller = self.free_capacity.controllers[candidate.owner].clone();
         let stopped = machine.victims.drain(from..).map(|victim| victim.task);
         for task in stopped {
-            routed.reclaimed += 1;
-            self.clearing.insert(task.clone(), self.now);
-            routed.preempt.entry(node.clone()).or_default().push(task);
+            result.reclaimed += 1;
+            self.pending_preemptions.insert(task.clone(), self.now);
+            result
+                .preempt
+                .entry(controller.clone())
+                .or_default()
+                .push(task);
         }
         true
     }
--- a/src/coordination/leader/routing/tests.rs
+++ b/src/coordination/leader/routing/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_job_that_waits_rises() {
     let secs = Duration::from_secs;
-    let normal = |age| aged(Priority::Normal, true, false, secs(age));
+    let normal = |age| raised_by_age(Priority::Normal, true, false, secs(age));
     assert_eq!(normal(74), (Priority::Normal, true));
     assert_eq!(normal(75), (Priority::Normal, false));
     assert_eq!(normal(150), (Priority::Urgent, false));
@@ -16,10 +16,10 @@
         "never above replicas"
     );
     assert_eq!(
-        aged(Priority::BestEffort, true, false, secs(225)),
+        raised_by_age(Priority::BestEffort, true, false, secs(225)),
         (Priority::Urgent, false)
     );
-    let begun = |age| aged(Priority::Normal, true, true, secs(age));
+    let begun = |age| raised_by_age(Priority::Normal, true, true, secs(age));
     assert_eq!(begun(149), (Priority::Normal, true));
     assert_eq!(begun(150), (Priority::Normal, false));
     assert_eq!(begun(300), (Priority::Urgent, false));
--- a/src/coordination/leader/routing/zone_bound.rs
+++ b/src/coordination/leader/routing/zone_bound.rs
@@ -2,31 +2,31 @@
 
 use std::collections::BTreeMap;
 
-use super::quota::Used;
+use super::quota_use::QuotaUse;
 
 use crate::{
     coordination::{
-        leader::routing::{Candidate, HomeChange, Routed, Routing},
+        leader::routing::{QueuedJob, RoutingPass, RoutingResult, ZoneAssignment},
         policy::{
             placement,
-            zones::{ZoneConstraint, ZoneScope},
+            zone_constraint::{ZoneConstraint, ZoneScope},
         },
-        zones,
+        zone_usage,
     },
     storage::{JobKind, JobSpec, Quota, ZoneName, keys},
 };
 
-impl Routing<'_> {
+impl RoutingPass<'_> {
     /// Chooses the zone of a job of many records that must be in one zone, or has it
     /// chosen anew when its zone has no room while another has. True: nothing of it is
     /// placed in this pass.
-    pub(super) fn awaits_home(
+    pub(super) fn awaits_zone_assignment(
         &self,
-        candidate: &Candidate<'_>,
+        queued: &QueuedJob<'_>,
         tasks: usize,
-        routed: &mut Routed,
+        result: &mut RoutingResult,
     ) -> bool {
-        let Candidate { id, spec, job, .. } = candidate;
+        let QueuedJob { id, spec, job, .. } = queued;
         if !spec.one_zone || self.scope(spec) == ZoneScope::WholeJob {
             return false;
         }
@@ -36,24 +36,24 @@
         let roomy = best
             .filter(|(_, room)| **room >= needed)
             .map(|(zone, _)| zone);
-        let change = |zone| HomeChange {
+        let change = |zone| ZoneAssignment {
             job: (*id).clone(),
             zone,
         };
-        match &spec.home {
+        match &spec.assigned_zone {
             None => {
-                let settled = zones::of_job(self.cache, job).settled_zone().cloned();
+                let settled = zone_usage::of_job(self.cache, job).current_zone().cloned();
                 if let Some(zone) = settled.or(roomy.cloned()) {
-                    routed.homes.push(change(Some(zone)));
+                    result.zone_assignments.push(change(Some(zone)));
                 }
                 true
             }
-            Some(home) => {
+            Some(assigned_zone) => {
                 let nowhere = job.present() == 0 && !self.offered.contains_key(*id);
-                let has_room = room.get(home).is_some_and(|room| *room >= needed);
+                let has_room = room.get(assigned_zone).is_some_and(|room| *room >= needed);
                 let moves = nowhere && !has_room && roomy.is_some();
                 if moves {
-                    routed.homes.push(change(None));
+                    result.zone_assignments.push(change(None));
                 }
                 moves
             }
@@ -63,14 +63,14 @@
     /// Tasks of the job that fit in each zone that it allows, wherever it is confined to.
     pub(super) fn room_by_zone(&self, spec: &JobSpec) -> BTreeMap<ZoneName, usize> {
         let anywhere = JobSpec {
-            home: None,
+            assigned_zone: None,
             ..spec.clone()
         };
         let mut room: BTreeMap<ZoneName, usize> = BTreeMap::new();
-        for slot in &self.open.slots {
-            if placement::allowed(&anywhere, slot) {
-                let fit = spec.per_task.count_in(&slot.room) as usize;
-                *room.entry(slot.zone.clone()).or_default() += fit;
+        for candidate in &self.free_capacity.candidates {
+            if placement::allowed(&anywhere, candidate) {
+                let fit = spec.per_task.count_in(&candidate.room) as usize;
+                *room.entry(candidate.zone.clone()).or_default() += fit;
             }
         }
         room
@@ -82,23 +82,23 @@
 
     /// The zone constraint for the next task of a job; those under way are as good as
     /// there.
-    pub(super) fn constraint(&self, candidate: &Candidate<'_>) -> ZoneConstraint {
-        let mut constraint = zones::of_job(self.cache, candidate.job);
-        self.count_offered(candidate, &mut constraint, |_| true);
+    pub(super) fn constraint(&self, queued: &QueuedJob<'_>) -> ZoneConstraint {
+        let mut constraint = zone_usage::of_job(self.cache, queued.job);
+        self.count_offered(queued, &mut constraint, |_| true);
         constraint
     }
 
     /// The tasks in parts that share a zone constraint.
     pub(super) fn constrained_parts<'t>(
         &self,
-        candidate: &Candidate<'_>,
+        queued: &QueuedJob<'_>,
         tasks: &'t [u32],
-    ) -> Vec<zones::ConstrainedPart<'t>> {
-        let scope = self.scope(candidate.spec);
-        let mut parts = zones::constrained_parts(self.cache, candidate.job, scope, tasks);
+    ) -> Vec<zone_usage::ConstrainedPart<'t>> {
+        let scope = self.scope(queued.spec);
+        let mut parts = zone_usage::constrained_parts(self.cache, queued.job, scope, tasks);
         for (part, constraint) in &mut parts {
             let record = part.first().map_or(0, |task| task / keys::CHUNK);
-            self.count_offered(candidate, constraint, |task| {
+            self.count_offered(queued, constraint, |task| {
                 scope == ZoneScope::WholeJob || task / keys::CHUNK == record
             });
         }
@@ -107,14 +107,14 @@
 
     pub(super) fn count_offered(
         &self,
-        candidate: &Candidate<'_>,
+        queued: &QueuedJob<'_>,
         constraint: &mut ZoneConstraint,
         counts: impl Fn(u32) -> bool,
     ) {
-        if !candidate.spec.is_zone_bound() {
+        if !queued.spec.is_zone_bound() {
             return;
         }
-        let under_way = self.offered.get(candidate.id);
+        let under_way = self.offered.get(queued.id);
         for (task, offered) in under_way.into_iter().flatten() {
             if let Some(record) = self.cache.machines.get(&offered.machine)
                 && counts(*task)
@@ -125,28 +125,28 @@
     }
 
     /// Tasks that are bound to zones, or to each other's: by least estimated
-    /// completion over all holders.
-    pub(super) fn place_bound(
+    /// completion over all owners.
+    pub(super) fn place_zone_bound(
         &mut self,
-        candidate: &Candidate<'_>,
+        queued: &QueuedJob<'_>,
         tasks: &[u32],
-        used: &mut Used,
+        used: &mut QuotaUse,
     ) -> Vec<(u32, usize)> {
-        let spec = candidate.spec;
-        let mut budgets: Vec<usize> = (0..self.open.nodes.len())
-            .map(|group| self.budget_left(group, spec, used))
+        let spec = queued.spec;
+        let mut budgets: Vec<usize> = (0..self.free_capacity.controllers.len())
+            .map(|owner| self.budget_left(owner, spec, used))
             .collect();
         let factor = (self.factor)(&spec.class);
         let quota = Quota::from(&spec.per_task);
         let mut placed = Vec::with_capacity(tasks.len());
-        for (part, mut constraint) in self.constrained_parts(candidate, tasks) {
-            let slots = &mut self.open.slots;
-            let chosen = placement::fill(spec, slots, factor, part.len(), |slot| {
-                let admitted = constraint.admits(&slot.zone) && budgets[slot.group] > 0;
+        for (part, mut constraint) in self.constrained_parts(queued, tasks) {
+            let candidates = &mut self.free_capacity.candidates;
+            let chosen = placement::fill(spec, candidates, factor, part.len(), |candidate| {
+                let admitted = constraint.admits(&candidate.zone) && budgets[candidate.owner] > 0;
                 if admitted {
-                    budgets[slot.group] -= 1;
-                    constraint.add(&slot.zone);
-                    used.add(slot.group, &spec.team, &quota);
+                    budgets[candidate.owner] -= 1;
+                    constraint.add(&candidate.zone);
+                    used.add(candidate.owner, &spec.team, &quota);
                 }
                 admitted
             });
