--- a/src/coordination/leader/shards.rs
+++ b/src/coordination/leader/shards.rs
@@ -1,368 +1,383 @@
 //! Which controller holds which machines, with what part of each team's limit.
 //!
-//! Machines are leased in blocks of bounded size; what a controller may use of
-//! the teams' limits stands in its seat, over all its blocks. A placement is
+//! Machines are leased in shards of bounded size; what a controller may use of
+//! the teams' limits stands in its allocation, over all its shards. A placement is
 //! conditional on both records.
 //!
 //! Safety rests on one rule: what is taken away takes effect by a commit, and
 //! only what the cache shows after that commit is given to others. Placements
-//! are conditional on their seat's and block's records, so once the cache has
-//! passed these records' revisions, a seat's use of a team's limit can only grow
-//! up to the budget in it. At any time the sum over seats of max(budget, use),
-//! plus the use on machines of no seat, stays within the limit.
+//! are conditional on their allocation's and shard's records, so once the cache has
+//! passed these records' revisions, an allocation's use of a team's limit can only grow
+//! up to the budget in it. At any time the sum over allocations of max(budget, use),
+//! plus the use on machines of no allocation, stays within the limit.
 
-mod budgets;
+mod quota_division;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-pub use budgets::Targets;
+pub use quota_division::Targets;
 
-use super::routing::WantedQuota;
+use super::routing::QuotaDemand;
 use crate::storage::{
-    BlockId, Incarnation, MachineId, NodeName, Quota, Revision, StateCache, Team, TeamName,
+    ControllerName, Incarnation, MachineId, Quota, Revision, ShardId, StateCache, Team, TeamName,
     ZoneName,
     client::Transaction,
     keys,
-    records::{BlockRecord, MachineUse, SeatRecord},
+    records::{AllocationRecord, MachineUse, ShardRecord},
 };
 
-/// Machines in a block at most: about 1 KiB of a record, and few machines whose
+/// Machines in a shard at most: about 1 KiB of a record, and few machines whose
 /// token rises when one of them is marked or joins.
-pub const BLOCK_SIZE: usize = 48;
+pub const SHARD_SIZE: usize = 48;
 
 /// What the plan takes into account beside the cache.
 #[derive(Debug, Default)]
-pub struct Hints {
-    /// Blocks to be leased to another controller, which are frozen first.
-    pub moving: BTreeMap<BlockId, NodeName>,
-    /// Machines that stay frozen.
-    pub returning: BTreeSet<MachineId>,
-    /// The machines that are to be given back.
-    pub marked: BTreeSet<MachineId>,
-    /// Machines whose holder has lost them while this controller hears them.
-    pub stranded: BTreeMap<MachineId, NodeName>,
+pub struct ShardPlanInputs {
+    /// Shards to be leased to another controller, which are cordoned first.
+    pub moving: BTreeMap<ShardId, ControllerName>,
+    /// Machines that stay cordoned.
+    pub releasing: BTreeSet<MachineId>,
+    /// The machines that are draining.
+    pub draining_machines: BTreeSet<MachineId>,
+    /// Machines whose owner has lost them while this controller hears them.
+    pub owner_unreachable: BTreeMap<MachineId, ControllerName>,
     /// Controllers that have lately lost machines of theirs: they get no new ones
     /// as long as there are others.
-    pub shunned: BTreeSet<NodeName>,
+    pub avoided_owners: BTreeSet<ControllerName>,
     /// Quota that a controller lacks for tasks that it has room for.
-    pub short: BTreeMap<(NodeName, TeamName), Quota>,
+    pub deficit: BTreeMap<(ControllerName, TeamName), Quota>,
     /// Quota that a controller is about to need beside what it uses, for tasks that
     /// begin together at several of them. Taken away, it would be lacking next, and
     /// budgets would go to and fro.
-    pub kept: BTreeMap<(NodeName, TeamName), Quota>,
+    pub reserved: BTreeMap<(ControllerName, TeamName), Quota>,
     /// Records that one commit may change.
-    pub most: usize,
+    pub max_changes: usize,
     /// Controllers transfer budgets to each other: the plan names targets in place of
     /// taking unused budget away.
     pub controllers_transfer: bool,
     /// What is free on each controller's machines.
-    pub free: BTreeMap<NodeName, Quota>,
+    pub free: BTreeMap<ControllerName, Quota>,
     /// Quota of tasks that are under way to controllers.
-    pub under_way: BTreeMap<(NodeName, TeamName), Quota>,
+    pub in_flight: BTreeMap<(ControllerName, TeamName), Quota>,
     /// Tasks with room that lack quota, the most pressing first.
-    pub wanted: Vec<WantedQuota>,
+    pub demand: Vec<QuotaDemand>,
 }
 
-/// A pass needs at least this many changes: a machine that moves between two blocks
-/// takes budget from one seat to another.
-const LEAST_CHANGES: usize = 4;
+/// A pass needs at least this many changes: a machine that moves between two shards
+/// takes budget from one allocation to another.
+const MIN_CHANGES: usize = 4;
 
-struct Plan<'a> {
+struct ShardPlan<'a> {
     cache: &'a StateCache,
-    seats: BTreeMap<NodeName, SeatRecord>,
-    blocks: BTreeMap<BlockId, BlockRecord>,
-    alive: Vec<NodeName>,
-    shunned: &'a BTreeSet<NodeName>,
-    /// Blocks and seats changed in this pass, together at most `most`; what is left
-    /// comes in the next. Seats come after blocks, so that a commit of five changes
+    allocations: BTreeMap<ControllerName, AllocationRecord>,
+    shards: BTreeMap<ShardId, ShardRecord>,
+    alive: Vec<ControllerName>,
+    avoided_owners: &'a BTreeSet<ControllerName>,
+    /// Shards and allocations changed in this pass, together at most `most`; what is left
+    /// comes in the next. Allocations come after shards, so that a commit of five changes
     /// gets on with both.
-    touched: BTreeSet<BlockId>,
-    reseated: BTreeSet<NodeName>,
-    most: usize,
-    load: BTreeMap<NodeName, usize>,
+    touched: BTreeSet<ShardId>,
+    touched_allocations: BTreeSet<ControllerName>,
+    max_changes: usize,
+    load: BTreeMap<ControllerName, usize>,
     targets: Targets,
 }
 
 /// The records that change in one pass, all of them in one commit.
 #[derive(Debug, Default)]
-pub struct Changed {
-    pub seats: BTreeMap<NodeName, SeatRecord>,
-    pub blocks: BTreeMap<BlockId, BlockRecord>,
+pub struct ShardPlanChanges {
+    pub allocations: BTreeMap<ControllerName, AllocationRecord>,
+    pub shards: BTreeMap<ShardId, ShardRecord>,
     /// What the controllers' budgets should be, of teams of which some lacks quota. They
     /// are told, not written.
     pub targets: Targets,
 }
 
-impl Changed {
+impl ShardPlanChanges {
     pub fn is_empty(&self) -> bool {
-        self.seats.is_empty() && self.blocks.is_empty()
+        self.allocations.is_empty() && self.shards.is_empty()
     }
 
-    /// Whether nobody waits for it: machines change their use within their blocks, or
+    /// Whether nobody waits for it: machines change their use within their shards, or
     /// are out of them since they are gone.
     pub fn can_wait(&self, cache: &StateCache) -> bool {
-        let is_same_lease = |id: &BlockId, block: &BlockRecord| {
-            cache.blocks.get(id).is_some_and(|kept| {
-                let old = &kept.value;
-                let has_new = block.machines.keys().any(|m| !old.machines.contains_key(m));
+        let is_same_lease = |id: &ShardId, shard: &ShardRecord| {
+            cache.shards.get(id).is_some_and(|entry| {
+                let old = &entry.value;
+                let has_new = shard.machines.keys().any(|m| !old.machines.contains_key(m));
                 let is_gone = |m: &MachineId| {
-                    block.machines.contains_key(m) || !cache.machines.contains_key(m)
+                    shard.machines.contains_key(m) || !cache.machines.contains_key(m)
                 };
-                (&old.node, old.holder, old.frozen) == (&block.node, block.holder, block.frozen)
+                (&old.controller, old.owner, old.cordoned)
+                    == (&shard.controller, shard.owner, shard.cordoned)
                     && !has_new
                     && old.machines.keys().all(is_gone)
             })
         };
-        self.seats.is_empty()
+        self.allocations.is_empty()
             && self
-                .blocks
+                .shards
                 .iter()
-                .all(|(id, block)| is_same_lease(id, block))
+                .all(|(id, shard)| is_same_lease(id, shard))
     }
 
     /// The commit that carries it out, on condition that the records are still
     /// those of the cache.
     pub fn transaction(&self, cache: &StateCache) -> Transaction {
         let mut transaction = Transaction::default();
-        for (node, seat) in &self.seats {
-            let mark = cache
-                .seats
-                .get(node)
-                .map_or(Revision(0), |kept| kept.revision);
+        for (controller, allocation) in &self.allocations {
+            let revision = cache
+                .allocations
+                .get(controller)
+                .map_or(Revision(0), |entry| entry.revision);
             transaction = transaction
-                .require(keys::seat(node), mark)
-                .set(keys::seat(node), seat);
+                .require(keys::allocation(controller), revision)
+                .set(keys::allocation(controller), allocation);
         }
-        for (id, block) in &self.blocks {
-            let mark = cache
-                .blocks
+        for (id, shard) in &self.shards {
+            let revision = cache
+                .shards
                 .get(id)
-                .map_or(Revision(0), |kept| kept.revision);
+                .map_or(Revision(0), |entry| entry.revision);
             transaction = transaction
-                .require(keys::block(*id), mark)
-                .set(keys::block(*id), block);
+                .require(keys::shard(*id), revision)
+                .set(keys::shard(*id), shard);
         }
         transaction
     }
 }
 
 /// What changes in this pass; empty when all is well.
-pub fn plan(cache: &StateCache, teams: &[Team], hints: &Hints) -> Changed {
+pub fn plan(cache: &StateCache, teams: &[Team], inputs: &ShardPlanInputs) -> ShardPlanChanges {
     // Every record must be one that the cache has fully caught up with.
     if cache
-        .seats
+        .allocations
         .values()
-        .any(|kept| kept.revision > cache.revision)
+        .any(|entry| entry.revision > cache.revision)
         || cache
-            .blocks
+            .shards
             .values()
-            .any(|kept| kept.revision > cache.revision)
+            .any(|entry| entry.revision > cache.revision)
     {
-        return Changed::default();
+        return ShardPlanChanges::default();
     }
     let mut load = BTreeMap::new();
-    for kept in cache.blocks.values() {
-        *load.entry(kept.value.node.clone()).or_default() += kept.value.machines.len();
+    for entry in cache.shards.values() {
+        *load.entry(entry.value.controller.clone()).or_default() += entry.value.machines.len();
     }
-    let seats = cache
-        .seats
+    let allocations = cache
+        .allocations
         .iter()
-        .map(|(node, kept)| (node.clone(), kept.value.clone()));
-    let blocks = cache
-        .blocks
+        .map(|(controller, entry)| (controller.clone(), entry.value.clone()));
+    let shards = cache
+        .shards
         .iter()
-        .map(|(id, kept)| (*id, kept.value.clone()));
-    let mut plan = Plan {
+        .map(|(id, entry)| (*id, entry.value.clone()));
+    let mut plan = ShardPlan {
         cache,
-        seats: seats.collect(),
-        blocks: blocks.collect(),
-        alive: cache.nodes.keys().cloned().collect(),
-        shunned: &hints.shunned,
+        allocations: allocations.collect(),
+        shards: shards.collect(),
+        alive: cache.controllers.keys().cloned().collect(),
+        avoided_owners: &inputs.avoided_owners,
         touched: BTreeSet::new(),
-        reseated: BTreeSet::new(),
-        most: hints.most.max(LEAST_CHANGES),
+        touched_allocations: BTreeSet::new(),
+        max_changes: inputs.max_changes.max(MIN_CHANGES),
         load,
         targets: Targets::default(),
     };
-    plan.seat_holders();
-    plan.lease_unheld();
-    plan.move_blocks(hints);
-    plan.rescue_stranded(hints);
-    plan.set_uses(hints);
-    plan.clear_gone();
-    plan.assign_new();
-    plan.share_budgets(teams, hints);
+    plan.assign_allocations();
+    plan.lease_unowned();
+    plan.move_shards(inputs);
+    plan.hand_off_unreachable(inputs);
+    plan.set_machine_uses(inputs);
+    plan.remove_terminated();
+    plan.assign_new_machines();
+    plan.divide_quota(teams, inputs);
     plan.changed()
 }
 
-impl Plan<'_> {
+impl ShardPlan<'_> {
     /// Whether these may be changed in this pass, all of them; they then count.
-    fn touch_all(&mut self, blocks: &[BlockId], seats: &[&NodeName]) -> bool {
-        let mut new = blocks.to_vec();
+    fn touch_all(&mut self, shards: &[ShardId], allocations: &[&ControllerName]) -> bool {
+        let mut new = shards.to_vec();
         new.retain(|id| !self.touched.contains(id));
         new.dedup();
-        let reseated = seats.iter().filter(|node| !self.reseated.contains(**node));
-        let count = self.touched.len() + self.reseated.len() + new.len() + reseated.count();
-        if count > self.most {
+        let touched_allocations = allocations
+            .iter()
+            .filter(|controller| !self.touched_allocations.contains(**controller));
+        let count = self.touched.len()
+            + self.touched_allocations.len()
+            + new.len()
+            + touched_allocations.count();
+        if count > self.max_changes {
             return false;
         }
         self.touched.extend(new);
-        self.reseated
-            .extend(seats.iter().map(|node| (*node).clone()));
+        self.touched_allocations
+            .extend(allocations.iter().map(|controller| (*controller).clone()));
         true
     }
 
-    fn touch(&mut self, id: BlockId) -> bool {
+    fn touch(&mut self, id: ShardId) -> bool {
         self.touch_all(&[id], &[])
     }
 
-    fn reseat(&mut self, node: &NodeName) -> bool {
-        self.touch_all(&[], &[node])
+    fn touch_allocation(&mut self, controller: &ControllerName) -> bool {
+        self.touch_all(&[], &[controller])
     }
 
-    fn incarnation(&self, node: &NodeName) -> Option<Incarnation> {
-        Some(self.cache.nodes.get(node)?.value.incarnation)
+    fn incarnation(&self, controller: &ControllerName) -> Option<Incarnation> {
+        Some(self.cache.controllers.get(controller)?.value.incarnation)
     }
 
-    /// Each living process holds its node's seat; a dead one holds nothing, and
+    /// Each living process holds its controller's allocation; a dead one holds nothing, and
     /// its budgets are void. This alone fences all placements of the old process.
-    fn seat_holders(&mut self) {
-        for (node, kept) in &self.cache.nodes {
-            let holder = Some(kept.value.incarnation);
-            let known = self.seats.get(node);
-            if known.is_none_or(|seat| seat.holder != holder) && self.reseat(node) {
-                self.seats.entry(node.clone()).or_default().holder = holder;
+    fn assign_allocations(&mut self) {
+        for (controller, entry) in &self.cache.controllers {
+            let owner = Some(entry.value.incarnation);
+            let known = self.allocations.get(controller);
+            if known.is_none_or(|allocation| allocation.owner != owner)
+                && self.touch_allocation(controller)
+            {
+                self.allocations
+                    .entry(controller.clone())
+                    .or_default()
+                    .owner = owner;
             }
         }
-        let dead = self
-            .seats
-            .iter()
-            .filter(|(node, seat)| !self.cache.nodes.contains_key(*node) && seat.holder.is_some());
-        let dead: Vec<NodeName> = dead.map(|(node, _)| node.clone()).collect();
-        for node in dead {
-            if self.reseat(&node)
-                && let Some(seat) = self.seats.get_mut(&node)
+        let dead = self.allocations.iter().filter(|(controller, allocation)| {
+            !self.cache.controllers.contains_key(*controller) && allocation.owner.is_some()
+        });
+        let dead: Vec<ControllerName> = dead.map(|(controller, _)| controller.clone()).collect();
+        for controller in dead {
+            if self.touch_allocation(&controller)
+                && let Some(allocation) = self.allocations.get_mut(&controller)
             {
-                seat.holder = None;
-                seat.budgets.clear();
+                allocation.owner = None;
+                allocation.budgets.clear();
             }
         }
     }
 
     /// The living controller for machines of this zone: one of the zone, else
     /// the one with the fewest machines.
-    fn home(&self, zone: &ZoneName) -> Option<NodeName> {
+    fn owner_for_zone(&self, zone: &ZoneName) -> Option<ControllerName> {
         self.alive
             .iter()
-            .filter_map(|node| {
-                let near = self.cache.nodes.get(node)?.value.zone == *zone;
-                let load = self.load.get(node).copied().unwrap_or(0);
-                Some((self.shunned.contains(node), !near, load, node))
+            .filter_map(|controller| {
+                let near = self.cache.controllers.get(controller)?.value.zone == *zone;
+                let load = self.load.get(controller).copied().unwrap_or(0);
+                Some((
+                    self.avoided_owners.contains(controller),
+                    !near,
+                    load,
+                    controller,
+                ))
             })
             .min()
-            .map(|(_, _, _, node)| node.clone())
+            .map(|(_, _, _, controller)| controller.clone())
     }
 
-    fn hand_over(&mut self, id: BlockId, to: &NodeName) {
-        let Some(holder) = self.incarnation(to) else {
+    fn hand_over(&mut self, id: ShardId, to: &ControllerName) {
+        let Some(owner) = self.incarnation(to) else {
             return;
         };
-        if let Some(block) = self.blocks.get_mut(&id) {
-            let count = block.machines.len();
-            if let Some(load) = self.load.get_mut(&block.node) {
+        if let Some(shard) = self.shards.get_mut(&id) {
+            let count = shard.machines.len();
+            if let Some(load) = self.load.get_mut(&shard.controller) {
                 *load = load.saturating_sub(count);
             }
             *self.load.entry(to.clone()).or_default() += count;
-            block.node = to.clone();
-            block.holder = holder;
-            block.frozen = false;
+            shard.controller = to.clone();
+            shard.owner = owner;
+            shard.cordoned = false;
         }
     }
 
     /// Whether machines that move to a controller raise its budgets, as they bring tasks
     /// along. It may not have read yet what came to it, and places within the budgets
-    /// that it knows: only a change of its seat voids that. By the larger of budget and
+    /// that it knows: only a change of its allocation voids that. By the larger of budget and
     /// use alone, what it places then would be granted to others as well.
     fn raises_budgets(&self, machines: &[MachineId]) -> bool {
         !self.cache.quota_used(machines.iter()).is_empty()
     }
 
-    /// Whether the controller's seat may be changed at all: the living process holds it.
-    fn is_seated_in_plan(&self, node: &NodeName) -> bool {
-        let holder = self.incarnation(node);
-        let seat = self.seats.get(node);
-        holder.is_some() && seat.is_some_and(|seat| seat.holder == holder)
+    /// Whether the controller's allocation may be changed at all: the living process holds it.
+    fn has_current_allocation(&self, controller: &ControllerName) -> bool {
+        let owner = self.incarnation(controller);
+        let allocation = self.allocations.get(controller);
+        owner.is_some() && allocation.is_some_and(|allocation| allocation.owner == owner)
     }
 
     /// Raises a controller's budgets by what is used on machines that come to it. What is
     /// used there can only shrink meanwhile: nobody places on them.
-    fn raise_budgets(&mut self, to: &NodeName, machines: &[MachineId]) {
+    fn raise_budgets(&mut self, to: &ControllerName, machines: &[MachineId]) {
         let moved = self.cache.quota_used(machines.iter());
-        if let Some(seat) = self.seats.get_mut(to) {
+        if let Some(allocation) = self.allocations.get_mut(to) {
             for (team, used) in moved {
-                let budget = seat.budgets.entry(team).or_default();
+                let budget = allocation.budgets.entry(team).or_default();
                 *budget = budget.plus(&used);
             }
         }
     }
 
-    /// Whether a block and its machines may move to a controller in this pass, with the
-    /// seats that change for it; they then count.
+    /// Whether a shard and its machines may move to a controller in this pass, with the
+    /// allocations that change for it; they then count.
     fn touch_move(
         &mut self,
-        blocks: &[BlockId],
-        from: Option<&NodeName>,
-        to: &NodeName,
+        shards: &[ShardId],
+        from: Option<&ControllerName>,
+        to: &ControllerName,
         machines: &[MachineId],
     ) -> bool {
         let raises = self.raises_budgets(machines);
-        if raises && !self.is_seated_in_plan(to) {
+        if raises && !self.has_current_allocation(to) {
             return false;
         }
-        let mut seats: Vec<&NodeName> = from.into_iter().collect();
+        let mut allocations: Vec<&ControllerName> = from.into_iter().collect();
         if raises {
-            seats.push(to);
+            allocations.push(to);
         }
-        self.touch_all(blocks, &seats)
+        self.touch_all(shards, &allocations)
     }
 
-    fn machines_in(&self, id: BlockId) -> Vec<MachineId> {
-        let block = self.blocks.get(&id);
-        let machines = block.into_iter().flat_map(|block| block.machines.keys());
+    fn machines_in(&self, id: ShardId) -> Vec<MachineId> {
+        let shard = self.shards.get(&id);
+        let machines = shard.into_iter().flat_map(|shard| shard.machines.keys());
         machines.cloned().collect()
     }
 
-    /// Blocks whose holder's seat is fenced, as the cache shows: a restarted
-    /// process gets its node's blocks with new tokens, those of a dead one go to
+    /// Shards whose owner's allocation is fenced, as the cache shows: a restarted
+    /// process gets its controller's shards with new tokens, those of a dead one go to
     /// living controllers.
-    fn lease_unheld(&mut self) {
-        let unheld: Vec<(BlockId, NodeName)> = self
+    fn lease_unowned(&mut self) {
+        let unowned: Vec<(ShardId, ControllerName)> = self
             .cache
-            .blocks
+            .shards
             .iter()
-            .filter(|(_, kept)| !self.cache.is_seated(&kept.value))
-            .map(|(id, kept)| (*id, kept.value.node.clone()))
+            .filter(|(_, entry)| !self.cache.has_current_owner(&entry.value))
+            .map(|(id, entry)| (*id, entry.value.controller.clone()))
             .collect();
-        for (id, node) in unheld {
-            let seated = self
+        for (id, controller) in unowned {
+            let allocated_to = self
                 .cache
-                .seats
-                .get(&node)
-                .and_then(|seat| seat.value.holder);
-            let own = seated.is_some() && seated == self.incarnation(&node);
+                .allocations
+                .get(&controller)
+                .and_then(|allocation| allocation.value.owner);
+            let own = allocated_to.is_some() && allocated_to == self.incarnation(&controller);
             let target = if own {
-                Some(node)
-            } else if seated.is_none() {
+                Some(controller)
+            } else if allocated_to.is_none() {
                 let zone = self.zone_of(id);
-                zone.and_then(|zone| self.home(&zone))
+                zone.and_then(|zone| self.owner_for_zone(&zone))
                     .or_else(|| self.alive.first().cloned())
             } else {
-                // Its seat passes to another process in this pass.
+                // Its allocation passes to another process in this pass.
                 None
             };
             let Some(target) = target else { continue };
             if own {
-                // Its seat has kept the budgets for what is on them.
+                // Its allocation has kept the budgets for what is on them.
                 if self.touch(id) {
                     self.hand_over(id, &target);
                 }
@@ -376,98 +391,98 @@
         }
     }
 
-    /// A block's machines are of one zone, as far as their holders were.
-    fn zone_of(&self, id: BlockId) -> Option<ZoneName> {
-        let block = self.blocks.get(&id)?;
-        let machine = block
+    /// A shard's machines are of one zone, as far as their owners were.
+    fn zone_of(&self, id: ShardId) -> Option<ZoneName> {
+        let shard = self.shards.get(&id)?;
+        let machine = shard
             .machines
             .keys()
             .find_map(|machine| self.cache.machines.get(machine))?;
         Some(machine.zone.clone())
     }
 
-    /// Machines that stand in no rental have been returned. They do no harm in a
-    /// block, while each change of it voids placements that are under way: they
-    /// go when there are several, or when the block changes anyway.
-    fn clear_gone(&mut self) {
-        let mut gone: Vec<BlockId> = Vec::new();
-        for (id, block) in &self.blocks {
+    /// Machines that stand in no machine group have been returned. They do no harm in a
+    /// shard, while each change of it voids placements that are under way: they
+    /// go when there are several, or when the shard changes anyway.
+    fn remove_terminated(&mut self) {
+        let mut gone: Vec<ShardId> = Vec::new();
+        for (id, shard) in &self.shards {
             let known = |machine| self.cache.machines.contains_key(machine);
-            let count = block.machines.keys().filter(|m| !known(*m)).count();
+            let count = shard.machines.keys().filter(|m| !known(*m)).count();
             let changes = self.touched.contains(id);
-            if count > block.machines.len() / 4 || (count > 0 && changes) {
+            if count > shard.machines.len() / 4 || (count > 0 && changes) {
                 gone.push(*id);
             }
         }
         for id in gone {
             if self.touch(id)
-                && let Some(block) = self.blocks.get_mut(&id)
+                && let Some(shard) = self.shards.get_mut(&id)
             {
-                block
+                shard
                     .machines
                     .retain(|machine, _| self.cache.machines.contains_key(machine));
             }
         }
     }
 
-    /// Blocks leased to another living controller: frozen first, and moved when
+    /// Shards leased to another living controller: cordoned first, and moved when
     /// the cache shows them so, since only then what is on them is known for good.
-    fn move_blocks(&mut self, hints: &Hints) {
-        for (id, kept) in &self.cache.blocks {
-            let target = hints.moving.get(id).filter(|target| {
-                **target != kept.value.node
+    fn move_shards(&mut self, inputs: &ShardPlanInputs) {
+        for (id, entry) in &self.cache.shards {
+            let target = inputs.moving.get(id).filter(|target| {
+                **target != entry.value.controller
                     && self.alive.contains(target)
-                    && self.cache.is_seated(&kept.value)
+                    && self.cache.has_current_owner(&entry.value)
             });
             match target {
-                Some(target) if kept.value.frozen => {
-                    let machines: Vec<MachineId> = kept.value.machines.keys().cloned().collect();
-                    if !self.touch_move(&[*id], Some(&kept.value.node), target, &machines) {
+                Some(target) if entry.value.cordoned => {
+                    let machines: Vec<MachineId> = entry.value.machines.keys().cloned().collect();
+                    if !self.touch_move(&[*id], Some(&entry.value.controller), target, &machines) {
                         continue;
                     }
-                    self.move_use(&kept.value.node, &machines);
+                    self.move_use(&entry.value.controller, &machines);
                     self.raise_budgets(target, &machines);
                     self.hand_over(*id, target);
                 }
                 wanted => {
-                    let frozen = wanted.is_some();
-                    let differs = self.blocks.get(id).is_some_and(|b| b.frozen != frozen);
+                    let cordoned = wanted.is_some();
+                    let differs = self.shards.get(id).is_some_and(|b| b.cordoned != cordoned);
                     if differs
                         && self.touch(*id)
-                        && let Some(block) = self.blocks.get_mut(id)
+                        && let Some(shard) = self.shards.get_mut(id)
                     {
-                        block.frozen = frozen;
+                        shard.cordoned = cordoned;
                     }
                 }
             }
         }
     }
 
-    /// The use leaves with machines, so must the budget for it: the old holder
+    /// The use leaves with machines, so must the budget for it: the old owner
     /// could use it a second time.
-    fn move_use(&mut self, from: &NodeName, machines: &[MachineId]) {
+    fn move_use(&mut self, from: &ControllerName, machines: &[MachineId]) {
         let moved = self.cache.quota_used(machines.iter());
-        if let Some(seat) = self.seats.get_mut(from) {
+        if let Some(allocation) = self.allocations.get_mut(from) {
             for (team, used) in moved {
-                if let Some(budget) = seat.budgets.get_mut(&team) {
+                if let Some(budget) = allocation.budgets.get_mut(&team) {
                     *budget = budget.minus(&used).at_least_zero();
                 }
             }
         }
     }
 
-    /// Single machines that their holder has lost go to the one that hears them,
-    /// once the cache shows them frozen.
-    fn rescue_stranded(&mut self, hints: &Hints) {
-        for (machine, target) in &hints.stranded {
-            let Some((id, kept)) = self.cache.block_of(machine) else {
+    /// Single machines that their owner has lost go to the one that hears them,
+    /// once the cache shows them cordoned.
+    fn hand_off_unreachable(&mut self, inputs: &ShardPlanInputs) {
+        for (machine, target) in &inputs.owner_unreachable {
+            let Some((id, entry)) = self.cache.shard_of(machine) else {
                 continue;
             };
-            let frozen = kept.value.machines.get(machine) == Some(&MachineUse::Frozen);
-            if !frozen
-                || kept.value.node == *target
+            let cordoned = entry.value.machines.get(machine) == Some(&MachineUse::Cordoned);
+            if !cordoned
+                || entry.value.controller == *target
                 || !self.alive.contains(target)
-                || !self.cache.is_seated(&kept.value)
+                || !self.cache.has_current_owner(&entry.value)
                 || !self.cache.machines.contains_key(machine)
             {
                 continue;
@@ -475,34 +490,34 @@
             let Some(zone) = self.cache.machines.get(machine).map(|m| m.zone.clone()) else {
                 continue;
             };
-            let Some(new) = self.block_with_place(target, &zone) else {
+            let Some(new) = self.shard_with_space(target, &zone) else {
                 continue;
             };
             let moved = std::slice::from_ref(machine);
-            if !self.touch_move(&[id, new], Some(&kept.value.node), target, moved) {
+            if !self.touch_move(&[id, new], Some(&entry.value.controller), target, moved) {
                 continue;
             }
-            self.move_use(&kept.value.node, moved);
+            self.move_use(&entry.value.controller, moved);
             self.raise_budgets(target, moved);
-            if let Some(block) = self.blocks.get_mut(&id) {
-                block.machines.remove(machine);
+            if let Some(shard) = self.shards.get_mut(&id) {
+                shard.machines.remove(machine);
             }
-            self.put(new, target, machine);
+            self.put_machine(new, target, machine);
         }
     }
 
-    /// A block of this controller for one more machine of the zone; a new one if
+    /// A shard of this controller for one more machine of the zone; a new one if
     /// need be.
-    fn block_with_place(&self, node: &NodeName, zone: &ZoneName) -> Option<BlockId> {
-        let holder = self.incarnation(node)?;
-        let open = self.blocks.iter().filter(|(_, block)| {
-            block.node == *node
-                && block.holder == holder
-                && !block.frozen
-                && block.machines.len() < BLOCK_SIZE
+    fn shard_with_space(&self, controller: &ControllerName, zone: &ZoneName) -> Option<ShardId> {
+        let owner = self.incarnation(controller)?;
+        let open = self.shards.iter().filter(|(_, shard)| {
+            shard.controller == *controller
+                && shard.owner == owner
+                && !shard.cordoned
+                && shard.machines.len() < SHARD_SIZE
         });
         let fitting = open
-            .map(|(id, block)| (*id, block.machines.len()))
+            .map(|(id, shard)| (*id, shard.machines.len()))
             .filter(|(id, _)| self.zone_of(*id).is_none_or(|other| other == *zone));
         // One that changes in this pass anyway, else the fullest, so that few
         // machines are disturbed.
@@ -510,61 +525,63 @@
             .max_by_key(|(id, count)| (self.touched.contains(id), *count))
             .map(|(id, _)| id)
             .or_else(|| {
-                let last = self.blocks.keys().next_back();
-                Some(last.map_or(BlockId(1), |id| BlockId(id.0 + 1)))
+                let last = self.shards.keys().next_back();
+                Some(last.map_or(ShardId(1), |id| ShardId(id.0 + 1)))
             })
     }
 
-    fn put(&mut self, id: BlockId, node: &NodeName, machine: &MachineId) {
-        let Some(holder) = self.incarnation(node) else {
+    fn put_machine(&mut self, id: ShardId, controller: &ControllerName, machine: &MachineId) {
+        let Some(owner) = self.incarnation(controller) else {
             return;
         };
-        let block = self.blocks.entry(id).or_insert_with(|| BlockRecord {
-            node: node.clone(),
-            holder,
-            frozen: false,
+        let shard = self.shards.entry(id).or_insert_with(|| ShardRecord {
+            controller: controller.clone(),
+            owner,
+            cordoned: false,
             machines: BTreeMap::new(),
         });
-        block.machines.insert(machine.clone(), MachineUse::Open);
-        *self.load.entry(node.clone()).or_default() += 1;
+        shard
+            .machines
+            .insert(machine.clone(), MachineUse::Available);
+        *self.load.entry(controller.clone()).or_default() += 1;
     }
 
-    fn assign_new(&mut self) {
+    fn assign_new_machines(&mut self) {
         for (machine, record) in &self.cache.machines {
-            if self.cache.block_of(machine).is_some() {
+            if self.cache.shard_of(machine).is_some() {
                 continue;
             }
-            let Some(home) = self.home(&record.zone) else {
+            let Some(owner) = self.owner_for_zone(&record.zone) else {
                 return;
             };
             let new = std::slice::from_ref(machine);
-            if let Some(id) = self.block_with_place(&home, &record.zone)
-                && self.touch_move(&[id], None, &home, new)
+            if let Some(id) = self.shard_with_space(&owner, &record.zone)
+                && self.touch_move(&[id], None, &owner, new)
             {
-                self.raise_budgets(&home, new);
-                self.put(id, &home, machine);
+                self.raise_budgets(&owner, new);
+                self.put_machine(id, &owner, machine);
             }
         }
     }
 
-    /// Marks, freezes and thaws machines.
-    fn set_uses(&mut self, hints: &Hints) {
-        let mut changes: Vec<(BlockId, MachineId, MachineUse)> = Vec::new();
-        for (id, block) in &self.blocks {
-            for (machine, usage) in &block.machines {
-                let stranded = hints
-                    .stranded
-                    .get(machine)
-                    .is_some_and(|target| *target != block.node && self.alive.contains(target));
-                let wanted = if stranded || hints.returning.contains(machine) {
-                    MachineUse::Frozen
-                } else if hints.marked.contains(machine)
+    /// Marks, cordons and uncordons machines.
+    fn set_machine_uses(&mut self, inputs: &ShardPlanInputs) {
+        let mut changes: Vec<(ShardId, MachineId, MachineUse)> = Vec::new();
+        for (id, shard) in &self.shards {
+            for (machine, usage) in &shard.machines {
+                let owner_unreachable =
+                    inputs.owner_unreachable.get(machine).is_some_and(|target| {
+                        *target != shard.controller && self.alive.contains(target)
+                    });
+                let wanted = if owner_unreachable || inputs.releasing.contains(machine) {
+                    MachineUse::Cordoned
+                } else if inputs.draining_machines.contains(machine)
                     && self.cache.on_machine.contains_key(machine)
                 {
                     // One that is idle gets no more offers, which costs no change.
-                    MachineUse::Marked
+                    MachineUse::Draining
                 } else {
-                    MachineUse::Open
+                    MachineUse::Available
                 };
                 if wanted != *usage {
                     changes.push((*id, machine.clone(), wanted));
@@ -573,25 +590,35 @@
         }
         for (id, machine, wanted) in changes {
             if self.touch(id)
-                && let Some(block) = self.blocks.get_mut(&id)
+                && let Some(shard) = self.shards.get_mut(&id)
             {
-                block.machines.insert(machine, wanted);
+                shard.machines.insert(machine, wanted);
             }
         }
     }
 
-    fn changed(self) -> Changed {
+    fn changed(self) -> ShardPlanChanges {
         let cache = self.cache;
-        Changed {
-            seats: self
-                .seats
+        ShardPlanChanges {
+            allocations: self
+                .allocations
                 .into_iter()
-                .filter(|(node, seat)| cache.seats.get(node).is_none_or(|kept| kept.value != *seat))
+                .filter(|(controller, allocation)| {
+                    cache
+                        .allocations
+                        .get(controller)
+                        .is_none_or(|entry| entry.value != *allocation)
+                })
                 .collect(),
-            blocks: self
-                .blocks
+            shards: self
+                .shards
                 .into_iter()
-                .filter(|(id, block)| cache.blocks.get(id).is_none_or(|kept| kept.value != *block))
+                .filter(|(id, shard)| {
+                    cache
+                        .shards
+                        .get(id)
+                        .is_none_or(|entry| entry.value != *shard)
+                })
                 .collect(),
             targets: self.targets,
         }
--- a/src/coordination/leader/zone_assignment.rs
+++ b/src/coordination/leader/zone_assignment.rs
@@ -1,7 +1,7 @@
 //! The zones that jobs of many records are confined to.
 //!
 //! A job that must be in one zone and has too many run records for a placement to depend
-//! on all of them (see [`ZoneScope`](super::super::policy::zones::ZoneScope)) is placed
+//! on all of them (see [`ZoneScope`](super::super::policy::zone_constraint::ZoneScope)) is placed
 //! only in the zone that its spec names, and only while the spec is unchanged. The zone
 //! is changed in two steps: taking it back voids every placement under way, since each is
 //! conditional on the spec; the next one is written once the replica has passed that
@@ -12,78 +12,85 @@
 use tokio::time::Instant;
 
 use super::{
-    super::node::{Node, lock},
-    routing::HomeChange,
+    super::controller::{Controller, lock},
+    routing::ZoneAssignment,
 };
 use crate::storage::{
-    JobSpec, Revision, StateCache, Transaction, ZoneName, budget::Urgency, keys, state_cache::Job,
+    JobSpec, Revision, StateCache, Transaction, ZoneName, keys, rate_limiter::RequestPriority,
+    state_cache::Job,
 };
 
 /// Between two changes of a job's zone, so that it does not go to and fro between zones
 /// that others fill.
 const REST: Duration = Duration::from_secs(5);
 /// Zones written in one pass.
-const HOMES_PER_PASS: usize = 4;
+const ASSIGNMENTS_PER_PASS: usize = 4;
 
-impl Node {
+impl Controller {
     /// Writes the zones that routing has chosen, or takes them back.
-    pub(super) async fn write_homes(&self, changes: Vec<HomeChange>) {
-        for change in changes.into_iter().take(HOMES_PER_PASS) {
-            if self.store.commit_wait(Urgency::Place).is_some() || !self.may_change_home(&change) {
+    pub(super) async fn write_zone_assignments(&self, changes: Vec<ZoneAssignment>) {
+        for change in changes.into_iter().take(ASSIGNMENTS_PER_PASS) {
+            if self.store.commit_wait(RequestPriority::Placement).is_some()
+                || !self.may_change_assignment(&change)
+            {
                 continue;
             }
-            let Some(transaction) = home_transaction(&self.store.cache(), &change) else {
+            let Some(transaction) = assignment_transaction(&self.store.cache(), &change) else {
                 continue;
             };
-            let written = self.commit_as_leader(transaction, Urgency::Place).await;
+            let written = self
+                .commit_as_leader(transaction, RequestPriority::Placement)
+                .await;
             if written.is_err() {
-                self.store.fresh().await;
+                self.store.read_barrier().await;
                 return;
             }
-            tracing::debug!(job = %change.job, zone = ?change.zone, "zone of the job");
-            lock(&self.leader).homes.insert(change.job, Instant::now());
+            tracing::debug!(job = %change.job, zone = ?change.zone, "zone assigned");
+            lock(&self.leader)
+                .zone_assignments
+                .insert(change.job, Instant::now());
         }
     }
 
     /// A zone may follow at once on the one that was taken back.
-    fn may_change_home(&self, change: &HomeChange) -> bool {
+    fn may_change_assignment(&self, change: &ZoneAssignment) -> bool {
         let mut state = lock(&self.leader);
-        state.homes.retain(|_, at| at.elapsed() < REST);
-        change.zone.is_some() || !state.homes.contains_key(&change.job)
+        state.zone_assignments.retain(|_, at| at.elapsed() < REST);
+        change.zone.is_some() || !state.zone_assignments.contains_key(&change.job)
     }
 }
 
 /// The change of a job's spec; none if the replica can't tell yet that it is allowed.
-fn home_transaction(cache: &StateCache, change: &HomeChange) -> Option<Transaction> {
+fn assignment_transaction(cache: &StateCache, change: &ZoneAssignment) -> Option<Transaction> {
     let job = cache.jobs.get(&change.job)?;
-    let kept = job.spec.as_ref()?;
+    let entry = job.spec.as_ref()?;
     let allowed = match &change.zone {
         None => true,
-        Some(zone) => may_settle(cache, job, kept.revision, zone),
+        Some(zone) => may_assign(cache, job, entry.revision, zone),
     };
-    if !allowed || job.draining.is_some() {
+    if !allowed || job.cleanup_since.is_some() {
         return None;
     }
     let spec = JobSpec {
-        home: change.zone.clone(),
-        ..(*kept.value).clone()
+        assigned_zone: change.zone.clone(),
+        ..(*entry.value).clone()
     };
     let key = keys::spec(&change.job);
     Some(
         Transaction::default()
-            .require(key.clone(), kept.revision)
-            .require(keys::fate(&change.job), Revision(0))
+            .require(key.clone(), entry.revision)
+            .require(keys::outcome(&change.job), Revision(0))
             .set(key, &spec),
     )
 }
 
 /// Whether no task of the job can be in another zone: every placement made under an
-/// earlier spec is in the replica, and so is every machine that is still rented.
-fn may_settle(cache: &StateCache, job: &Job, spec: Revision, zone: &ZoneName) -> bool {
+/// earlier spec is in the replica, and so is every machine that is still provisioned.
+fn may_assign(cache: &StateCache, job: &Job, spec: Revision, zone: &ZoneName) -> bool {
     let caught_up = cache
-        .rentals
+        .machine_groups
         .values()
-        .all(|kept| kept.revision <= cache.revision);
+        .all(|entry| entry.revision <= cache.revision);
     let mut zones = job
         .present_placements()
         .map(|(_, placement)| cache.machines.get(&placement.machine));
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -1,97 +1,99 @@
-//! A controller's own grant: it shows that the process lives and carries its
-//! claim to leadership. Both keys go when the grant does.
+//! A controller's membership: the lease that shows that the process lives and carries its
+//! claim to leadership. Both keys go when the lease does.
 
 use std::time::Duration;
 
 use super::{
-    node::{Node, lock},
-    ports::Dialect,
+    controller::{Controller, lock},
+    ports::ProtocolVersion,
 };
 use crate::storage::{
-    budget::Urgency,
-    chance,
-    client::GrantId,
-    keys,
-    records::{LeaderRecord, NodeRecord},
+    client::LeaseId,
+    jitter, keys,
+    rate_limiter::RequestPriority,
+    records::{ControllerRecord, LeaderRecord},
     *,
 };
 
-impl Node {
-    /// Duty: keeps the grant, registers this process and stands for leadership.
-    pub(super) async fn keep_session(&self) {
-        let life = self.config.tuning.node_lease;
-        let mut grant: Option<GrantId> = None;
+impl Controller {
+    /// Duty: renews the lease, registers this process and stands for leadership.
+    pub(super) async fn run_membership(&self) {
+        let ttl = self.config.tuning.controller_lease;
+        let mut lease: Option<LeaseId> = None;
         while !self.stop.is_cancelled() {
-            let held = match grant {
-                Some(held) => match self.store.renew(held).await {
-                    Ok(()) => Some(held),
+            let current = match lease {
+                Some(current) => match self.store.renew_lease(current).await {
+                    Ok(()) => Some(current),
                     // It ended, and our keys with it.
-                    Err(StateError::NoGrant) => {
-                        tracing::info!("our grant has ended");
+                    Err(StateError::LeaseExpired) => {
+                        tracing::info!("lease expired");
                         None
                     }
                     // Unknown: it may still live; try on.
-                    Err(_) => Some(held),
+                    Err(_) => Some(current),
                 },
                 None => None,
             };
-            grant = match held {
-                Some(held) => Some(held),
-                None => self.register(life).await,
+            lease = match current {
+                Some(current) => Some(current),
+                None => self.register(ttl).await,
             };
-            if grant.is_some() && self.is_unregistered() {
+            if lease.is_some() && self.is_unregistered() {
                 // Whatever took our key away, it can only be had anew: without it
-                // no block is leased to us.
-                tracing::info!("our registration is gone; registering again");
-                grant = None;
+                // no shard is leased to us.
+                tracing::info!("registration lost; registering again");
+                lease = None;
                 continue;
             }
-            if let Some(held) = grant
+            if let Some(current) = lease
                 && self.store.is_loaded()
             {
-                self.stand_for_leader(held).await;
+                self.campaign(current).await;
                 // Elected by a commit whose answer was lost: only the cache tells.
-                if self.is_leader().is_some() {
-                    lock(&self.leader).take_grant(held);
+                if self.leadership().is_some() {
+                    lock(&self.leader).adopt_lease(current);
                 }
             }
-            let living = self.store.cache().nodes.len();
+            let living = self.store.cache().controllers.len();
             // The limits to come may hold from the time on when all can keep to them.
-            let lowered = self.all_read(Dialect::GANGS);
-            let leads = self.is_leader().is_some();
+            let lowered = self.all_support(ProtocolVersion::GANGS);
+            let leads = self.leadership().is_some();
             self.store.share_limits(living, leads, lowered);
-            let wait = if grant.is_some() { life / 5 } else { life / 20 };
-            if !self.pause(wait.mul_f64(chance::share(0.8, 1.2))).await {
+            let wait = if lease.is_some() { ttl / 5 } else { ttl / 20 };
+            if !self.pause(wait.mul_f64(jitter::uniform(0.8, 1.2))).await {
                 return;
             }
         }
     }
 
-    async fn register(&self, life: Duration) -> Option<GrantId> {
-        let grant = self.store.grant(life).await.ok()?;
-        let record = NodeRecord {
+    async fn register(&self, ttl: Duration) -> Option<LeaseId> {
+        let lease = self.store.grant_lease(ttl).await.ok()?;
+        let record = ControllerRecord {
             incarnation: self.config.incarnation,
             zone: self.config.zone.clone(),
-            dialect: self.config.dialect.0,
+            protocol_version: self.config.protocol_version.0,
         };
         // Whatever the key says of an earlier process, that one is dead. On the
         // condition of the revision that it has now: a registration of that
         // process, or an earlier try of ours, that is applied late would put the
-        // key under a grant that ends, and take it away with it.
-        let key = keys::node(&self.config.node);
+        // key under a lease that ends, and take it away with it.
+        let key = keys::controller(&self.config.name);
         let found = self.store.get(&key).await.ok()?;
-        let mark = found.map_or(Revision(0), |item| item.revision);
-        let transaction =
-            Transaction::default()
-                .require(key.clone(), mark)
-                .set_with(key, &record, Some(grant));
-        match self.store.commit(&transaction, Urgency::Fence).await {
+        let revision = found.map_or(Revision(0), |item| item.revision);
+        let transaction = Transaction::default()
+            .require(key.clone(), revision)
+            .set_with(key, &record, Some(lease));
+        match self
+            .store
+            .commit(&transaction, RequestPriority::Fencing)
+            .await
+        {
             Ok(_) => {
-                tracing::info!(incarnation = %self.config.incarnation, "registered");
-                Some(grant)
+                tracing::info!(incarnation = %self.config.incarnation, "controller registered");
+                Some(lease)
             }
             Err(error) => {
-                tracing::debug!(%error, "cannot register yet");
+                tracing::debug!(%error, "cannot register the controller yet");
                 None
             }
         }
@@ -104,40 +106,44 @@
             && self
                 .store
                 .cache()
-                .nodes
-                .get(&self.config.node)
-                .is_none_or(|kept| kept.value.incarnation != self.config.incarnation)
+                .controllers
+                .get(&self.config.name)
+                .is_none_or(|entry| entry.value.incarnation != self.config.incarnation)
     }
 
-    async fn stand_for_leader(&self, grant: GrantId) {
+    async fn campaign(&self, lease: LeaseId) {
         let expected = {
             let cache = self.store.cache();
             match &cache.leader {
                 None => Revision(0),
-                // Left by an earlier process of this node, which is dead.
-                Some(kept)
-                    if kept.value.node == self.config.node
-                        && kept.value.incarnation != self.config.incarnation =>
+                // Left by an earlier process of this controller, which is dead.
+                Some(entry)
+                    if entry.value.controller == self.config.name
+                        && entry.value.incarnation != self.config.incarnation =>
                 {
-                    kept.revision
+                    entry.revision
                 }
                 Some(_) => return,
             }
         };
         let record = LeaderRecord {
-            node: self.config.node.clone(),
+            controller: self.config.name.clone(),
             incarnation: self.config.incarnation,
         };
         let transaction = Transaction::default()
             .require(keys::LEADER.into(), expected)
-            .set_with(keys::LEADER.into(), &record, Some(grant));
-        match self.store.commit(&transaction, Urgency::Fence).await {
-            Ok(mark) => {
-                tracing::info!(%mark, "this node leads now");
-                lock(&self.leader).reset(mark, grant);
-                self.leader_kick.notify_one();
+            .set_with(keys::LEADER.into(), &record, Some(lease));
+        match self
+            .store
+            .commit(&transaction, RequestPriority::Fencing)
+            .await
+        {
+            Ok(revision) => {
+                tracing::info!(%revision, "leader elected");
+                lock(&self.leader).reset(revision, lease);
+                self.leader_wakeup.notify_one();
             }
-            Err(error) => tracing::debug!(%error, "not elected"),
+            Err(error) => tracing::debug!(%error, "leader election lost"),
         }
     }
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,21 +1,21 @@
-//! Who may do what, and what is done: leadership, blocks, fencing, recovery,
+//! Who may do what, and what is done: leadership, shards, fencing, recovery,
 //! and the policy as pure functions.
 
+pub mod agent_state;
 pub mod config;
-pub mod holder;
+pub mod controller;
+pub mod heartbeats;
+pub mod jobs;
 pub mod leader;
-pub mod learning;
-pub mod node;
-pub mod peers;
+pub mod membership;
+pub mod owner;
+pub mod peer_exchange;
 pub mod policy;
 pub mod ports;
 mod quota_exchange;
-pub mod reports;
-pub mod session;
+pub mod run_time_estimator;
 mod startup;
-pub mod users;
-pub mod view;
-mod zones;
+mod zone_usage;
 
 pub use config::{Config, Tuning};
-pub use node::Node;
+pub use controller::Controller;
--- a/src/coordination/owner/commands.rs
+++ b/src/coordination/owner/commands.rs
@@ -1,4 +1,4 @@
-//! Commands sent directly to workers, and probes of silent ones.
+//! Commands sent directly to agents, and probes of unresponsive ones.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,129 +6,130 @@
 
 use crate::{
     coordination::{
-        node::{Node, lock},
+        agent_state::MessageSource,
+        controller::{Controller, lock},
         ports::Command,
-        view::Source,
     },
-    storage::{MachineId, Session, Token},
+    storage::{AgentEpoch, MachineId, Token},
 };
 
-/// Silent machines looked at at a time.
-const PROBES: usize = 48;
+/// Unresponsive machines probed at a time.
+const MAX_PROBES: usize = 48;
 
-impl Node {
-    /// Sends commands directly; the next answer to a report repeats them. A
-    /// start is for the session that its placement names: executed in a later
+impl Controller {
+    /// Sends commands directly; the next answer to a heartbeat repeats them. A
+    /// start is for the epoch that its placement names: executed in a later
     /// one, it would run although the placement counts as gone.
-    pub(super) fn send_orders(
+    pub(super) fn send_commands(
         self: &Arc<Self>,
         machine: MachineId,
-        session: Option<Session>,
+        epoch: Option<AgentEpoch>,
         commands: Vec<Command>,
     ) {
-        let starts = session.is_some();
-        let (address, session, token) = {
+        let starts = epoch.is_some();
+        let (address, epoch, token) = {
             let cache = self.store.cache();
-            let Some((_, block)) = self.own_block_of(&cache, &machine) else {
+            let Some((_, shard)) = self.own_shard_of(&cache, &machine) else {
                 return;
             };
-            let mut state = lock(&self.holder);
-            let Some(view) = state.views.get_mut(&machine) else {
+            let mut state = lock(&self.owner);
+            let Some(agent) = state.agents.get_mut(&machine) else {
                 return;
             };
-            let Some(address) = view.address.clone() else {
+            let Some(address) = agent.address.clone() else {
                 return;
             };
             if starts {
-                view.start_sent();
+                agent.start_sent();
             }
-            let session = session.unwrap_or(view.session);
-            (address, session, Token::from(block.revision))
+            let epoch = epoch.unwrap_or(agent.epoch);
+            (address, epoch, Token::from(shard.revision))
         };
-        let node = self.clone();
+        let controller = self.clone();
         tokio::spawn(async move {
             let answer = {
                 // Bounds the sockets that commands take.
-                let _place = node.orders_out.acquire().await;
-                node.workers
-                    .orders(&address, token, session, &commands)
+                let _place = controller.commands_in_flight.acquire().await;
+                controller
+                    .agent_client
+                    .send_commands(&address, token, epoch, &commands)
                     .await
             };
             let now = Instant::now();
-            let cache = node.store.cache();
-            let mut state = lock(&node.holder);
-            let Some(view) = state.views.get_mut(&machine) else {
+            let cache = controller.store.cache();
+            let mut state = lock(&controller.owner);
+            let Some(agent) = state.agents.get_mut(&machine) else {
                 return;
             };
             if starts {
-                view.start_answered();
+                agent.start_answered();
             }
             match answer {
                 Ok(answer) => {
                     if !answer.executed {
-                        tracing::debug!(%machine, %token, "orders not executed");
+                        tracing::debug!(%machine, %token, "commands not executed");
                     }
-                    view.take(&answer.report, Source::Direct, now);
-                    node.note_results(&mut state, &cache, &machine, now);
+                    agent.apply(&answer.heartbeat, MessageSource::Direct, now);
+                    controller.note_results(&mut state, &cache, &machine, now);
                     drop(state);
                     drop(cache);
-                    node.holder_kick.notify_one();
+                    controller.owner_wakeup.notify_one();
                 }
                 Err(error) => {
-                    tracing::debug!(%machine, %error, "orders without an answer");
+                    tracing::debug!(%machine, %error, "commands unanswered");
                     if starts {
-                        view.started_unanswered(token, now);
+                        agent.note_start_in_doubt(token, now);
                     }
                 }
             }
         });
     }
 
-    /// Duty: looks at machines that have fallen silent.
-    pub(in crate::coordination) async fn probe_silent(&self) {
+    /// Duty: probes machines whose heartbeats are missing.
+    pub(in crate::coordination) async fn probe_unresponsive(&self) {
         while self.pause(Duration::from_millis(700)).await {
-            let silent: Vec<(MachineId, Option<String>)> = {
+            let unresponsive: Vec<(MachineId, Option<String>)> = {
                 let cache = self.store.cache();
                 let now = Instant::now();
-                let mut state = lock(&self.holder);
-                let after = self.config.worker_report.mul_f64(1.3);
+                let mut state = lock(&self.owner);
+                let after = self.config.heartbeat_interval.mul_f64(1.3);
                 state
-                    .views
+                    .agents
                     .iter_mut()
-                    .filter(|(_, view)| {
-                        view.silent(now) > after
-                            && view
+                    .filter(|(_, agent)| {
+                        agent.time_since_heartbeat(now) > after
+                            && agent
                                 .probed
                                 .is_none_or(|at| now.duration_since(at) > Duration::from_secs(1))
                     })
-                    .take(PROBES)
-                    .map(|(id, view)| {
-                        view.probed = Some(now);
+                    .take(MAX_PROBES)
+                    .map(|(id, agent)| {
+                        agent.probed = Some(now);
                         let known = cache
                             .machines
                             .get(id)
                             .and_then(|record| record.address.clone());
-                        (id.clone(), view.address.clone().or(known))
+                        (id.clone(), agent.address.clone().or(known))
                     })
                     .collect()
             };
-            let looks = silent.into_iter().map(|(id, address)| async move {
+            let probes = unresponsive.into_iter().map(|(id, address)| async move {
                 // Never seen up: it is booting, and the leader minds that.
                 let Some(address) = address else { return };
-                let answer = self.workers.inspect(&address).await;
-                let mut state = lock(&self.holder);
-                let Some(view) = state.views.get_mut(&id) else {
+                let answer = self.agent_client.inspect(&address).await;
+                let mut state = lock(&self.owner);
+                let Some(agent) = state.agents.get_mut(&id) else {
                     return;
                 };
                 match answer {
-                    Ok(report) => {
-                        view.take(&report, Source::Direct, Instant::now());
-                        view.unreachable = false;
+                    Ok(heartbeat) => {
+                        agent.apply(&heartbeat, MessageSource::Direct, Instant::now());
+                        agent.unreachable = false;
                     }
-                    Err(_) => view.unreachable = true,
+                    Err(_) => agent.unreachable = true,
                 }
             });
-            futures::future::join_all(looks).await;
+            futures::future::join_all(probes).await;
         }
     }
 }
--- a/src/coordination/owner/commits.rs
+++ b/src/coordination/owner/commits.rs
@@ -1,21 +1,21 @@
-//! Writes what a round of the holder has planned, and sends the starts that follow.
+//! Writes what a round of the owner has planned, and sends the starts that follow.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use tokio::time::Instant;
 
 use super::{
-    change::{Changes, JobChange},
-    placing::depends_on_all_records,
+    placement::depends_on_all_records,
+    planned_changes::{PlannedChanges, RecordChange},
 };
 use crate::{
     coordination::{
-        node::{Node, lock},
+        controller::{Controller, lock},
         ports::Command,
     },
     storage::{
-        CommitError, JobOutcome, MachineId, Priority, Revision, Session, StateCache, Transaction,
-        budget::Urgency, keys, records::OutcomeRecord,
+        AgentEpoch, CommitError, JobOutcome, MachineId, Priority, Revision, StateCache,
+        Transaction, keys, rate_limiter::RequestPriority, records::OutcomeRecord,
     },
 };
 
@@ -25,18 +25,18 @@
 /// ... of idle work, so that what comes next for others waits no longer than for these.
 const IDLE_RECORDS_PER_COMMIT: usize = 4;
 /// Part of a second's worth of changes that must be left for idle work to be written.
-const SPARE_FOR_IDLE_WORK: f64 = 0.5;
+const IDLE_WORK_MIN_SPARE: f64 = 0.5;
 /// Idle work gets a commit at least this often, however much others write.
-const IDLE_WORK_HELD: Duration = Duration::from_secs(2);
+const IDLE_WORK_MAX_DELAY: Duration = Duration::from_secs(2);
 
-impl Node {
+impl Controller {
     /// Writes what it can of the changes: the most pressing first, and no more
     /// than the state service's limits allow now. The rest is planned again.
-    pub(super) async fn commit_changes(self: &Arc<Self>, changes: Changes) {
-        let mut parts: Vec<(Transaction, JobChange)> = Vec::new();
-        let seat = {
+    pub(super) async fn commit_changes(self: &Arc<Self>, changes: PlannedChanges) {
+        let mut parts: Vec<(Transaction, RecordChange)> = Vec::new();
+        let allocation = {
             let cache = self.store.cache();
-            let Some(seat) = self.own_seat(&cache).map(|kept| kept.revision) else {
+            let Some(allocation) = self.own_allocation(&cache).map(|entry| entry.revision) else {
                 return;
             };
             for (_, mut change) in changes.0 {
@@ -58,18 +58,18 @@
                 let priority = std::cmp::Reverse(spec.map(|spec| spec.priority));
                 (pressing, priority, spec.map_or(0, |spec| spec.accepted_ms))
             });
-            seat
+            allocation
         };
         while let Some((_, first)) = parts.first() {
             if first.idle_work && !self.may_write_idle_work() {
                 return;
             }
             let group = self.next_group(&mut parts);
-            if !self.commit_group(seat, group).await {
+            if !self.commit_group(allocation, group).await {
                 return;
             }
-            if !parts.is_empty() && self.store.commit_wait(Urgency::Place).is_some() {
-                self.holder_kick.notify_one();
+            if !parts.is_empty() && self.store.commit_wait(RequestPriority::Placement).is_some() {
+                self.owner_wakeup.notify_one();
                 return;
             }
         }
@@ -80,15 +80,15 @@
     /// took all of them for half a minute, in which replicas waited to be placed.
     fn may_write_idle_work(&self) -> bool {
         let now = Instant::now();
-        let mut state = lock(&self.holder);
-        let since = *state.idle_work_held.get_or_insert(now);
-        let is_due = now.duration_since(since) >= IDLE_WORK_HELD;
+        let mut state = lock(&self.owner);
+        let since = *state.idle_work_delayed_since.get_or_insert(now);
+        let is_due = now.duration_since(since) >= IDLE_WORK_MAX_DELAY;
         // Only looked at: a call that had to wait would make this controller try for more
         // than its part of the changes, at the others' expense.
-        if !is_due && self.store.spare_writes() < SPARE_FOR_IDLE_WORK {
+        if !is_due && self.store.spare_writes() < IDLE_WORK_MIN_SPARE {
             return false;
         }
-        state.idle_work_held = None;
+        state.idle_work_delayed_since = None;
         true
     }
 
@@ -97,8 +97,8 @@
     /// against the limit of changes.
     pub(super) fn next_group(
         &self,
-        parts: &mut Vec<(Transaction, JobChange)>,
-    ) -> Vec<(Transaction, JobChange)> {
+        parts: &mut Vec<(Transaction, RecordChange)>,
+    ) -> Vec<(Transaction, RecordChange)> {
         let first = parts.remove(0);
         let (fenced, shared, idle_work) = (first.1.fenced, first.1.shared, first.1.idle_work);
         let mut ops = first.0.ops.len();
@@ -132,38 +132,38 @@
         group
     }
 
-    /// The transaction part for one job, without the seat's condition.
+    /// The transaction part for one job, without the allocation's condition.
     pub(super) fn write_job(
         &self,
         cache: &StateCache,
-        change: &mut JobChange,
+        change: &mut RecordChange,
     ) -> Option<Transaction> {
         let job = cache.jobs.get(&change.id)?;
         let spec = job.spec();
         change.idle_work = spec.is_some_and(|spec| spec.is_idle_work());
-        let kept = job.chunks.get(&change.chunk);
-        let placed = kept.iter().flat_map(|kept| kept.value.placed.values());
+        let entry = job.chunks.get(&change.chunk);
+        let placed = entry.iter().flat_map(|entry| entry.value.placed.values());
         let mut machines = placed.map(|placement| &placement.machine);
         change.shared = machines.any(|machine| {
-            cache.machines.contains_key(machine) && self.own_block_of(cache, machine).is_none()
+            cache.machines.contains_key(machine) && self.own_shard_of(cache, machine).is_none()
         });
         let key = keys::run(&change.id, change.chunk);
         let mut part = Transaction::default().require(key.clone(), job.run_revision(change.chunk));
         let done = change.record.done_count();
         let finished = spec.is_some_and(|spec| spec.tasks <= keys::CHUNK && done >= spec.tasks);
-        for (block, mark) in &change.blocks {
-            part = part.require(keys::block(*block), *mark);
+        for (shard, revision) in &change.shards {
+            part = part.require(keys::shard(*shard), *revision);
         }
-        if finished && job.draining.is_none() {
+        if finished && job.cleanup_since.is_none() {
             change.finishes = true;
             // The end of a job of one record takes its keys with it.
-            let fate = OutcomeRecord {
-                fate: JobOutcome::Done,
+            let outcome = OutcomeRecord {
+                outcome: JobOutcome::Done,
                 done: spec.map_or(0, |spec| spec.tasks),
             };
             return Some(
-                part.require(keys::fate(&change.id), Revision(0))
-                    .set(keys::fate(&change.id), &fate)
+                part.require(keys::outcome(&change.id), Revision(0))
+                    .set(keys::outcome(&change.id), &outcome)
                     .remove(keys::run(&change.id, 0))
                     .remove(keys::spec(&change.id)),
             );
@@ -172,7 +172,7 @@
         if change.places {
             let spec = spec?;
             part = part
-                .require(keys::fate(&change.id), Revision(0))
+                .require(keys::outcome(&change.id), Revision(0))
                 .require(keys::spec(&change.id), job.spec.as_ref()?.revision);
             if depends_on_all_records(spec, self.config.state.txn_ops) {
                 for chunk in 0..spec.records() {
@@ -186,46 +186,46 @@
     }
 
     /// Commits a group; a conflicting part is left out and the others go on.
-    /// False: the round is over. `seat` is our seat's revision as the plan saw it.
+    /// False: the round is over. `allocation` is our allocation's revision as the plan saw it.
     pub(super) async fn commit_group(
         self: &Arc<Self>,
-        seat: Revision,
-        mut group: Vec<(Transaction, JobChange)>,
+        allocation: Revision,
+        mut group: Vec<(Transaction, RecordChange)>,
     ) -> bool {
-        let seat_key = keys::seat(&self.config.node);
+        let allocation_key = keys::allocation(&self.config.name);
         while !group.is_empty() {
             let fenced = group.iter().any(|(_, change)| change.fenced);
             let mut whole = Transaction::default();
             if fenced {
-                whole = whole.require(seat_key.clone(), seat);
+                whole = whole.require(allocation_key.clone(), allocation);
             }
             for (part, _) in &group {
                 whole.absorb(part.clone());
             }
-            match self.store.commit(&whole, Urgency::Place).await {
+            match self.store.commit(&whole, RequestPriority::Placement).await {
                 Ok(_) => {
                     self.dispatch_starts(group);
-                    self.leader_kick.notify_one();
+                    self.leader_wakeup.notify_one();
                     return true;
                 }
                 Err(CommitError::Conflict(keys)) => {
-                    tracing::debug!(?keys, "conflict");
-                    if keys.contains(&seat_key) {
+                    tracing::debug!(?keys, "commit conflict");
+                    if keys.contains(&allocation_key) {
                         // The leader has changed our budgets: plan again on them.
-                        self.store.fresh().await;
-                        self.holder_kick.notify_one();
+                        self.store.read_barrier().await;
+                        self.owner_wakeup.notify_one();
                         return false;
                     }
                     group.retain(|(part, _)| {
                         !part.conditions.iter().any(|(key, _)| keys.contains(key))
                     });
-                    self.learn_fates(&keys).await;
-                    self.holder_kick.notify_one();
+                    self.look_up_outcomes(&keys).await;
+                    self.owner_wakeup.notify_one();
                 }
                 Err(error) => {
                     tracing::debug!(%error, "commit failed");
                     if error.is_unknown() && fenced {
-                        lock(&self.holder).must_void_pending = true;
+                        lock(&self.owner).has_commit_in_doubt = true;
                     }
                     self.pause(Duration::from_millis(100)).await;
                     return false;
@@ -236,42 +236,42 @@
     }
 
     /// A job of ours turned out to be over.
-    pub(super) async fn learn_fates(&self, failed: &[String]) {
-        self.store.fresh().await;
+    pub(super) async fn look_up_outcomes(&self, failed: &[String]) {
+        self.store.read_barrier().await;
         for key in failed {
             if let Some(keys::Key::JobOutcome(job)) = keys::Key::parse(key) {
-                let _ = self.store.look_up_fate(&job).await;
-                lock(&self.holder).offers.remove(&job);
+                let _ = self.store.look_up_outcome(&job).await;
+                lock(&self.owner).offers.remove(&job);
             }
         }
     }
 
-    pub(super) fn dispatch_starts(self: &Arc<Self>, group: Vec<(Transaction, JobChange)>) {
-        let mut by_machine: BTreeMap<(MachineId, Session), Vec<Command>> = BTreeMap::new();
+    pub(super) fn dispatch_starts(self: &Arc<Self>, group: Vec<(Transaction, RecordChange)>) {
+        let mut by_machine: BTreeMap<(MachineId, AgentEpoch), Vec<Command>> = BTreeMap::new();
         {
             let cache = self.store.cache();
-            let mut state = lock(&self.holder);
+            let mut state = lock(&self.owner);
             for (_, change) in group {
                 for (task, machine, exit) in &change.ends {
                     self.learn_from(&mut state, &cache, task, machine, *exit);
                 }
-                for (machine, session, command) in change.starts {
+                for (machine, epoch, command) in change.starts {
                     if let Command::Start { task, attempt } = &command {
-                        tracing::debug!(%task, %attempt, %machine, "placed");
+                        tracing::debug!(%task, %attempt, %machine, "task started");
                         if let Some(offer) = state.offers.get_mut(&task.job) {
                             offer.tasks.remove(&task.index);
                         }
                     }
                     by_machine
-                        .entry((machine, session))
+                        .entry((machine, epoch))
                         .or_default()
                         .push(command);
                 }
             }
             state.offers.retain(|_, offer| !offer.tasks.is_empty());
         }
-        for ((machine, session), commands) in by_machine {
-            self.send_orders(machine, Some(session), commands);
+        for ((machine, epoch), commands) in by_machine {
+            self.send_commands(machine, Some(epoch), commands);
         }
     }
 }
--- a/src/coordination/owner/failing_jobs.rs
+++ b/src/coordination/owner/failing_jobs.rs
@@ -9,27 +9,27 @@
 use tokio::time::Instant;
 
 use crate::{
-    coordination::view::FAILURE_WINDOW,
+    coordination::agent_state::FAILURE_WINDOW,
     storage::{JobId, MachineId, StateCache},
 };
 
 /// Failing jobs remembered; beyond this the one whose pause ends first is forgotten, and
 /// is tried again sooner.
-const JOBS_KEPT: usize = 1_024;
+const MAX_JOBS: usize = 1_024;
 /// Machines of one failing job remembered: more than it takes to blame it.
-const MACHINES_KEPT: usize = 16;
+const MAX_MACHINES: usize = 16;
 /// A job of which nothing has ever been done is to blame once it has failed on so many
 /// machines.
-const BLAMED_AFTER: usize = 2;
+const CRASH_LOOP_AFTER_MACHINES: usize = 2;
 /// The longest pause between two attempts. Well below 90 s, so that a job that can run
 /// again does not wait that long beside free room.
-const LONGEST_PAUSE: Duration = Duration::from_secs(60);
+const MAX_PAUSE: Duration = Duration::from_secs(60);
 /// A job that is to blame is tried with one task for this long after its pause.
-const PROBED_FOR: Duration = Duration::from_secs(15);
+const PROBATION_PERIOD: Duration = Duration::from_secs(15);
 
 /// Pause before a job that failed is tried again: 1 s, 2 s, 4 s … 60 s.
 fn failure_pause(rounds: u32) -> Duration {
-    Duration::from_secs(1 << rounds.saturating_sub(1).min(6)).min(LONGEST_PAUSE)
+    Duration::from_secs(1 << rounds.saturating_sub(1).min(6)).min(MAX_PAUSE)
 }
 
 #[derive(Debug)]
@@ -42,10 +42,10 @@
     until: Instant,
     /// Its user submitted it with a mistake, as far as can be told: machines are not
     /// judged by it. Remembered when the job is over, as long as its failures count.
-    blamed: bool,
+    crash_looping: bool,
 }
 
-/// The jobs that have failed lately on the machines of one holder.
+/// The jobs that have failed lately on the machines of one owner.
 #[derive(Debug, Default)]
 pub(super) struct FailingJobs(BTreeMap<JobId, Failing>);
 
@@ -58,9 +58,9 @@
             failures: 0,
             rounds: 0,
             until: now,
-            blamed: false,
+            crash_looping: false,
         });
-        if failing.machines.len() < MACHINES_KEPT {
+        if failing.machines.len() < MAX_MACHINES {
             failing.machines.insert(machine.clone());
         }
         failing.failures += 1;
@@ -75,40 +75,47 @@
         self.0.remove(job);
     }
 
-    /// Finds the jobs that are to blame themselves. Other holders' failures show in the
+    /// Finds the jobs that are to blame themselves. Other owners' failures show in the
     /// job's records: more attempts have ended there than failed here.
     pub(super) fn judge(&mut self, cache: &StateCache) {
-        for (id, failing) in self.0.iter_mut().filter(|(_, failing)| !failing.blamed) {
+        for (id, failing) in self
+            .0
+            .iter_mut()
+            .filter(|(_, failing)| !failing.crash_looping)
+        {
             let Some(job) = cache.jobs.get(id) else {
                 continue;
             };
-            let records = job.chunks.values().map(|kept| &kept.value);
+            let records = job.chunks.values().map(|entry| &entry.value);
             let ended: u64 = records
                 .flat_map(|record| record.before.values())
                 .map(|attempt| attempt.0)
                 .sum();
-            let elsewhere = failing.machines.len() >= BLAMED_AFTER || ended > failing.failures;
-            failing.blamed = job.done == 0 && elsewhere;
+            let elsewhere =
+                failing.machines.len() >= CRASH_LOOP_AFTER_MACHINES || ended > failing.failures;
+            failing.crash_looping = job.done == 0 && elsewhere;
         }
     }
 
-    pub(super) fn is_blamed(&self, job: &JobId) -> bool {
-        self.0.get(job).is_some_and(|failing| failing.blamed)
+    pub(super) fn is_crash_looping(&self, job: &JobId) -> bool {
+        self.0.get(job).is_some_and(|failing| failing.crash_looping)
     }
 
     /// Whether only one task of the job may be there at a time: the others would most
     /// probably fail with it.
-    pub(super) fn is_probed(&self, job: &JobId, now: Instant) -> bool {
+    pub(super) fn is_on_probation(&self, job: &JobId, now: Instant) -> bool {
         let failing = self.0.get(job);
-        failing.is_some_and(|failing| failing.blamed && now < failing.until + PROBED_FOR)
+        failing
+            .is_some_and(|failing| failing.crash_looping && now < failing.until + PROBATION_PERIOD)
     }
 
     /// The jobs that fail on several machines, with what is left of their pauses; none is
-    /// left while a job is probed.
+    /// left while a job is on probation.
     pub(super) fn paused(&self, now: Instant) -> Vec<(JobId, Duration)> {
         let several = self.0.iter().filter(|(job, failing)| {
-            let is_paused = failing.machines.len() >= BLAMED_AFTER && failing.until > now;
-            is_paused || self.is_probed(job, now)
+            let is_paused =
+                failing.machines.len() >= CRASH_LOOP_AFTER_MACHINES && failing.until > now;
+            is_paused || self.is_on_probation(job, now)
         });
         several
             .map(|(job, failing)| (job.clone(), failing.until.saturating_duration_since(now)))
@@ -116,12 +123,12 @@
     }
 
     fn make_room(&mut self, now: Instant) {
-        if self.0.len() < JOBS_KEPT {
+        if self.0.len() < MAX_JOBS {
             return;
         }
         self.0
             .retain(|_, failing| now < failing.until + FAILURE_WINDOW);
-        if self.0.len() >= JOBS_KEPT {
+        if self.0.len() >= MAX_JOBS {
             let first = self.0.iter().min_by_key(|(_, failing)| failing.until);
             if let Some(job) = first.map(|(job, _)| job.clone()) {
                 self.0.remove(&job);
--- a/src/coordination/owner/failing_jobs/tests.rs
+++ b/src/coordination/owner/failing_jobs/tests.rs
@@ -1,7 +1,7 @@
-//! Tests of `coordination::holder::failing`.
+//! Tests of `coordination::owner::failing`.
 
 use super::*;
-use crate::storage::{Attempt, Revision, Session, keys, records::RunRecord};
+use crate::storage::{AgentEpoch, Attempt, Revision, keys, records::RunRecord};
 
 fn names() -> (JobId, MachineId, MachineId) {
     (
@@ -16,7 +16,7 @@
 fn cache_with(job: &JobId, failed: u32, done: u32) -> StateCache {
     let mut record = RunRecord::default();
     for task in 0..failed {
-        record.place(task, MachineId::new("vm-1"), Session(1), Attempt(1));
+        record.place(task, MachineId::new("vm-1"), AgentEpoch(1), Attempt(1));
         record.unplace(task);
     }
     for task in failed..failed + done {
@@ -31,25 +31,25 @@
 /// Guards against machines returned by the hundred because two jobs that were submitted
 /// with a mistake had failed on each of them.
 #[tokio::test(start_paused = true)]
-async fn a_job_that_fails_everywhere_is_to_blame() {
+async fn a_job_that_fails_everywhere_is_crash_looping() {
     let (job, one, two) = names();
     let now = Instant::now();
     let mut failing = FailingJobs::default();
     failing.failed(&job, &one, now);
     failing.judge(&cache_with(&job, 1, 0));
-    assert!(!failing.is_blamed(&job), "one machine may be faulty");
+    assert!(!failing.is_crash_looping(&job), "one machine may be faulty");
     failing.failed(&job, &two, now);
     failing.judge(&cache_with(&job, 2, 0));
-    assert!(failing.is_blamed(&job));
+    assert!(failing.is_crash_looping(&job));
 }
 
 #[tokio::test(start_paused = true)]
-async fn failures_at_other_holders_count() {
+async fn failures_at_other_owners_count() {
     let (job, one, _) = names();
     let mut failing = FailingJobs::default();
     failing.failed(&job, &one, Instant::now());
     failing.judge(&cache_with(&job, 3, 0));
-    assert!(failing.is_blamed(&job));
+    assert!(failing.is_crash_looping(&job));
 }
 
 #[tokio::test(start_paused = true)]
@@ -60,7 +60,7 @@
     failing.failed(&job, &one, now);
     failing.failed(&job, &two, now);
     failing.judge(&cache_with(&job, 2, 1));
-    assert!(!failing.is_blamed(&job));
+    assert!(!failing.is_crash_looping(&job));
 }
 
 /// Tasks that were tried together are one attempt; after the pause one is tried alone.
@@ -78,9 +78,9 @@
     );
     failing.judge(&cache_with(&job, 4, 0));
     let later = now + Duration::from_secs(2);
-    assert!(failing.is_probed(&job, later));
+    assert!(failing.is_on_probation(&job, later));
     assert_eq!(failing.paused(later), vec![(job.clone(), Duration::ZERO)]);
-    assert!(!failing.is_probed(&job, later + PROBED_FOR));
+    assert!(!failing.is_on_probation(&job, later + PROBATION_PERIOD));
 }
 
 /// A job that failed for a while and runs again does not go on pausing.
@@ -92,13 +92,13 @@
     let mut now = now;
     for machine in [&one, &two, &one, &two, &one, &two, &one] {
         failing.failed(&job, machine, now);
-        now += LONGEST_PAUSE;
+        now += MAX_PAUSE;
     }
-    now -= LONGEST_PAUSE;
-    assert_eq!(failing.paused(now), vec![(job.clone(), LONGEST_PAUSE)]);
+    now -= MAX_PAUSE;
+    assert_eq!(failing.paused(now), vec![(job.clone(), MAX_PAUSE)]);
     failing.succeeded(&job);
     assert!(failing.paused(now).is_empty());
-    assert!(!failing.is_blamed(&job));
+    assert!(!failing.is_crash_looping(&job));
 }
 
 #[tokio::test(start_paused = true)]
@@ -106,11 +106,11 @@
     let (_, one, _) = names();
     let now = Instant::now();
     let mut failing = FailingJobs::default();
-    for number in 0..JOBS_KEPT * 2 {
+    for number in 0..MAX_JOBS * 2 {
         let job = JobId::new(format!("job-{number}"));
         failing.failed(&job, &one, now);
     }
-    assert!(failing.0.len() <= JOBS_KEPT);
+    assert!(failing.0.len() <= MAX_JOBS);
 }
 
 #[test]
--- a/src/coordination/owner/mod.rs
+++ b/src/coordination/owner/mod.rs
@@ -1,14 +1,14 @@
-//! A holder's work on its block: records results, places the tasks it was
-//! offered, and commands its workers. One loop does all commits, so that the
-//! block's budgets are counted once.
+//! An owner's work on its shard: records results, places the tasks it was
+//! offered, and commands its agents. One loop does all commits, so that the
+//! shard's budgets are counted once.
 
-mod change;
+mod commands;
 mod commits;
-mod failing;
-mod orders;
-mod placing;
+mod failing_jobs;
+mod placement;
+mod planned_changes;
 mod results;
-mod stopping;
+mod stops;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,38 +16,37 @@
     time::Duration,
 };
 
-use change::Changes;
-use failing::FailingJobs;
+use failing_jobs::FailingJobs;
+use planned_changes::PlannedChanges;
 use tokio::time::Instant;
 
 use crate::{
     coordination::{
-        node::{Node, lock},
-        ports::{Exit, HeldMachine, Offer, PeerCall},
-        view::View,
+        agent_state::AgentState,
+        controller::{Controller, lock},
+        ports::{Exit, Offer, OwnedMachine, PeerRequest},
     },
     storage::{
-        Attempt, BlockId, JobId, MachineId, Quota, Revision, StateCache, TaskId, TeamName, Token,
-        Transaction,
-        budget::Urgency,
-        keys,
-        records::{BlockRecord, SeatRecord},
+        Attempt, JobId, MachineId, Quota, Revision, ShardId, StateCache, TaskId, TeamName, Token,
+        Transaction, keys,
+        rate_limiter::RequestPriority,
+        records::{AllocationRecord, ShardRecord},
         state_cache::Versioned,
     },
 };
 
 /// Jobs with offers, and tasks to be stopped, that are kept. The leader repeats what is
 /// beyond that: a longer wait, no loss. Four passes' worth of its largest.
-const OFFERS: usize = 2_400;
-const PREEMPTIONS: usize = 2_400;
-/// Between two rounds of the holder's loop.
-const LEAST_PAUSE: Duration = Duration::from_millis(15);
-const MOST_PAUSE: Duration = Duration::from_millis(150);
-/// Unanswered starts wait this long for a report before the token is raised.
-const SETTLE_AFTER: Duration = Duration::from_millis(1500);
+const MAX_OFFERS: usize = 2_400;
+const MAX_PREEMPTIONS: usize = 2_400;
+/// Between two rounds of the owner's loop.
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(15);
+const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(150);
+/// Unanswered starts wait this long for a heartbeat before the token is raised.
+const IN_DOUBT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 #[derive(Debug)]
-struct OfferHeld {
+struct PendingOffer {
     tasks: BTreeSet<u32>,
     until: Instant,
 }
@@ -55,36 +54,36 @@
 /// What is known of a task of ours that is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TaskOutcome {
-    /// It ended, and its worker said so.
+    /// It ended, and its agent said so.
     Ended(Exit),
-    /// Surely not there: its worker's session is over, or it never started and
+    /// Surely not there: its agent's epoch is over, or it never started and
     /// is not to.
-    Gone,
+    Terminated,
 }
 
 #[derive(Default)]
-pub struct HolderState {
-    pub(super) views: BTreeMap<MachineId, View>,
-    /// The blocks that the views were last aligned with.
-    aligned: Vec<(BlockId, Revision)>,
-    offers: BTreeMap<JobId, OfferHeld>,
+pub struct OwnerState {
+    pub(super) agents: BTreeMap<MachineId, AgentState>,
+    /// The shards that the agent states were last aligned with.
+    aligned: Vec<(ShardId, Revision)>,
+    offers: BTreeMap<JobId, PendingOffer>,
     pub(super) preempting: BTreeMap<TaskId, Attempt>,
     /// Jobs with results to be written, since when.
     results: BTreeMap<JobId, Instant>,
     failing: FailingJobs,
     /// Since when changes of idle work wait for others to leave room for them.
-    idle_work_held: Option<Instant>,
+    idle_work_delayed_since: Option<Instant>,
     /// Quota that tasks offered to us lack.
-    pub(super) lacking: BTreeMap<TeamName, Quota>,
-    /// The outcome of a commit is unknown: nothing is placed before the seat
+    pub(super) deficit: BTreeMap<TeamName, Quota>,
+    /// The outcome of a commit is unknown: nothing is placed before the allocation
     /// has a new revision, which voids whatever may still be on its way.
-    pub(super) must_void_pending: bool,
+    pub(super) has_commit_in_doubt: bool,
 }
 
-impl HolderState {
+impl OwnerState {
     /// Machines held, jobs offered, jobs with results to be written.
     pub(super) fn sizes(&self) -> (usize, usize, usize) {
-        (self.views.len(), self.offers.len(), self.results.len())
+        (self.agents.len(), self.offers.len(), self.results.len())
     }
 
     /// Quota of the tasks that are offered to us and not yet placed.
@@ -110,178 +109,184 @@
     }
 
     /// Whether the machine itself seems to be the cause of what failed on it.
-    fn is_suspect(&self, view: &View, now: Instant) -> bool {
-        view.is_suspect(now, |job| self.failing.is_blamed(job))
+    fn is_quarantined(&self, agent: &AgentState, now: Instant) -> bool {
+        agent.is_quarantined(now, |job| self.failing.is_crash_looping(job))
     }
 }
 
-impl Node {
-    pub(super) fn take_offers(&self, offers: Vec<Offer>) {
+impl Controller {
+    pub(super) fn accept_offers(&self, offers: Vec<Offer>) {
         let until = Instant::now() + self.config.tuning.offer;
-        let mut state = lock(&self.holder);
+        let mut state = lock(&self.owner);
         for offer in offers {
-            if state.offers.len() >= OFFERS && !state.offers.contains_key(&offer.job) {
+            if state.offers.len() >= MAX_OFFERS && !state.offers.contains_key(&offer.job) {
                 break;
             }
-            let held = state.offers.entry(offer.job).or_insert(OfferHeld {
+            let pending = state.offers.entry(offer.job).or_insert(PendingOffer {
                 tasks: BTreeSet::new(),
                 until,
             });
-            held.tasks.extend(offer.tasks);
-            held.until = until;
+            pending.tasks.extend(offer.tasks);
+            pending.until = until;
         }
         drop(state);
-        self.holder_kick.notify_one();
+        self.owner_wakeup.notify_one();
     }
 
-    pub(super) fn take_preemptions(&self, tasks: Vec<TaskId>) {
+    pub(super) fn accept_preemptions(&self, tasks: Vec<TaskId>) {
         let cache = self.store.cache();
-        let mut state = lock(&self.holder);
+        let mut state = lock(&self.owner);
         for task in tasks {
             let placement = cache
                 .jobs
                 .get(&task.job)
                 .and_then(|job| job.placement(task.index));
             if let Some(placement) = placement
-                && state.preempting.len() < PREEMPTIONS
+                && state.preempting.len() < MAX_PREEMPTIONS
             {
-                tracing::debug!(%task, machine = %placement.machine, "stopping for others");
+                tracing::debug!(%task, machine = %placement.machine, "task preempted");
                 state.preempting.insert(task, placement.attempt);
             }
         }
         drop(state);
         drop(cache);
-        self.holder_kick.notify_one();
+        self.owner_wakeup.notify_one();
     }
 
-    pub(super) fn held_machines(&self, now: Instant) -> Vec<HeldMachine> {
+    pub(super) fn owned_machines(&self, now: Instant) -> Vec<OwnedMachine> {
         let cache = self.store.cache();
-        let state = lock(&self.holder);
-        self.own_blocks(&cache)
-            .flat_map(|(_, kept)| kept.value.machines.keys())
-            .filter_map(|id| Some((id, state.views.get(id)?)))
-            .map(|(id, view)| HeldMachine {
+        let state = lock(&self.owner);
+        self.own_shards(&cache)
+            .flat_map(|(_, entry)| entry.value.machines.keys())
+            .filter_map(|id| Some((id, state.agents.get(id)?)))
+            .map(|(id, agent)| OwnedMachine {
                 machine: id.clone(),
-                silent: view.silent(now),
-                unreachable: view.unreachable,
-                suspect: state.is_suspect(view, now),
-                leaving: view.leaves_at.is_some(),
-                deaf: view.is_deaf(self.config.deaf_after(), now),
-                address: view
+                since_heartbeat: agent.time_since_heartbeat(now),
+                unreachable: agent.unreachable,
+                quarantined: state.is_quarantined(agent, now),
+                leaving: agent.leaves_at.is_some(),
+                command_path_lost: agent
+                    .is_command_path_lost(self.config.command_path_timeout(), now),
+                address: agent
                     .address
                     .clone()
-                    .filter(|_| view.reported)
+                    .filter(|_| agent.has_heartbeat)
                     .filter(|address| {
                         let known = cache.machines.get(id);
                         known.is_some_and(|known| known.address.as_ref() != Some(address))
                     }),
-                session: view.session,
-                sequence: view.sequence(),
-                images: view.images(),
-                speed: view.speed,
+                epoch: agent.epoch,
+                sequence: agent.sequence(),
+                images: agent.images(),
+                speed: agent.speed,
                 freed: cache
                     .on_machine
                     .get(id)
-                    .map(|load| view.freed(load))
+                    .map(|load| agent.freed(load))
                     .unwrap_or_default(),
             })
             .collect()
     }
 
-    /// Duty: the holder's loop.
-    pub(super) async fn hold(self: &Arc<Self>) {
+    /// Duty: the owner's loop.
+    pub(super) async fn run_owner(self: &Arc<Self>) {
         let mut changes = self.store.changes();
         while !self.stop.is_cancelled() {
             tokio::select! {
                 biased;
                 _ = self.stop.cancelled() => return,
                 _ = changes.changed() => {}
-                _ = self.holder_kick.notified() => {}
+                _ = self.owner_wakeup.notified() => {}
                 _ = tokio::time::sleep(Duration::from_millis(500)) => {}
             }
             changes.mark_unchanged();
             let started = Instant::now();
             if self.store.is_loaded() {
-                self.hold_once().await;
+                self.run_owner_round().await;
             }
             // Many changes come close together; one round serves them all. On a
             // controller that is short of processor time rounds are fewer.
-            let pause = started.elapsed().clamp(LEAST_PAUSE, MOST_PAUSE);
+            let pause = started
+                .elapsed()
+                .clamp(MIN_ROUND_INTERVAL, MAX_ROUND_INTERVAL);
             tokio::time::sleep(pause).await;
         }
     }
 
-    async fn hold_once(self: &Arc<Self>) {
-        let (seat, must_void_pending) = {
+    async fn run_owner_round(self: &Arc<Self>) {
+        let (allocation, has_commit_in_doubt) = {
             let cache = self.store.cache();
-            let seat = self.own_seat(&cache).cloned();
-            let mut state = lock(&self.holder);
-            if seat.is_some() {
+            let allocation = self.own_allocation(&cache).cloned();
+            let mut state = lock(&self.owner);
+            if allocation.is_some() {
                 self.align(&mut state, &cache);
             } else {
-                *state = HolderState {
+                *state = OwnerState {
                     failing: std::mem::take(&mut state.failing),
-                    must_void_pending: state.must_void_pending,
-                    ..HolderState::default()
+                    has_commit_in_doubt: state.has_commit_in_doubt,
+                    ..OwnerState::default()
                 };
             }
-            (seat, state.must_void_pending)
+            (allocation, state.has_commit_in_doubt)
         };
-        let Some(seat) = seat else { return };
-        if must_void_pending && !self.void_pending_commits(&seat).await {
+        let Some(allocation) = allocation else { return };
+        if has_commit_in_doubt && !self.resolve_commit_in_doubt(&allocation).await {
             return;
         }
-        self.settle_blocks().await;
+        self.resolve_in_doubt_starts().await;
         self.serve_quota_requests().await;
-        if lock(&self.holder).must_void_pending {
-            self.holder_kick.notify_one();
+        if lock(&self.owner).has_commit_in_doubt {
+            self.owner_wakeup.notify_one();
             return;
         }
         self.seek_quota();
         // Changes of the state service are scarce: what is planned only when one
         // may be made is not outdated when it is sent.
-        let wait = self.store.commit_wait(Urgency::Place);
-        let (changes, stops, mates) = {
+        let wait = self.store.commit_wait(RequestPriority::Placement);
+        let (changes, stops, remote_gang_members) = {
             let cache = self.store.cache();
-            let Some(seat) = self.own_seat(&cache) else {
+            let Some(allocation) = self.own_allocation(&cache) else {
                 return;
             };
-            let mut state = lock(&self.holder);
+            let mut state = lock(&self.owner);
             let now = Instant::now();
             state.failing.judge(&cache);
-            let mut changes = Changes::default();
+            let mut changes = PlannedChanges::default();
             if wait.is_none() {
                 self.collect_results(&mut state, &cache, now, &mut changes);
                 if self.store.is_reachable() {
-                    self.place_offers(&mut state, &cache, seat, now, &mut changes);
+                    self.place_offers(&mut state, &cache, allocation, now, &mut changes);
                 }
             }
-            let mut mates = BTreeMap::new();
-            let stops = self.collect_stops(&mut state, &cache, now, &mut mates);
-            (changes, stops, mates)
+            let mut remote_gang_members = BTreeMap::new();
+            let stops = self.collect_stops(&mut state, &cache, now, &mut remote_gang_members);
+            (changes, stops, remote_gang_members)
         };
-        for (node, tasks) in mates {
+        for (controller, tasks) in remote_gang_members {
             let this = self.clone();
             tokio::spawn(async move {
                 // Unanswered: the gang falls back to its last checkpoint.
-                let _ = this.peers.call(&node, PeerCall::Preempt(tasks)).await;
+                let _ = this
+                    .peers
+                    .call(&controller, PeerRequest::Preempt(tasks))
+                    .await;
             });
         }
         for (machine, commands) in stops {
-            self.send_orders(machine, None, commands);
+            self.send_commands(machine, None, commands);
         }
         if let Some(wait) = wait {
             self.pause(wait).await;
-            self.holder_kick.notify_one();
+            self.owner_wakeup.notify_one();
             return;
         }
         self.commit_changes(changes).await;
     }
 
-    /// Views exist for our blocks' machines and for no others.
-    fn align(&self, state: &mut HolderState, cache: &StateCache) {
-        let HolderState {
-            views, preempting, ..
+    /// Views exist for our shards' machines and for no others.
+    fn align(&self, state: &mut OwnerState, cache: &StateCache) {
+        let OwnerState {
+            agents, preempting, ..
         } = state;
         preempting.retain(|task, attempt| {
             cache
@@ -290,86 +295,98 @@
                 .and_then(|job| job.placement(task.index))
                 .is_some_and(|placement| placement.attempt == *attempt)
         });
-        let blocks: Vec<(BlockId, Revision)> = self
-            .own_blocks(cache)
-            .map(|(id, kept)| (id, kept.revision))
+        let shards: Vec<(ShardId, Revision)> = self
+            .own_shards(cache)
+            .map(|(id, entry)| (id, entry.revision))
             .collect();
-        if state.aligned == blocks {
+        if state.aligned == shards {
             return;
         }
         self.startup.note_holding();
         let now = Instant::now();
-        views.retain(|id, view| {
-            self.own_block_of(cache, id).is_some()
-                && view.acquired == Token::from(cache.held_since(id))
+        agents.retain(|id, agent| {
+            self.own_shard_of(cache, id).is_some()
+                && agent.acquired == Token::from(cache.owned_since(id))
         });
-        for (_, kept) in self.own_blocks(cache) {
-            for id in kept.value.machines.keys() {
-                views
+        for (_, entry) in self.own_shards(cache) {
+            for id in entry.value.machines.keys() {
+                agents
                     .entry(id.clone())
-                    .or_insert_with(|| View::new(cache.held_since(id).into(), now));
+                    .or_insert_with(|| AgentState::new(cache.owned_since(id).into(), now));
             }
         }
-        state.aligned = blocks;
+        state.aligned = shards;
     }
 
-    /// Blocks with unanswered starts are written anew: a start that may still be
+    /// Shards with unanswered starts are written anew: a start that may still be
     /// on its way is not executed under a higher token.
-    async fn settle_blocks(&self) {
-        let unsettled: Vec<(BlockId, Versioned<BlockRecord>)> = {
+    async fn resolve_in_doubt_starts(&self) {
+        let in_doubt_start: Vec<(ShardId, Versioned<ShardRecord>)> = {
             let cache = self.store.cache();
-            let state = lock(&self.holder);
-            let mut found: BTreeMap<BlockId, Versioned<BlockRecord>> = BTreeMap::new();
-            for (id, view) in &state.views {
-                let wants = view.unsettled.is_some_and(|(token, at)| {
-                    at.elapsed() > SETTLE_AFTER && view.heard > at && token >= view.token
+            let state = lock(&self.owner);
+            let mut found: BTreeMap<ShardId, Versioned<ShardRecord>> = BTreeMap::new();
+            for (id, agent) in &state.agents {
+                let is_in_doubt = agent.in_doubt_start.is_some_and(|(token, at)| {
+                    at.elapsed() > IN_DOUBT_TIMEOUT
+                        && agent.last_heartbeat > at
+                        && token >= agent.token
                 });
-                if wants && let Some((block, kept)) = self.own_block_of(&cache, id) {
-                    // Raised already: the worker only has to hear of it.
-                    let raised = view
-                        .unsettled
-                        .is_some_and(|(token, _)| Token::from(kept.revision) > token);
+                if is_in_doubt && let Some((shard, entry)) = self.own_shard_of(&cache, id) {
+                    // Raised already: the agent only has to hear of it.
+                    let raised = agent
+                        .in_doubt_start
+                        .is_some_and(|(token, _)| Token::from(entry.revision) > token);
                     if !raised {
-                        found.insert(block, kept.clone());
+                        found.insert(shard, entry.clone());
                     }
                 }
             }
             found.into_iter().take(4).collect()
         };
-        for (id, kept) in unsettled {
-            let key = keys::block(id);
+        for (id, entry) in in_doubt_start {
+            let key = keys::shard(id);
             let transaction = Transaction::default()
-                .require(key.clone(), kept.revision)
-                .set(key, &kept.value);
-            match self.store.commit(&transaction, Urgency::Fence).await {
-                Ok(mark) => tracing::debug!(block = %id, token = %mark, "raised its token"),
+                .require(key.clone(), entry.revision)
+                .set(key, &entry.value);
+            match self
+                .store
+                .commit(&transaction, RequestPriority::Fencing)
+                .await
+            {
+                Ok(revision) => {
+                    tracing::debug!(shard = %id, token = %revision, "fencing token raised")
+                }
                 Err(error) => {
-                    tracing::debug!(block = %id, %error, "cannot raise its token");
+                    tracing::debug!(shard = %id, %error, "cannot raise the fencing token");
                     return;
                 }
             }
         }
     }
 
-    /// Writes the seat anew: no earlier commit of ours applies to its new
+    /// Writes the allocation anew: no earlier commit of ours applies to its new
     /// revision.
-    async fn void_pending_commits(&self, seat: &Versioned<SeatRecord>) -> bool {
-        let key = keys::seat(&self.config.node);
+    async fn resolve_commit_in_doubt(&self, allocation: &Versioned<AllocationRecord>) -> bool {
+        let key = keys::allocation(&self.config.name);
         let transaction = Transaction::default()
-            .require(key.clone(), seat.revision)
-            .set(key, &seat.value);
-        match self.store.commit(&transaction, Urgency::Fence).await {
-            Ok(mark) => {
-                tracing::debug!(%mark, "wrote our seat anew");
+            .require(key.clone(), allocation.revision)
+            .set(key, &allocation.value);
+        match self
+            .store
+            .commit(&transaction, RequestPriority::Fencing)
+            .await
+        {
+            Ok(revision) => {
+                tracing::debug!(%revision, "quota allocation rewritten");
                 // What was committed before it is in the cache only after this.
-                let fresh = self.store.fresh().await;
-                lock(&self.holder).must_void_pending = !fresh;
+                let fresh = self.store.read_barrier().await;
+                lock(&self.owner).has_commit_in_doubt = !fresh;
                 fresh
             }
             Err(error) => {
-                tracing::debug!(%error, "cannot write our seat anew");
-                lock(&self.holder).must_void_pending |= error.is_unknown();
-                if !self.store.fresh().await {
+                tracing::debug!(%error, "cannot rewrite the quota allocation");
+                lock(&self.owner).has_commit_in_doubt |= error.is_unknown();
+                if !self.store.read_barrier().await {
                     self.pause(Duration::from_millis(200)).await;
                 }
                 false
--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -1,4 +1,4 @@
-//! Places offered tasks on the holder's machines, by least estimated completion.
+//! Places offered tasks on the owner's machines, by least estimated completion.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,37 +9,37 @@
 
 use super::{
     super::{
-        policy::zones::{CONDITIONS_PER_CHANGE, ZoneConstraint, ZoneScope},
-        zones,
+        policy::zone_constraint::{CONDITIONS_PER_CHANGE, ZoneConstraint, ZoneScope},
+        zone_usage,
     },
-    HolderState,
-    change::{Changes, JobChange},
+    OwnerState,
+    planned_changes::{PlannedChanges, RecordChange},
 };
 use crate::{
     coordination::{
-        node::{Node, lock},
+        agent_state::AgentState,
+        controller::{Controller, lock},
         policy::placement,
         ports::Command,
-        view::View,
     },
     storage::{
-        AMOUNT_SLACK, BlockId, JobId, JobKind, JobSpec, MachineId, Quota, StateCache, TaskId,
+        AMOUNT_SLACK, JobId, JobKind, JobSpec, MachineId, Quota, ShardId, StateCache, TaskId,
         TeamName, ZoneName, keys,
-        records::{MachineUse, SeatRecord},
+        records::{AllocationRecord, MachineUse},
         state_cache::{self, Versioned},
     },
 };
 
-/// What the holder's tasks use of a team's limit, and may use.
-struct TeamUse {
+/// What the owner's tasks use of a team's limit, and may use.
+struct TeamQuotaUse {
     used: Quota,
     budget: Quota,
 }
 
 /// Room and quota that a round's placements have left.
 #[derive(Clone)]
-struct Free {
-    slots: Vec<placement::Slot>,
+struct FreeResources {
+    candidates: Vec<placement::CandidateMachine>,
     used: BTreeMap<TeamName, Quota>,
 }
 
@@ -53,7 +53,7 @@
 impl OfferedJob<'_> {
     /// The offered tasks that wait for a place, but for those that this very round
     /// writes about.
-    fn unplaced(&self, state: &HolderState, changes: &Changes) -> Vec<u32> {
+    fn unplaced(&self, state: &OwnerState, changes: &PlannedChanges) -> Vec<u32> {
         let OfferedJob { id, spec, job } = *self;
         let written = |task: u32| {
             let change = changes.0.get(&(id.clone(), task / keys::CHUNK));
@@ -76,14 +76,14 @@
 }
 
 /// The jobs that were offered and still run, the most pressing first.
-fn offered_jobs<'a>(state: &HolderState, cache: &'a StateCache) -> Vec<OfferedJob<'a>> {
+fn offered_jobs<'a>(state: &OwnerState, cache: &'a StateCache) -> Vec<OfferedJob<'a>> {
     let mut jobs: Vec<OfferedJob<'a>> = state
         .offers
         .keys()
         .filter_map(|id| {
             let (id, job) = cache.jobs.get_key_value(id)?;
             let spec = job.spec()?;
-            job.draining
+            job.cleanup_since
                 .is_none()
                 .then_some(OfferedJob { id, spec, job })
         })
@@ -100,15 +100,15 @@
 }
 
 /// Notes the quota that tasks without a place lack, if it is quota that they lack.
-fn note_lacking(
-    state: &mut HolderState,
-    seat: &Versioned<SeatRecord>,
+fn note_deficit(
+    state: &mut OwnerState,
+    allocation: &Versioned<AllocationRecord>,
     spec: &JobSpec,
     tasks: usize,
-    free: &Free,
+    free: &FreeResources,
 ) {
     let quota = Quota::from(&spec.per_task);
-    let budget = seat
+    let budget = allocation
         .value
         .budgets
         .get(&spec.team)
@@ -125,8 +125,8 @@
         return;
     }
     let wanted = used.plus(&quota.times(tasks as f64));
-    let lacking = state.lacking.entry(spec.team.clone()).or_default();
-    *lacking = lacking.max(&wanted.minus(&budget).at_least_zero());
+    let deficit = state.deficit.entry(spec.team.clone()).or_default();
+    *deficit = deficit.max(&wanted.minus(&budget).at_least_zero());
 }
 
 /// Whether a placement of the job is conditional on all of its run records.
@@ -134,45 +134,50 @@
     spec.is_zone_bound() && ZoneScope::of(spec, changes_per_transaction) == ZoneScope::WholeJob
 }
 
-impl Node {
+impl Controller {
     /// Free room on our machines, as far as it may be used now.
-    fn slots(&self, state: &HolderState, cache: &StateCache, now: Instant) -> Vec<placement::Slot> {
-        let mut slots = Vec::new();
+    fn candidates(
+        &self,
+        state: &OwnerState,
+        cache: &StateCache,
+        now: Instant,
+    ) -> Vec<placement::CandidateMachine> {
+        let mut candidates = Vec::new();
         let now_ms = self.config.now_ms();
-        let quiet = self.config.worker_report.mul_f64(1.5);
-        let patience = self.config.deaf_after();
-        let blocks = self
-            .own_blocks(cache)
-            .filter(|(_, kept)| !kept.value.frozen);
-        for (id, usage) in blocks.flat_map(|(_, kept)| &kept.value.machines) {
-            let (Some(view), Some(record)) = (state.views.get(id), cache.machines.get(id)) else {
+        let quiet = self.config.heartbeat_interval.mul_f64(1.5);
+        let patience = self.config.command_path_timeout();
+        let shards = self
+            .own_shards(cache)
+            .filter(|(_, entry)| !entry.value.cordoned);
+        for (id, usage) in shards.flat_map(|(_, entry)| &entry.value.machines) {
+            let (Some(agent), Some(record)) = (state.agents.get(id), cache.machines.get(id)) else {
                 continue;
             };
             let Some(kind) = cache.machine_type(&record.kind) else {
                 continue;
             };
-            if *usage == MachineUse::Frozen
-                || !view.reported
-                || view.silent(now) > quiet
-                || view.unreachable
-                || view.unsettled.is_some()
-                || view.leaves_at.is_some()
-                || state.is_suspect(view, now)
-                || view.is_deaf(patience, now)
+            if *usage == MachineUse::Cordoned
+                || !agent.has_heartbeat
+                || agent.time_since_heartbeat(now) > quiet
+                || agent.unreachable
+                || agent.in_doubt_start.is_some()
+                || agent.leaves_at.is_some()
+                || state.is_quarantined(agent, now)
+                || agent.is_command_path_lost(patience, now)
             {
                 continue;
             }
             let mut room = kind.size;
             if let Some(load) = cache.on_machine.get(id) {
                 room -= load.taken;
-                room += view.freed(load);
+                room += agent.freed(load);
             }
             if room.cpus < AMOUNT_SLACK {
                 continue;
             }
-            let age = Duration::from_millis(now_ms.saturating_sub(record.rented_ms));
-            slots.push(placement::Slot {
-                group: 0,
+            let age = Duration::from_millis(now_ms.saturating_sub(record.provisioned_ms));
+            candidates.push(placement::CandidateMachine {
+                owner: 0,
                 machine: id.clone(),
                 kind: record.kind.clone(),
                 zone: record.zone.clone(),
@@ -180,48 +185,48 @@
                 room,
                 size: kind.size,
                 fetch_gb_per_s: kind.fetch_gb_per_s,
-                speed: view.speed,
-                images: view.images(),
-                leaves_in: (*usage == MachineUse::Marked)
+                speed: agent.speed,
+                images: agent.images(),
+                leaves_in: (*usage == MachineUse::Draining)
                     .then(|| self.config.tuning.paid.left(age)),
             });
         }
-        slots
+        candidates
     }
 
     pub(super) fn place_offers(
         &self,
-        state: &mut HolderState,
+        state: &mut OwnerState,
         cache: &StateCache,
-        seat: &Versioned<SeatRecord>,
+        allocation: &Versioned<AllocationRecord>,
         now: Instant,
-        changes: &mut Changes,
+        changes: &mut PlannedChanges,
     ) {
         state.offers.retain(|_, offer| offer.until > now);
-        state.lacking.clear();
+        state.deficit.clear();
         if state.offers.is_empty() {
             return;
         }
         // Also those that are still leased to the process before us: their tasks go on, and
-        // our budgets count them. By our own blocks alone, a restarted process used what
+        // our budgets count them. By our own shards alone, a restarted process used what
         // was in use already.
-        let machines = cache.machines_of(&self.config.node);
-        let mut free = Free {
-            slots: self.slots(state, cache, now),
+        let machines = cache.machines_of(&self.config.name);
+        let mut free = FreeResources {
+            candidates: self.candidates(state, cache, now),
             used: cache.quota_used(machines),
         };
         for offered in offered_jobs(state, cache) {
             let mut tasks = offered.unplaced(state, changes);
-            if state.failing.is_probed(offered.id, now) {
+            if state.failing.is_on_probation(offered.id, now) {
                 tasks.truncate(usize::from(offered.job.present() == 0));
             }
             if offered.spec.kind == JobKind::Gang && (tasks.is_empty() || !offered.job.may_join()) {
                 continue;
             }
-            let chosen = self.place_job(state, cache, seat, &offered, &tasks, &mut free);
+            let chosen = self.place_job(state, cache, allocation, &offered, &tasks, &mut free);
             let unplaced = tasks.len() - chosen.len();
-            note_lacking(state, seat, offered.spec, unplaced, &free);
-            self.note_placements(state, cache, &offered, chosen, &free.slots, changes);
+            note_deficit(state, allocation, offered.spec, unplaced, &free);
+            self.note_placements(state, cache, &offered, chosen, &free.candidates, changes);
         }
     }
 
@@ -229,32 +234,39 @@
     /// for those of a gang all or none.
     fn place_job(
         &self,
-        state: &HolderState,
+        state: &OwnerState,
         cache: &StateCache,
-        seat: &Versioned<SeatRecord>,
+        allocation: &Versioned<AllocationRecord>,
         offered: &OfferedJob<'_>,
         tasks: &[u32],
-        free: &mut Free,
+        free: &mut FreeResources,
     ) -> Vec<(u32, usize)> {
         let OfferedJob { id, spec, job } = *offered;
         let scope = ZoneScope::of(spec, self.config.state.txn_ops);
-        if zones::needs_home(spec, scope) {
+        if zone_usage::needs_zone_assignment(spec, scope) {
             return Vec::new();
         }
         let gang = spec.kind == JobKind::Gang;
         let before = gang.then(|| free.clone());
-        let budgets = &seat.value.budgets;
-        let mut team = TeamUse {
+        let budgets = &allocation.value.budgets;
+        let mut team = TeamQuotaUse {
             used: free.used.get(&spec.team).copied().unwrap_or_default(),
             budget: budgets.get(&spec.team).copied().unwrap_or_default(),
         };
         let mut chosen = Vec::with_capacity(tasks.len());
-        for (tasks, constraint) in zones::constrained_parts(cache, job, scope, tasks) {
-            let slots = &mut free.slots;
+        for (tasks, constraint) in zone_usage::constrained_parts(cache, job, scope, tasks) {
+            let candidates = &mut free.candidates;
             let part = if gang && spec.one_zone && constraint.is_open() {
-                self.choose_zone(&state.views, (id, job), tasks, slots, &mut team)
+                self.choose_zone(&state.agents, (id, job), tasks, candidates, &mut team)
             } else {
-                self.choose_slots(&state.views, (id, job), tasks, slots, &mut team, constraint)
+                self.choose_candidates(
+                    &state.agents,
+                    (id, job),
+                    tasks,
+                    candidates,
+                    &mut team,
+                    constraint,
+                )
             };
             chosen.extend(part);
         }
@@ -273,37 +285,37 @@
     /// follow once that is committed.
     fn note_placements(
         &self,
-        state: &HolderState,
+        state: &OwnerState,
         cache: &StateCache,
         offered: &OfferedJob<'_>,
         chosen: Vec<(u32, usize)>,
-        slots: &[placement::Slot],
-        changes: &mut Changes,
+        candidates: &[placement::CandidateMachine],
+        changes: &mut PlannedChanges,
     ) {
         let OfferedJob { id, spec, job } = *offered;
         for (task, at) in chosen {
-            let machine = &slots[at].machine;
-            let (Some(view), Some((block, kept))) =
-                (state.views.get(machine), self.own_block_of(cache, machine))
+            let machine = &candidates[at].machine;
+            let (Some(agent), Some((shard, entry))) =
+                (state.agents.get(machine), self.own_shard_of(cache, machine))
             else {
                 continue;
             };
-            let session = view.session;
+            let epoch = agent.epoch;
             let change = changes.of(id, job, task);
-            if !self.has_condition_for(change, job, block) {
+            if !self.has_condition_for(change, job, shard) {
                 continue;
             }
             let attempt = match spec.kind {
                 JobKind::Gang => job.gang_attempt(),
                 JobKind::Array | JobKind::Service => change.record.next_attempt(task),
             };
-            change.record.place(task, machine.clone(), session, attempt);
+            change.record.place(task, machine.clone(), epoch, attempt);
             change.places = true;
             change.fenced = true;
-            change.blocks.insert(block, kept.revision);
+            change.shards.insert(shard, entry.revision);
             let task = TaskId::new(id.clone(), task);
             let start = Command::Start { task, attempt };
-            change.starts.push((machine.clone(), session, start));
+            change.starts.push((machine.clone(), epoch, start));
         }
     }
 
@@ -311,36 +323,39 @@
     /// anywhere yet: the first zone that has room for all of them.
     fn choose_zone(
         &self,
-        views: &BTreeMap<MachineId, View>,
+        agents: &BTreeMap<MachineId, AgentState>,
         (id, job): (&JobId, &state_cache::Job),
         tasks: &[u32],
-        slots: &mut Vec<placement::Slot>,
-        team: &mut TeamUse,
+        candidates: &mut Vec<placement::CandidateMachine>,
+        team: &mut TeamQuotaUse,
     ) -> Vec<(u32, usize)> {
         let Some(spec) = job.spec() else {
             return Vec::new();
         };
-        let found: BTreeSet<ZoneName> = slots.iter().map(|slot| slot.zone.clone()).collect();
+        let found: BTreeSet<ZoneName> = candidates
+            .iter()
+            .map(|candidate| candidate.zone.clone())
+            .collect();
         for zone in found {
-            let before = (slots.clone(), team.used);
+            let before = (candidates.clone(), team.used);
             let mut only = ZoneConstraint::of_job(spec);
             only.confine(zone);
-            let chosen = self.choose_slots(views, (id, job), tasks, slots, team, only);
+            let chosen = self.choose_candidates(agents, (id, job), tasks, candidates, team, only);
             if chosen.len() == tasks.len() {
                 return chosen;
             }
-            (*slots, team.used) = before;
+            (*candidates, team.used) = before;
         }
         Vec::new()
     }
 
     /// Whether a transaction that writes this record can be conditional on one more
-    /// block, beside its seat, spec, fate and the job's records.
+    /// shard, beside its allocation, spec, outcome and the job's records.
     pub(super) fn has_condition_for(
         &self,
-        change: &JobChange,
+        change: &RecordChange,
         job: &state_cache::Job,
-        block: BlockId,
+        shard: ShardId,
     ) -> bool {
         let changes = self.config.state.txn_ops;
         let records = match job.spec() {
@@ -348,65 +363,67 @@
             _ => 1,
         };
         let most = (CONDITIONS_PER_CHANGE * changes).saturating_sub(3 + records);
-        change.blocks.contains_key(&block) || change.blocks.len() < most.max(1)
+        change.shards.contains_key(&shard) || change.shards.len() < most.max(1)
     }
 
     /// A slot for each of the tasks, as far as room and budget last.
-    fn choose_slots(
+    fn choose_candidates(
         &self,
-        views: &BTreeMap<MachineId, View>,
+        agents: &BTreeMap<MachineId, AgentState>,
         (id, job): (&JobId, &state_cache::Job),
         tasks: &[u32],
-        slots: &mut [placement::Slot],
-        team: &mut TeamUse,
+        candidates: &mut [placement::CandidateMachine],
+        team: &mut TeamQuotaUse,
         mut constraint: ZoneConstraint,
     ) -> Vec<(u32, usize)> {
         let Some(spec) = job.spec() else {
             return Vec::new();
         };
         let now = Instant::now();
-        let factor = lock(&self.learning).factor(&spec.class);
+        let factor = lock(&self.estimator).factor(&spec.class);
         let quota = Quota::from(&spec.per_task);
-        let mut admits = |slot: &placement::Slot| {
+        let mut admits = |candidate: &placement::CandidateMachine| {
             let after = team.used.plus(&quota);
             let admitted = team.budget.covers(&after)
-                && constraint.admits(&slot.zone)
-                && views
-                    .get(&slot.machine)
-                    .is_some_and(|view| !view.refuses(id, now));
+                && constraint.admits(&candidate.zone)
+                && agents
+                    .get(&candidate.machine)
+                    .is_some_and(|agent| !agent.refuses(id, now));
             if admitted {
                 team.used = after;
-                constraint.add(&slot.zone);
+                constraint.add(&candidate.zone);
             }
             admitted
         };
         // A task that was placed before may still be listed by a machine, which
         // would refuse it: such tasks look at each machine by themselves.
         let (again, fresh): (Vec<u32>, Vec<u32>) = tasks.iter().partition(|task| {
-            job.chunks.get(&(**task / keys::CHUNK)).is_some_and(|kept| {
-                kept.value.before.contains_key(task) || kept.value.placed.contains_key(task)
-            })
+            job.chunks
+                .get(&(**task / keys::CHUNK))
+                .is_some_and(|entry| {
+                    entry.value.before.contains_key(task) || entry.value.placed.contains_key(task)
+                })
         });
         let mut chosen = Vec::with_capacity(tasks.len());
         for task in again {
             let task_id = TaskId::new(id.clone(), task);
-            let at = placement::choose(spec, slots, factor, |slot| {
-                let listed = views
-                    .get(&slot.machine)
-                    .is_some_and(|view| view.tasks.contains_key(&task_id));
+            let at = placement::choose(spec, candidates, factor, |candidate| {
+                let listed = agents
+                    .get(&candidate.machine)
+                    .is_some_and(|agent| agent.tasks.contains_key(&task_id));
                 !listed
-                    && views
-                        .get(&slot.machine)
-                        .is_some_and(|view| !view.refuses(id, now))
+                    && agents
+                        .get(&candidate.machine)
+                        .is_some_and(|agent| !agent.refuses(id, now))
             });
             if let Some(at) = at
-                && admits(&slots[at])
+                && admits(&candidates[at])
             {
-                slots[at].put(spec);
+                candidates[at].put(spec);
                 chosen.push((task, at));
             }
         }
-        let filled = placement::fill(spec, slots, factor, fresh.len(), admits);
+        let filled = placement::fill(spec, candidates, factor, fresh.len(), admits);
         chosen.extend(fresh.into_iter().zip(filled));
         chosen
     }
--- a/src/coordination/owner/planned_changes.rs
+++ b/src/coordination/owner/planned_changes.rs
@@ -1,26 +1,27 @@
-//! What one round of the holder wants to write.
+//! What one round of the owner wants to write.
 
 use std::collections::BTreeMap;
 
 use crate::{
     coordination::ports::{Command, Exit},
     storage::{
-        BlockId, JobId, MachineId, Revision, Session, TaskId, keys, records::RunRecord, state_cache,
+        AgentEpoch, JobId, MachineId, Revision, ShardId, TaskId, keys, records::RunRecord,
+        state_cache,
     },
 };
 
 /// What one round wants to write about one record of a job. Each record by itself,
 /// so that no transaction is too large however many a job has.
-pub(super) struct JobChange {
+pub(super) struct RecordChange {
     pub(super) id: JobId,
     pub(super) chunk: u32,
     pub(super) record: RunRecord,
     pub(super) places: bool,
-    /// The blocks on whose machines it places, or finds tasks missing, as the
+    /// The shards on whose machines it places, or finds tasks missing, as the
     /// plan saw them.
-    pub(super) blocks: BTreeMap<BlockId, Revision>,
+    pub(super) shards: BTreeMap<ShardId, Revision>,
     /// It holds only as long as we hold the machines: what it says is a decision
-    /// of ours, or that a task is missing which a next holder would start. That a
+    /// of ours, or that a task is missing which a next owner would start. That a
     /// task has ended stays true whoever holds its machine.
     pub(super) fenced: bool,
     /// Others write its records as well, so that it may well be refused.
@@ -29,29 +30,34 @@
     pub(super) finishes: bool,
     /// Its job is idle work, see `JobSpec::is_idle_work`.
     pub(super) idle_work: bool,
-    pub(super) starts: Vec<(MachineId, Session, Command)>,
+    pub(super) starts: Vec<(MachineId, AgentEpoch, Command)>,
     /// Ends that are learned from once they are written down.
     pub(super) ends: Vec<(TaskId, MachineId, Exit)>,
 }
 
 #[derive(Default)]
-pub(super) struct Changes(pub(super) BTreeMap<(JobId, u32), JobChange>);
+pub(super) struct PlannedChanges(pub(super) BTreeMap<(JobId, u32), RecordChange>);
 
-impl Changes {
+impl PlannedChanges {
     /// The change of the record that this task stands in.
-    pub(super) fn of(&mut self, id: &JobId, job: &state_cache::Job, task: u32) -> &mut JobChange {
+    pub(super) fn of(
+        &mut self,
+        id: &JobId,
+        job: &state_cache::Job,
+        task: u32,
+    ) -> &mut RecordChange {
         let chunk = task / keys::CHUNK;
         let key = (id.clone(), chunk);
-        self.0.entry(key).or_insert_with(|| JobChange {
+        self.0.entry(key).or_insert_with(|| RecordChange {
             id: id.clone(),
             chunk,
             record: job
                 .chunks
                 .get(&chunk)
-                .map(|kept| kept.value.clone())
+                .map(|entry| entry.value.clone())
                 .unwrap_or_default(),
             places: false,
-            blocks: BTreeMap::new(),
+            shards: BTreeMap::new(),
             fenced: false,
             shared: false,
             finishes: false,
--- a/src/coordination/owner/results.rs
+++ b/src/coordination/owner/results.rs
@@ -1,39 +1,39 @@
-//! Finds out which of the holder's tasks are over, and learns from how they ended.
+//! Finds out which of the owner's tasks are over, and learns from how they ended.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use tokio::time::Instant;
 
-use super::{HolderState, TaskOutcome, change::Changes};
+use super::{OwnerState, TaskOutcome, planned_changes::PlannedChanges};
 use crate::{
     coordination::{
-        node::{Node, lock},
+        agent_state::AgentState,
+        controller::{Controller, lock},
         ports::{Exit, TaskState},
-        view::View,
     },
     storage::{Attempt, MachineId, StateCache, TaskId, records::Placement, state_cache},
 };
 
 /// A machine on which a job has failed does not get it again for this long.
-const REFUSED_FOR: Duration = Duration::from_secs(60);
+const REFUSAL_PERIOD: Duration = Duration::from_secs(60);
 
-impl Node {
+impl Controller {
     /// Whether a placed task of ours is over, as far as its machine's view tells.
-    pub(super) fn outcome(
+    pub(super) fn task_outcome(
         &self,
-        view: &View,
+        agent: &AgentState,
         job: Option<&state_cache::Job>,
         task: &TaskId,
         placement: &Placement,
         preempting: &BTreeMap<TaskId, Attempt>,
     ) -> Option<TaskOutcome> {
-        if !view.reported {
+        if !agent.has_heartbeat {
             return None;
         }
-        if view.outlived(placement.session) {
-            return Some(TaskOutcome::Gone);
+        if agent.has_ended_epoch(placement.epoch) {
+            return Some(TaskOutcome::Terminated);
         }
-        let seen = view
+        let seen = agent
             .tasks
             .get(task)
             .filter(|seen| seen.attempt == placement.attempt);
@@ -41,10 +41,10 @@
             Some(TaskState::Exited(exit)) => Some(TaskOutcome::Ended(exit)),
             Some(_) => None,
             None => {
-                let unwanted = job.is_none_or(|job| job.draining.is_some())
+                let unwanted = job.is_none_or(|job| job.cleanup_since.is_some())
                     || preempting.get(task) == Some(&placement.attempt);
-                (unwanted && placement.session == view.session && view.absence_is_proof(task))
-                    .then_some(TaskOutcome::Gone)
+                (unwanted && placement.epoch == agent.epoch && agent.absence_is_proof(task))
+                    .then_some(TaskOutcome::Terminated)
             }
         }
     }
@@ -53,18 +53,18 @@
     /// true if there are any.
     pub(in crate::coordination) fn note_results(
         &self,
-        state: &mut HolderState,
+        state: &mut OwnerState,
         cache: &StateCache,
         machine: &MachineId,
         now: Instant,
     ) -> bool {
-        let HolderState {
-            views,
+        let OwnerState {
+            agents,
             results,
             preempting,
             ..
         } = state;
-        let (Some(load), Some(view)) = (cache.on_machine.get(machine), views.get_mut(machine))
+        let (Some(load), Some(agent)) = (cache.on_machine.get(machine), agents.get_mut(machine))
         else {
             return false;
         };
@@ -75,15 +75,15 @@
             .and_then(|record| cache.machine_type(&record.kind))
             .map(|kind| kind.cache_gb);
         for (task, placed) in &load.tasks {
-            let running = view
+            let running = agent
                 .tasks
                 .get(task)
                 .is_some_and(|seen| seen.state == TaskState::Running);
             if running && let (Some(spec), Some(cache_gb)) = (&placed.spec, cache_gb) {
-                view.note_image(&spec.image, spec.image_gb, cache_gb);
+                agent.note_image(&spec.image, spec.image_gb, cache_gb);
             }
             let job = cache.jobs.get(&task.job);
-            let outcome = self.outcome(view, job, task, &placed.placement, preempting);
+            let outcome = self.task_outcome(agent, job, task, &placed.placement, preempting);
             if outcome.is_some() {
                 any = true;
                 if !results.contains_key(&task.job) {
@@ -109,14 +109,14 @@
 
     pub(super) fn collect_results(
         &self,
-        state: &mut HolderState,
+        state: &mut OwnerState,
         cache: &StateCache,
         now: Instant,
-        changes: &mut Changes,
+        changes: &mut PlannedChanges,
     ) {
         let patience = self.result_patience();
-        let HolderState {
-            views,
+        let OwnerState {
+            agents,
             results,
             preempting,
             ..
@@ -127,12 +127,12 @@
             };
             let mut found: Vec<(u32, &Placement, TaskOutcome)> = Vec::new();
             let mut open = 0;
-            for (index, placement) in job.chunks.values().flat_map(|kept| &kept.value.placed) {
-                let Some(view) = views.get(&placement.machine) else {
+            for (index, placement) in job.chunks.values().flat_map(|entry| &entry.value.placed) {
+                let Some(agent) = agents.get(&placement.machine) else {
                     continue;
                 };
                 let task = TaskId::new(id.clone(), *index);
-                match self.outcome(view, Some(job), &task, placement, preempting) {
+                match self.task_outcome(agent, Some(job), &task, placement, preempting) {
                     Some(outcome) => found.push((*index, placement, outcome)),
                     None => open += 1,
                 }
@@ -145,15 +145,15 @@
             }
             for (index, placement, outcome) in found {
                 let change = changes.of(id, job, index);
-                if outcome == TaskOutcome::Gone
-                    && let Some((block, kept)) = self.own_block_of(cache, &placement.machine)
+                if outcome == TaskOutcome::Terminated
+                    && let Some((shard, entry)) = self.own_shard_of(cache, &placement.machine)
                 {
-                    if !self.has_condition_for(change, job, block) {
+                    if !self.has_condition_for(change, job, shard) {
                         // In the next round.
                         continue;
                     }
                     change.fenced = true;
-                    change.blocks.insert(block, kept.revision);
+                    change.shards.insert(shard, entry.revision);
                 }
                 match outcome {
                     TaskOutcome::Ended(Exit::Done) => change.record.complete(index),
@@ -173,43 +173,43 @@
     /// now, so that a result whose commit is repeated counts once.
     pub(super) fn learn_from(
         &self,
-        state: &mut HolderState,
+        state: &mut OwnerState,
         cache: &StateCache,
         task: &TaskId,
         machine: &MachineId,
         exit: Exit,
     ) {
         let now = Instant::now();
-        let Some(view) = state.views.get_mut(machine) else {
+        let Some(agent) = state.agents.get_mut(machine) else {
             return;
         };
         if exit == Exit::Done {
             // It can run: whatever failed before was not the job's own fault.
             state.failing.succeeded(&task.job);
             let spec = cache.jobs.get(&task.job).and_then(|job| job.spec());
-            let since = view.tasks.get(task).and_then(|seen| seen.running_since);
+            let since = agent.tasks.get(task).and_then(|seen| seen.running_since);
             if let (Some(spec), Some(since)) = (spec, since)
-                && let Some(ratio) = lock(&self.learning).learn(
+                && let Some(ratio) = lock(&self.estimator).observe(
                     &spec.class,
                     spec.estimate,
                     now.duration_since(since),
                 )
             {
-                view.speed += 0.1 * (1.0 / ratio.clamp(0.2, 5.0) - view.speed);
+                agent.speed += 0.1 * (1.0 / ratio.clamp(0.2, 5.0) - agent.speed);
             }
             return;
         }
-        tracing::debug!(%task, %machine, ?exit, "ended");
+        tracing::debug!(%task, %machine, ?exit, "task ended");
         match exit {
             Exit::Failed => {
-                view.note_failure(&task.job, now);
-                if !state.failing.is_blamed(&task.job) {
-                    view.refuse(&task.job, now + REFUSED_FOR, now);
+                agent.note_failure(&task.job, now);
+                if !state.failing.is_crash_looping(&task.job) {
+                    agent.refuse(&task.job, now + REFUSAL_PERIOD, now);
                 }
                 state.failing.failed(&task.job, machine, now);
             }
             // Something is on the machine that we do not know of yet.
-            Exit::NoRoom | Exit::Busy => view.refuse(&task.job, now + Duration::from_secs(3), now),
+            Exit::NoRoom | Exit::Busy => agent.refuse(&task.job, now + Duration::from_secs(3), now),
             // Its user has not uploaded the description yet, or never will.
             Exit::Unknown => state.failing.failed(&task.job, machine, now),
             Exit::Stopped | Exit::Other | Exit::Done => {}
--- a/src/coordination/owner/stops.rs
+++ b/src/coordination/owner/stops.rs
@@ -1,4 +1,4 @@
-//! Decides which tasks are told to stop ahead of the next report.
+//! Decides which tasks are told to stop ahead of the next heartbeat.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,44 +7,47 @@
 
 use tokio::time::Instant;
 
-use super::HolderState;
+use super::OwnerState;
 use crate::{
     coordination::{
-        node::Node,
+        controller::Controller,
+        heartbeats::grace,
         ports::{Command, TaskState},
-        reports::grace,
     },
-    storage::{JobId, JobKind, MachineId, NodeName, StateCache, TaskId, records::Placement},
+    storage::{ControllerName, JobId, JobKind, MachineId, StateCache, TaskId, records::Placement},
 };
 
 /// Before a stop that was not obeyed is sent again directly.
-const STOP_AGAIN: Duration = Duration::from_secs(2);
+const STOP_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-impl Node {
+impl Controller {
     /// Tasks to be stopped now, directly rather than with the next answer. `mates`:
     /// those of gangs that other controllers are to stop with them, since a gang
     /// saves only if all of it is told within `gang_peer_s`.
     pub(super) fn collect_stops(
         &self,
-        state: &mut HolderState,
+        state: &mut OwnerState,
         cache: &StateCache,
         now: Instant,
-        mates: &mut BTreeMap<NodeName, Vec<TaskId>>,
+        remote_gang_members: &mut BTreeMap<ControllerName, Vec<TaskId>>,
     ) -> Vec<(MachineId, Vec<Command>)> {
-        let HolderState {
-            views, preempting, ..
+        let OwnerState {
+            agents, preempting, ..
         } = state;
         let mut leaving_gangs: BTreeSet<JobId> = BTreeSet::new();
         let mut wanted: Vec<(TaskId, &Placement)> = Vec::new();
-        let ending = cache.ending.iter().filter(|id| cache.is_cancelled(id));
-        let told = cache
-            .told_cancelled()
-            .filter(|id| !cache.ending.contains(*id));
-        for id in ending.chain(told) {
+        let pending_cleanup = cache
+            .pending_cleanup
+            .iter()
+            .filter(|id| cache.is_cancelled(id));
+        let peer_cancelled = cache
+            .peer_cancelled()
+            .filter(|id| !cache.pending_cleanup.contains(*id));
+        for id in pending_cleanup.chain(peer_cancelled) {
             let Some(job) = cache.jobs.get(id) else {
                 continue;
             };
-            for (index, placement) in job.chunks.values().flat_map(|kept| &kept.value.placed) {
+            for (index, placement) in job.chunks.values().flat_map(|entry| &entry.value.placed) {
                 wanted.push((TaskId::new(id.clone(), *index), placement));
             }
         }
@@ -58,16 +61,16 @@
         }
         // The cloud takes the machine: replicas go to another one before it
         // does, and tasks that can save do so.
-        for (machine, view) in views.iter() {
-            let Some(leaves_at) = view.leaves_at else {
+        for (machine, agent) in agents.iter() {
+            let Some(leaves_at) = agent.leaves_at else {
                 continue;
             };
             for (task, placed) in cache.on_machine.get(machine).iter().flat_map(|l| &l.tasks) {
                 if let Some(spec) = placed.spec.as_ref().filter(|s| s.kind == JobKind::Gang) {
-                    let seen = view.tasks.get(task);
+                    let seen = agent.tasks.get(task);
                     let since = seen.and_then(|seen| seen.running_since);
                     let ends_first = since.is_some_and(|at| at + spec.estimate < leaves_at);
-                    let lately = view.stops_sent.contains_key(task);
+                    let lately = agent.stops_sent.contains_key(task);
                     if !ends_first && !lately && now + spec.save < leaves_at {
                         leaving_gangs.insert(task.job.clone());
                     }
@@ -88,31 +91,33 @@
             };
             for (index, placement) in job.present_placements() {
                 let task = TaskId::new(id.clone(), index);
-                if views.contains_key(&placement.machine) {
+                if agents.contains_key(&placement.machine) {
                     preempting.insert(task.clone(), placement.attempt);
                     wanted.push((task, placement));
-                } else if let Some((_, kept)) = cache.block_of(&placement.machine) {
-                    let there = mates.entry(kept.value.node.clone()).or_default();
+                } else if let Some((_, entry)) = cache.shard_of(&placement.machine) {
+                    let there = remote_gang_members
+                        .entry(entry.value.controller.clone())
+                        .or_default();
                     there.push(task);
                 }
             }
         }
         let mut stops: BTreeMap<MachineId, Vec<Command>> = BTreeMap::new();
         for (task, placement) in wanted {
-            let Some(view) = views.get_mut(&placement.machine) else {
+            let Some(agent) = agents.get_mut(&placement.machine) else {
                 continue;
             };
-            let over = view.tasks.get(&task).is_some_and(|seen| {
+            let over = agent.tasks.get(&task).is_some_and(|seen| {
                 seen.attempt == placement.attempt && matches!(seen.state, TaskState::Exited(_))
             });
-            let lately = view
+            let lately = agent
                 .stops_sent
                 .get(&task)
-                .is_some_and(|at| now.duration_since(*at) < STOP_AGAIN);
+                .is_some_and(|at| now.duration_since(*at) < STOP_RETRY_INTERVAL);
             if over || lately {
                 continue;
             }
-            view.stops_sent.insert(task.clone(), now);
+            agent.stops_sent.insert(task.clone(), now);
             let job = cache.jobs.get(&task.job);
             let cancelled = cache.is_cancelled(&task.job);
             let spec = job.and_then(|job| job.spec()).map(|spec| &**spec);
--- a/src/coordination/peer_exchange.rs
+++ b/src/coordination/peer_exchange.rs
@@ -7,122 +7,125 @@
 
 use crate::{
     coordination::{
-        node::{Node, lock},
-        ports::{Cancellations, Dialect, PeerAnswer, PeerCall, Report, Sighting, Status},
+        controller::{Controller, lock},
+        ports::{
+            Cancellations, Heartbeat, IndirectHeartbeat, PeerRequest, PeerResponse,
+            ProtocolVersion, StatusMessage,
+        },
     },
-    storage::{NodeName, Revision},
+    storage::{ControllerName, Revision},
 };
 
-const EVERY: Duration = Duration::from_millis(800);
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(800);
 /// Cancelled jobs told to a peer at a time; more of them it must read for itself.
-const CANCELLATIONS: usize = 8_192;
+const MAX_CANCELLATIONS: usize = 8_192;
 
-impl Node {
+impl Controller {
     /// What a peer is told. The lists of machines are for the leader; the others
     /// only need to know that we live and what we know of.
-    pub fn status(&self, full: bool) -> Status {
+    pub fn status(&self, full: bool) -> StatusMessage {
         let now = Instant::now();
-        let mut status = Status {
-            node: self.config.node.clone(),
+        let mut status = StatusMessage {
+            controller: self.config.name.clone(),
             incarnation: self.config.incarnation,
-            dialect: self.config.dialect,
-            seen: self.store.seen(),
+            protocol_version: self.config.protocol_version,
+            highest_revision: self.store.highest_revision(),
             state_reachable: self.store.is_loaded() && self.store.is_reachable(),
             full,
-            held: Vec::new(),
-            sightings: Vec::new(),
+            owned: Vec::new(),
+            indirect_heartbeats: Vec::new(),
             failing: Vec::new(),
         };
         if full {
-            status.held = self.held_machines(now);
-            status.sightings = lock(&self.sightings)
+            status.owned = self.owned_machines(now);
+            status.indirect_heartbeats = lock(&self.indirect_heartbeats)
                 .values()
-                .map(|(at, sighting)| Sighting {
+                .map(|(at, indirect_heartbeat)| IndirectHeartbeat {
                     age: now.duration_since(*at),
-                    ..sighting.clone()
+                    ..indirect_heartbeat.clone()
                 })
                 .collect();
-            status.failing = lock(&self.holder).failing(now);
+            status.failing = lock(&self.owner).failing(now);
         }
         status
     }
 
-    fn leads(&self, node: &NodeName) -> bool {
+    fn leads(&self, controller: &ControllerName) -> bool {
         let cache = self.store.cache();
         cache
             .leader
             .as_ref()
-            .is_some_and(|leader| leader.value.node == *node)
+            .is_some_and(|leader| leader.value.controller == *controller)
     }
 
-    /// A worker reported here although its machine is not ours. Copies of old
-    /// reports are no sign of life.
-    pub(super) fn sight(&self, report: &Report) {
+    /// An agent sent a heartbeat here although its machine is not ours. Copies of old
+    /// heartbeats are no sign of life.
+    pub(super) fn note_indirect_heartbeat(&self, heartbeat: &Heartbeat) {
         let now = Instant::now();
-        let mut sightings = lock(&self.sightings);
-        if let Some((_, known)) = sightings.get(&report.machine) {
-            if (report.session, report.sequence) <= (known.session, known.sequence) {
+        let mut indirect_heartbeats = lock(&self.indirect_heartbeats);
+        if let Some((_, known)) = indirect_heartbeats.get(&heartbeat.machine) {
+            if (heartbeat.epoch, heartbeat.sequence) <= (known.epoch, known.sequence) {
                 return;
             }
-        } else if sightings.len() >= self.config.machines_tracked {
-            tracing::debug!(machine = %report.machine, "too many machines reported to keep track");
+        } else if indirect_heartbeats.len() >= self.config.machines_tracked {
+            tracing::debug!(machine = %heartbeat.machine, "too many indirect heartbeats to keep track of");
             return;
         }
-        let sighting = Sighting {
-            machine: report.machine.clone(),
-            kind: report.kind.clone(),
-            zone: report.zone.clone(),
-            spot: report.spot,
-            session: report.session,
-            sequence: report.sequence,
+        let indirect_heartbeat = IndirectHeartbeat {
+            machine: heartbeat.machine.clone(),
+            kind: heartbeat.kind.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
+            epoch: heartbeat.epoch,
+            sequence: heartbeat.sequence,
             age: Duration::ZERO,
         };
-        sightings.insert(report.machine.clone(), (now, sighting));
+        indirect_heartbeats.insert(heartbeat.machine.clone(), (now, indirect_heartbeat));
     }
 
     /// Duty: exchanges status with every peer.
-    pub(super) async fn talk_to_peers(&self) {
-        while self.pause(EVERY).await {
+    pub(super) async fn exchange_status(&self) {
+        while self.pause(EXCHANGE_INTERVAL).await {
             let started = Instant::now();
-            let life = self.config.sighted() + EVERY * 2;
-            lock(&self.sightings).retain(|_, (at, _)| at.elapsed() < life);
+            let life = self.config.indirect_heartbeat_max_age() + EXCHANGE_INTERVAL * 2;
+            lock(&self.indirect_heartbeats).retain(|_, (at, _)| at.elapsed() < life);
             // Before asking: what a peer knows at most this much of, we know.
             let applied = self.store.cache().revision;
-            if self.is_leader().is_some() {
-                lock(&self.leader).take_status(self.status(true), started);
+            if self.leadership().is_some() {
+                lock(&self.leader).record_status(self.status(true), started);
             }
             let calls = self.config.peers.iter().map(|(name, _)| {
-                let call = PeerCall::Status(self.status(self.leads(name)));
+                let call = PeerRequest::Status(self.status(self.leads(name)));
                 async move { (name, self.peers.call(name, call).await) }
             });
-            let mut agreed = self.store.is_loaded();
+            let mut confirmed = self.store.is_loaded();
             let mut ahead = Vec::new();
             // Somebody is served by the state service, so that our machines go, or
-            // have gone, to others: their workers are to find these.
-            let mut served = self.store.is_reachable();
+            // have gone, to others: their agents are to find these.
+            let mut any_served = self.store.is_reachable();
             for (name, answer) in join_all(calls).await {
                 match answer {
-                    Ok(PeerAnswer::Status(theirs)) => {
+                    Ok(PeerResponse::Status(theirs)) => {
                         // A process that has had no answer of the state service
                         // since its start can't vouch for what the one before it
                         // told users. Any answer would have carried a revision
                         // above all that.
-                        agreed &= theirs.seen > Revision(0);
-                        served |= theirs.state_reachable;
-                        if theirs.seen > applied {
-                            agreed &= theirs.dialect >= Dialect::CANCELLATIONS;
+                        confirmed &= theirs.highest_revision > Revision(0);
+                        any_served |= theirs.state_reachable;
+                        if theirs.highest_revision > applied {
+                            confirmed &= theirs.protocol_version >= ProtocolVersion::CANCELLATIONS;
                             ahead.push(name);
                         }
-                        self.hear(name, theirs, started);
+                        self.note_peer_status(name, theirs, started);
                     }
-                    _ => agreed = false,
+                    _ => confirmed = false,
                 }
             }
-            if agreed && !ahead.is_empty() {
-                agreed = !served && self.catch_up(applied, ahead).await;
+            if confirmed && !ahead.is_empty() {
+                confirmed = !any_served && self.catch_up(applied, ahead).await;
             }
-            if agreed {
-                lock(&self.links).nothing_newer = Some(started);
+            if confirmed {
+                lock(&self.liveness).read_confirmed_at = Some(started);
             }
         }
     }
@@ -130,27 +133,29 @@
     /// What every controller can read, by their own words: in its registration, or
     /// to us while it has none. None: some have said nothing yet, and silence is no
     /// word. A controller that is cut off from its peers alone holds nobody up.
-    pub(super) fn common_dialect(&self) -> Option<Dialect> {
+    pub(super) fn common_protocol_version(&self) -> Option<ProtocolVersion> {
         let cache = self.store.cache();
-        let links = lock(&self.links);
+        let liveness = lock(&self.liveness);
         let said = self.config.peers.iter().map(|(name, _)| {
             let registered = cache
-                .nodes
+                .controllers
                 .get(name)
-                .map(|kept| Dialect(kept.value.dialect));
-            registered.or_else(|| links.dialects.get(name).copied())
+                .map(|entry| ProtocolVersion(entry.value.protocol_version));
+            registered.or_else(|| liveness.protocol_versions.get(name).copied())
         });
-        said.chain([Some(self.config.dialect)]).min().flatten()
+        said.chain([Some(self.config.protocol_version)])
+            .min()
+            .flatten()
     }
 
     /// Whether all controllers are known to read this, and to go on doing so.
-    pub(super) fn all_read(&self, dialect: Dialect) -> bool {
+    pub(super) fn all_support(&self, protocol_version: ProtocolVersion) -> bool {
         let cache = self.store.cache();
         let recorded = cache
-            .format
+            .common_version
             .as_ref()
-            .map(|kept| Dialect(kept.value.dialect));
-        recorded.unwrap_or_default() >= dialect
+            .map(|entry| ProtocolVersion(entry.value.protocol_version));
+        recorded.unwrap_or_default() >= protocol_version
     }
 
     /// Learns from peers that know of newer revisions than we do which jobs are
@@ -158,25 +163,25 @@
     /// and need not let all other tasks go with their leases. A peer's word stops a
     /// task; it never starts one. True if none of their cancellations is unknown to
     /// us then.
-    async fn catch_up(&self, applied: Revision, ahead: Vec<&NodeName>) -> bool {
+    async fn catch_up(&self, applied: Revision, ahead: Vec<&ControllerName>) -> bool {
         let calls = ahead.into_iter().map(|name| async move {
-            let call = PeerCall::CancelledSince(applied);
+            let call = PeerRequest::CancelledSince(applied);
             self.peers.call(name, call).await
         });
         let mut complete = true;
         for answer in join_all(calls).await {
-            let Ok(PeerAnswer::CancelledSince(told)) = answer else {
+            let Ok(PeerResponse::CancelledSince(cancellations)) = answer else {
                 complete = false;
                 continue;
             };
-            let Some(jobs) = told.jobs else {
+            let Some(jobs) = cancellations.jobs else {
                 complete = false;
                 continue;
             };
-            let new = self.store.cache().note_cancelled(jobs, told.seen);
+            let new = self.store.cache().note_cancelled(jobs, cancellations.seen);
             if new > 0 {
-                tracing::info!(jobs = new, "cancelled, by the word of a peer");
-                self.holder_kick.notify_one();
+                tracing::info!(jobs = new, "cancellations learned from a peer");
+                self.owner_wakeup.notify_one();
             }
         }
         complete
@@ -184,64 +189,69 @@
 
     /// The jobs that we know to be cancelled by changes after this revision.
     fn cancelled_since(&self, revision: Revision) -> Cancellations {
-        let seen = self.store.seen();
-        let jobs = (self.store.is_loaded() && self.store.has_followed_fates()).then(|| {
-            let cache = self.store.cache();
-            cache.cancelled_since(revision)
-        });
-        let jobs = jobs.filter(|jobs| jobs.len() <= CANCELLATIONS);
+        let seen = self.store.highest_revision();
+        let jobs =
+            (self.store.is_loaded() && self.store.has_applied_looked_up_outcomes()).then(|| {
+                let cache = self.store.cache();
+                cache.cancelled_since(revision)
+            });
+        let jobs = jobs.filter(|jobs| jobs.len() <= MAX_CANCELLATIONS);
         Cancellations { seen, jobs }
     }
 
-    fn hear(&self, name: &NodeName, status: Status, at: Instant) {
+    fn note_peer_status(&self, name: &ControllerName, status: StatusMessage, at: Instant) {
         {
-            let mut links = lock(&self.links);
-            let heard = (at, status.state_reachable);
-            links.heard.insert(name.clone(), heard);
-            if links.dialects.insert(name.clone(), status.dialect) != Some(status.dialect) {
-                tracing::info!(peer = %name, dialect = status.dialect.0, "speaks");
+            let mut liveness = lock(&self.liveness);
+            let last_status = (at, status.state_reachable);
+            liveness.last_status.insert(name.clone(), last_status);
+            if liveness
+                .protocol_versions
+                .insert(name.clone(), status.protocol_version)
+                != Some(status.protocol_version)
+            {
+                tracing::info!(peer = %name, protocol_version = status.protocol_version.0, "peer protocol version");
             }
         }
         if status.full {
-            lock(&self.leader).take_status(status, at);
+            lock(&self.leader).record_status(status, at);
         }
     }
 
-    pub async fn answer_peer(self: &Arc<Self>, call: PeerCall) -> PeerAnswer {
+    pub async fn handle_peer_request(self: &Arc<Self>, call: PeerRequest) -> PeerResponse {
         match call {
-            PeerCall::Status(theirs) => {
+            PeerRequest::Status(theirs) => {
                 if self
                     .config
                     .peers
                     .iter()
-                    .any(|(name, _)| *name == theirs.node)
+                    .any(|(name, _)| *name == theirs.controller)
                 {
-                    let name = theirs.node.clone();
-                    self.hear(&name, theirs, Instant::now());
+                    let name = theirs.controller.clone();
+                    self.note_peer_status(&name, theirs, Instant::now());
                 }
                 // The leader has the lists from our own calls.
-                PeerAnswer::Status(self.status(false))
+                PeerResponse::Status(self.status(false))
             }
-            PeerCall::Offers(offers) => {
-                self.take_offers(offers);
-                PeerAnswer::Taken
+            PeerRequest::Offers(offers) => {
+                self.accept_offers(offers);
+                PeerResponse::Accepted
             }
-            PeerCall::Preempt(tasks) => {
-                self.take_preemptions(tasks);
-                PeerAnswer::Taken
+            PeerRequest::Preempt(tasks) => {
+                self.accept_preemptions(tasks);
+                PeerResponse::Accepted
             }
-            PeerCall::Probe(address) => {
-                PeerAnswer::Probed(self.workers.inspect(&address).await.is_ok())
+            PeerRequest::Probe(address) => {
+                PeerResponse::ProbeResult(self.agent_client.inspect(&address).await.is_ok())
             }
-            PeerCall::RequestQuota(request) => {
-                PeerAnswer::Quota(self.answer_quota_request(request).await)
+            PeerRequest::RequestQuota(request) => {
+                PeerResponse::Quota(self.handle_quota_request(request).await)
             }
-            PeerCall::SetQuotaTargets(targets) => {
-                self.take_quota_targets(targets);
-                PeerAnswer::Taken
+            PeerRequest::SetQuotaTargets(targets) => {
+                self.accept_quota_targets(targets);
+                PeerResponse::Accepted
             }
-            PeerCall::CancelledSince(revision) => {
-                PeerAnswer::CancelledSince(self.cancelled_since(revision))
+            PeerRequest::CancelledSince(revision) => {
+                PeerResponse::CancelledSince(self.cancelled_since(revision))
             }
         }
     }
--- a/src/coordination/policy/band.rs
+++ b/src/coordination/policy/band.rs
@@ -1,4 +1,4 @@
-//! The miss-rate band and periodic renting (section 5.3.1, algorithm 1,
+//! The miss-rate band and periodic scaling out (section 5.3.1, algorithm 1,
 //! equation 6).
 
 /// What one machine type looks like in a round.
@@ -27,9 +27,9 @@
     miss_weight * load.miss_share + (1.0 - miss_weight) * load.queue_share
 }
 
-/// How many machines of each type to rent, given the miss rate and the arrival
+/// How many machines of each type to provision, given the miss rate and the arrival
 /// rate of tasks per minute.
-pub fn rent(miss_rate: f64, arrivals: f64, loads: &[TypeLoad], at: &Thresholds) -> Vec<u32> {
+pub fn scale_out(miss_rate: f64, arrivals: f64, loads: &[TypeLoad], at: &Thresholds) -> Vec<u32> {
     loads
         .iter()
         .map(|load| {
--- a/src/coordination/policy/band/tests.rs
+++ b/src/coordination/policy/band/tests.rs
@@ -28,8 +28,8 @@
 fn arrivals_times_demand_over_beta_rounded_down() {
     // 1.3·0.29/0.1 = 3.77
     let loads = [load(0.5, 0.2, Some(0.9), 9)];
-    assert_eq!(rent(0.1, 1.3, &loads, &AT), vec![3]);
-    assert_eq!(rent(0.0999, 1.3, &loads, &AT), vec![0]);
+    assert_eq!(scale_out(0.1, 1.3, &loads, &AT), vec![3]);
+    assert_eq!(scale_out(0.0999, 1.3, &loads, &AT), vec![0]);
 }
 
 #[test]
@@ -40,5 +40,5 @@
         load(0.5, 0.2, None, 9),
         load(0.1, 0.02, None, 9),
     ];
-    assert_eq!(rent(0.5, 1.3, &loads, &AT), vec![2, 0, 3, 0]);
+    assert_eq!(scale_out(0.5, 1.3, &loads, &AT), vec![2, 0, 3, 0]);
 }
--- a/src/coordination/policy/mod.rs
+++ b/src/coordination/policy/mod.rs
@@ -3,8 +3,8 @@
 //! Heterogeneous Cloud Services".
 
 pub mod band;
-pub mod giveback;
 pub mod placement;
 pub mod remedial;
+pub mod scale_in;
 pub mod suitability;
-pub mod zones;
+pub mod zone_constraint;
--- a/src/coordination/policy/placement.rs
+++ b/src/coordination/policy/placement.rs
@@ -14,9 +14,9 @@
 
 /// A machine that might take a task.
 #[derive(Clone, Debug)]
-pub struct Slot {
-    /// Whose it is: the leader's trial looks at several holders' machines.
-    pub group: usize,
+pub struct CandidateMachine {
+    /// Whose it is: the leader's trial looks at several owners' machines.
+    pub owner: usize,
     pub machine: MachineId,
     pub kind: TypeName,
     pub zone: ZoneName,
@@ -28,7 +28,7 @@
     /// Learned speed; 1 is usual.
     pub speed: f64,
     pub images: Arc<Vec<ImageName>>,
-    /// A marked machine's paid period ends in this time.
+    /// A draining machine's paid period ends in this time.
     pub leaves_in: Option<Duration>,
 }
 
@@ -47,25 +47,29 @@
 
 /// Completions closer than this are taken as equal. Run times are guesses, and
 /// often wrong by half; a service has none, and each second of its start counts.
-const LEAST_TOLERANCE: Duration = Duration::from_millis(200);
+const MIN_TOLERANCE: Duration = Duration::from_millis(200);
 const TOLERANCE: f64 = 0.1;
 
-pub fn estimate(spec: &JobSpec, slot: &Slot, factor: f64) -> Estimate {
-    let fetch = if slot.images.contains(&spec.image) || spec.image_gb <= 0.0 {
+pub fn estimate(spec: &JobSpec, candidate: &CandidateMachine, factor: f64) -> Estimate {
+    let fetch = if candidate.images.contains(&spec.image) || spec.image_gb <= 0.0 {
         Duration::ZERO
     } else {
-        Duration::from_secs_f64(spec.image_gb / slot.fetch_gb_per_s.max(0.01))
+        Duration::from_secs_f64(spec.image_gb / candidate.fetch_gb_per_s.max(0.01))
     };
-    let run = spec.estimate.mul_f64(factor / slot.speed.clamp(0.05, 5.0));
+    let run = spec
+        .estimate
+        .mul_f64(factor / candidate.speed.clamp(0.05, 5.0));
     Estimate { fetch, run }
 }
 
 /// Whether the job allows the machine at all, its other tasks aside.
-pub fn allowed(spec: &JobSpec, slot: &Slot) -> bool {
-    spec.allows_type(&slot.kind) && spec.allows_zone(&slot.zone) && (spec.spot || !slot.spot)
+pub fn allowed(spec: &JobSpec, candidate: &CandidateMachine) -> bool {
+    spec.allows_type(&candidate.kind)
+        && spec.allows_zone(&candidate.zone)
+        && (spec.spot || !candidate.spot)
 }
 
-impl Slot {
+impl CandidateMachine {
     /// One task of the job is put here.
     pub fn put(&mut self, spec: &JobSpec) {
         self.room -= spec.per_task;
@@ -78,34 +82,34 @@
 /// Least estimated completion; of equals spot machines for tasks that may use
 /// them (ordinary ones are kept for those that may not), then the image, then
 /// the tightest fit, which leaves other machines empty.
-type Key = (u64, bool, u64, u64);
+type CompletionOrder = (u64, bool, u64, u64);
 
 /// The slot's place in the order for a task of the job; none if it can't take it.
-fn key(spec: &JobSpec, slot: &Slot, factor: f64) -> Option<Key> {
-    if !spec.per_task.fits_in(&slot.room) || !allowed(spec, slot) {
+fn key(spec: &JobSpec, candidate: &CandidateMachine, factor: f64) -> Option<CompletionOrder> {
+    if !spec.per_task.fits_in(&candidate.room) || !allowed(spec, candidate) {
         return None;
     }
-    let estimate = estimate(spec, slot, factor);
-    if let Some(left) = slot.leaves_in
+    let estimate = estimate(spec, candidate, factor);
+    if let Some(left) = candidate.leaves_in
         && (spec.kind == JobKind::Service || estimate.completion() > left)
     {
         return None;
     }
-    let left = (slot.room.cpus - spec.per_task.cpus).max(0.0);
+    let left = (candidate.room.cpus - spec.per_task.cpus).max(0.0);
     if spec.kind == JobKind::Gang {
         // All wait for the last image, and run at the slowest machine's pace: a
         // cached image counts before a quicker machine for one of them.
         return Some((
-            (estimate.fetch.as_millis() / LEAST_TOLERANCE.as_millis()) as u64,
-            spec.spot && !slot.spot,
+            (estimate.fetch.as_millis() / MIN_TOLERANCE.as_millis()) as u64,
+            spec.spot && !candidate.spot,
             estimate.run.as_millis() as u64,
             left.to_bits(),
         ));
     }
-    let tolerance = spec.estimate.mul_f64(TOLERANCE).max(LEAST_TOLERANCE);
+    let tolerance = spec.estimate.mul_f64(TOLERANCE).max(MIN_TOLERANCE);
     Some((
         (estimate.completion().as_millis() / tolerance.as_millis()) as u64,
-        spec.spot && !slot.spot,
+        spec.spot && !candidate.spot,
         estimate.fetch.as_millis() as u64,
         // The bits of numbers from zero on are in the numbers' order.
         left.to_bits(),
@@ -115,15 +119,15 @@
 /// The slot for one task.
 pub fn choose(
     spec: &JobSpec,
-    slots: &[Slot],
+    candidates: &[CandidateMachine],
     factor: f64,
-    mut admits: impl FnMut(&Slot) -> bool,
+    mut admits: impl FnMut(&CandidateMachine) -> bool,
 ) -> Option<usize> {
-    let mut best: Option<(Key, usize)> = None;
-    for (at, slot) in slots.iter().enumerate() {
-        if let Some(key) = key(spec, slot, factor)
+    let mut best: Option<(CompletionOrder, usize)> = None;
+    for (at, candidate) in candidates.iter().enumerate() {
+        if let Some(key) = key(spec, candidate, factor)
             && best.is_none_or(|(least, _)| key < least)
-            && admits(slot)
+            && admits(candidate)
         {
             best = Some((key, at));
         }
@@ -139,15 +143,15 @@
 /// once refuses it must refuse for good.
 pub fn fill(
     spec: &JobSpec,
-    slots: &mut [Slot],
+    candidates: &mut [CandidateMachine],
     factor: f64,
     count: usize,
-    mut admits: impl FnMut(&Slot) -> bool,
+    mut admits: impl FnMut(&CandidateMachine) -> bool,
 ) -> Vec<usize> {
-    let mut order: BinaryHeap<Reverse<(Key, usize)>> = slots
+    let mut order: BinaryHeap<Reverse<(CompletionOrder, usize)>> = candidates
         .iter()
         .enumerate()
-        .filter_map(|(at, slot)| Some(Reverse((key(spec, slot, factor)?, at))))
+        .filter_map(|(at, candidate)| Some(Reverse((key(spec, candidate, factor)?, at))))
         .collect();
     let mut chosen = Vec::with_capacity(count);
     let mut warmed = Vec::new();
@@ -155,9 +159,9 @@
         let Some(Reverse((_, at))) = order.pop() else {
             break;
         };
-        let slot = &mut slots[at];
-        let most = most_at_once(spec, slot).min(count - chosen.len());
-        let put = put_tasks(spec, slot, most, &mut admits);
+        let candidate = &mut candidates[at];
+        let most = most_at_once(spec, candidate).min(count - chosen.len());
+        let put = put_tasks(spec, candidate, most, &mut admits);
         chosen.extend(std::iter::repeat_n(at, put));
         if put == most {
             warmed.push(at);
@@ -166,7 +170,7 @@
     // Fewer machines than tasks: they take more than one after all.
     for at in warmed {
         let left = count - chosen.len();
-        let put = put_tasks(spec, &mut slots[at], left, &mut admits);
+        let put = put_tasks(spec, &mut candidates[at], left, &mut admits);
         chosen.extend(std::iter::repeat_n(at, put));
     }
     chosen
@@ -175,13 +179,13 @@
 /// Puts up to `most` tasks on a slot; returns how many it has taken.
 fn put_tasks(
     spec: &JobSpec,
-    slot: &mut Slot,
+    candidate: &mut CandidateMachine,
     most: usize,
-    admits: &mut impl FnMut(&Slot) -> bool,
+    admits: &mut impl FnMut(&CandidateMachine) -> bool,
 ) -> usize {
     let mut put = 0;
-    while put < most && spec.per_task.fits_in(&slot.room) && admits(slot) {
-        slot.put(spec);
+    while put < most && spec.per_task.fits_in(&candidate.room) && admits(candidate) {
+        candidate.put(spec);
         put += 1;
     }
     put
@@ -190,8 +194,8 @@
 /// Replicas and gangs whose image a machine has not yet go to several machines, one task
 /// each: all of these have the image for the next job that needs it, and one that is lost
 /// takes fewer tasks of a job along. Measured effect in docs/DESIGN.md, 15.
-fn most_at_once(spec: &JobSpec, slot: &Slot) -> usize {
-    if spec.kind == JobKind::Array || slot.images.contains(&spec.image) {
+fn most_at_once(spec: &JobSpec, candidate: &CandidateMachine) -> usize {
+    if spec.kind == JobKind::Array || candidate.images.contains(&spec.image) {
         usize::MAX
     } else {
         1
@@ -200,7 +204,7 @@
 
 /// What one group's slots offer to tasks of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct GroupFit {
+pub struct OwnerFit {
     /// Tasks that it can take, up to the number asked for.
     pub tasks: usize,
     /// Sum of their places in the order of completion.
@@ -210,24 +214,24 @@
 }
 
 /// Looks at each slot once for up to `count` tasks of the job.
-pub fn compare_groups(
+pub fn compare_owners(
     spec: &JobSpec,
-    slots: &[Slot],
+    candidates: &[CandidateMachine],
     factor: f64,
     count: usize,
-) -> BTreeMap<usize, GroupFit> {
-    let mut keys: BTreeMap<usize, Vec<(Key, usize)>> = BTreeMap::new();
-    let mut fits: BTreeMap<usize, GroupFit> = BTreeMap::new();
-    for slot in slots {
-        if let Some(key) = key(spec, slot, factor) {
-            let tasks = spec.per_task.count_in(&slot.room) as usize;
-            keys.entry(slot.group).or_default().push((key, tasks));
-            fits.entry(slot.group).or_default().free += slot.room.cpus;
+) -> BTreeMap<usize, OwnerFit> {
+    let mut keys: BTreeMap<usize, Vec<(CompletionOrder, usize)>> = BTreeMap::new();
+    let mut fits: BTreeMap<usize, OwnerFit> = BTreeMap::new();
+    for candidate in candidates {
+        if let Some(key) = key(spec, candidate, factor) {
+            let tasks = spec.per_task.count_in(&candidate.room) as usize;
+            keys.entry(candidate.owner).or_default().push((key, tasks));
+            fits.entry(candidate.owner).or_default().free += candidate.room.cpus;
         }
     }
-    for (group, mut keys) in keys {
+    for (owner, mut keys) in keys {
         keys.sort_unstable();
-        let Some(fit) = fits.get_mut(&group) else {
+        let Some(fit) = fits.get_mut(&owner) else {
             continue;
         };
         for (key, tasks) in keys {
@@ -243,14 +247,14 @@
 }
 
 /// The group for the tasks of one record: the one that takes most of them, since
-/// each further holder writes the record as well; of equals the one where they
+/// each further owner writes the record as well; of equals the one where they
 /// complete first, then the one with most room.
 /// `writers`: groups that write the record already, which come first.
-pub fn best_group(fits: &BTreeMap<usize, GroupFit>, writers: &[usize]) -> Option<usize> {
+pub fn best_owner(fits: &BTreeMap<usize, OwnerFit>, writers: &[usize]) -> Option<usize> {
     fits.iter()
         .filter(|(_, fit)| fit.tasks > 0)
         .max_by(|(i, a), (j, b)| {
-            let cost = |fit: &GroupFit| fit.cost / fit.tasks as u64;
+            let cost = |fit: &OwnerFit| fit.cost / fit.tasks as u64;
             writers
                 .contains(i)
                 .cmp(&writers.contains(j))
@@ -258,7 +262,7 @@
                 .then(cost(b).cmp(&cost(a)))
                 .then(a.free.total_cmp(&b.free))
         })
-        .map(|(group, _)| *group)
+        .map(|(owner, _)| *owner)
 }
 
 #[cfg(test)]
--- a/src/coordination/policy/placement/tests.rs
+++ b/src/coordination/policy/placement/tests.rs
@@ -29,18 +29,18 @@
         save: Duration::ZERO,
         deadline: None,
         accepted_ms: 0,
-        home: None,
+        assigned_zone: None,
     }
 }
 
-pub fn slot(name: &str, cpus: f64, spot: bool) -> Slot {
+pub fn candidate(name: &str, cpus: f64, spot: bool) -> CandidateMachine {
     let size = Resources {
         cpus,
         gpus: 0.0,
         memory: 64.0,
     };
-    Slot {
-        group: 0,
+    CandidateMachine {
+        owner: 0,
         machine: MachineId::new(name),
         kind: TypeName::new("type"),
         zone: ZoneName::new("zone"),
@@ -56,32 +56,41 @@
 
 #[test]
 fn a_cached_image_beats_a_tight_fit() {
-    let mut warm = slot("warm", 32.0, false);
+    let mut warm = candidate("warm", 32.0, false);
     warm.images = Arc::new(vec![ImageName::new("img")]);
-    let slots = [slot("cold", 4.0, false), warm];
+    let candidates = [candidate("cold", 4.0, false), warm];
     // 2 GB at 0.5 GB/s are four seconds.
     assert_eq!(
-        estimate(&spec(4.0, false), &slots[0], 1.0).fetch,
+        estimate(&spec(4.0, false), &candidates[0], 1.0).fetch,
         Duration::from_secs(4)
     );
-    assert_eq!(choose(&spec(4.0, false), &slots, 1.0, |_| true), Some(1));
+    assert_eq!(
+        choose(&spec(4.0, false), &candidates, 1.0, |_| true),
+        Some(1)
+    );
 }
 
 #[test]
 fn of_equals_spot_then_the_tightest() {
-    let slots = [
-        slot("big", 32.0, false),
-        slot("small", 8.0, false),
-        slot("spot", 16.0, true),
+    let candidates = [
+        candidate("big", 32.0, false),
+        candidate("small", 8.0, false),
+        candidate("spot", 16.0, true),
     ];
-    assert_eq!(choose(&spec(4.0, true), &slots, 1.0, |_| true), Some(2));
-    assert_eq!(choose(&spec(4.0, false), &slots, 1.0, |_| true), Some(1));
-    assert_eq!(choose(&spec(40.0, false), &slots, 1.0, |_| true), None);
+    assert_eq!(
+        choose(&spec(4.0, true), &candidates, 1.0, |_| true),
+        Some(2)
+    );
+    assert_eq!(
+        choose(&spec(4.0, false), &candidates, 1.0, |_| true),
+        Some(1)
+    );
+    assert_eq!(choose(&spec(40.0, false), &candidates, 1.0, |_| true), None);
 }
 
 #[test]
-fn a_marked_machine_takes_only_what_ends_in_time() {
-    let mut marked = slot("marked", 8.0, false);
+fn a_draining_machine_takes_only_what_ends_in_time() {
+    let mut marked = candidate("marked", 8.0, false);
     marked.leaves_in = Some(Duration::from_secs(13));
     // Fetch 4 s and run 10 s.
     assert_eq!(
@@ -93,23 +102,23 @@
 }
 
 /// Random machines with random room, images and zones.
-fn fleet(dice: &mut rand::rngs::StdRng, count: usize) -> Vec<Slot> {
+fn fleet(dice: &mut rand::rngs::StdRng, count: usize) -> Vec<CandidateMachine> {
     use rand::Rng;
     (0..count)
         .map(|n| {
             let cpus = [4.0, 16.0, 64.0][dice.random_range(0..3)];
-            let mut slot = slot(&format!("vm-{n}"), cpus, dice.random_bool(0.4));
-            slot.group = dice.random_range(0..3);
-            slot.zone = ZoneName::new(["a", "b"][slot.group % 2]);
-            slot.room.cpus = f64::from(dice.random_range(0..=cpus as u32));
-            slot.speed = dice.random_range(0.8..1.2);
+            let mut candidate = candidate(&format!("vm-{n}"), cpus, dice.random_bool(0.4));
+            candidate.owner = dice.random_range(0..3);
+            candidate.zone = ZoneName::new(["a", "b"][candidate.owner % 2]);
+            candidate.room.cpus = f64::from(dice.random_range(0..=cpus as u32));
+            candidate.speed = dice.random_range(0.8..1.2);
             if dice.random_bool(0.3) {
-                slot.images = Arc::new(vec![ImageName::new("img")]);
+                candidate.images = Arc::new(vec![ImageName::new("img")]);
             }
             if dice.random_bool(0.1) {
-                slot.leaves_in = Some(Duration::from_secs(dice.random_range(5..30)));
+                candidate.leaves_in = Some(Duration::from_secs(dice.random_range(5..30)));
             }
-            slot
+            candidate
         })
         .collect()
 }
@@ -120,14 +129,14 @@
     use rand::{Rng, SeedableRng};
     let mut dice = rand::rngs::StdRng::seed_from_u64(11);
     for round in 0..200 {
-        let mut slots = fleet(&mut dice, 60);
-        let mut plain = slots.clone();
+        let mut candidates = fleet(&mut dice, 60);
+        let mut plain = candidates.clone();
         let spec = spec(f64::from(dice.random_range(1..6)), dice.random_bool(0.5));
         let count = dice.random_range(1..80);
         let most_in_a = dice.random_range(0..60);
         let mut in_a = 0;
-        let filled = fill(&spec, &mut slots, 1.1, count, |slot| {
-            if slot.zone.as_str() == "a" {
+        let filled = fill(&spec, &mut candidates, 1.1, count, |candidate| {
+            if candidate.zone.as_str() == "a" {
                 in_a += 1;
                 return in_a <= most_in_a;
             }
@@ -136,8 +145,8 @@
         let mut in_a = 0;
         let mut one_by_one = Vec::new();
         while one_by_one.len() < count {
-            let at = choose(&spec, &plain, 1.1, |slot| {
-                slot.zone.as_str() != "a" || in_a < most_in_a
+            let at = choose(&spec, &plain, 1.1, |candidate| {
+                candidate.zone.as_str() != "a" || in_a < most_in_a
             });
             let Some(at) = at else { break };
             in_a += usize::from(plain[at].zone.as_str() == "a");
@@ -150,24 +159,24 @@
 
 #[test]
 fn a_group_that_takes_all_beats_one_where_it_is_quicker() {
-    let mut warm = slot("warm", 8.0, false);
+    let mut warm = candidate("warm", 8.0, false);
     warm.images = Arc::new(vec![ImageName::new("img")]);
-    let mut cold = slot("cold", 16.0, false);
-    cold.group = 1;
-    let slots = [warm, cold];
+    let mut cold = candidate("cold", 16.0, false);
+    cold.owner = 1;
+    let candidates = [warm, cold];
     let best = |count| {
-        let fits = compare_groups(&spec(4.0, false), &slots, 1.0, count);
-        best_group(&fits, &[])
+        let fits = compare_owners(&spec(4.0, false), &candidates, 1.0, count);
+        best_owner(&fits, &[])
     };
     assert_eq!(best(2), Some(0), "both take two, one has the image");
     assert_eq!(best(4), Some(1), "only one takes four");
-    let fits = compare_groups(&spec(4.0, false), &slots, 1.0, 4);
+    let fits = compare_owners(&spec(4.0, false), &candidates, 1.0, 4);
     assert_eq!(
-        best_group(&fits, &[0]),
+        best_owner(&fits, &[0]),
         Some(0),
         "it writes the record already"
     );
-    assert_eq!(best_group(&BTreeMap::new(), &[]), None);
+    assert_eq!(best_owner(&BTreeMap::new(), &[]), None);
 }
 
 /// Guards the spreading of cold images: later jobs find more machines that have them.
@@ -177,9 +186,9 @@
     service.kind = JobKind::Service;
     let machines = || {
         vec![
-            slot("a", 8.0, false),
-            slot("b", 8.0, false),
-            slot("c", 8.0, false),
+            candidate("a", 8.0, false),
+            candidate("b", 8.0, false),
+            candidate("c", 8.0, false),
         ]
     };
     let mut cold = machines();
--- a/src/coordination/policy/remedial/tests.rs
+++ b/src/coordination/policy/remedial/tests.rs
@@ -4,14 +4,14 @@
 
 #[test]
 fn one_machine_a_job_at_the_papers_values() {
-    assert_eq!(rent(0, 10.0, 0.1, 0), 0);
-    assert_eq!(rent(3, 10.0, 0.1, 0), 3);
-    assert_eq!(rent(3, 10.0, 0.1, 2), 1);
-    assert_eq!(rent(3, 10.0, 0.1, 5), 0);
+    assert_eq!(scale_out(0, 10.0, 0.1, 0), 0);
+    assert_eq!(scale_out(3, 10.0, 0.1, 0), 3);
+    assert_eq!(scale_out(3, 10.0, 0.1, 2), 1);
+    assert_eq!(scale_out(3, 10.0, 0.1, 5), 0);
 }
 
 #[test]
 fn theta_softens_it_and_rounds_up() {
     // 5 / (20·0.1) = 2.5
-    assert_eq!(rent(5, 20.0, 0.1, 0), 3);
+    assert_eq!(scale_out(5, 20.0, 0.1, 0), 3);
 }
--- a/src/coordination/policy/scale_in.rs
+++ b/src/coordination/policy/scale_in.rs
@@ -1,19 +1,19 @@
-//! Giving machines back (section 5.3.2, algorithm 2, equations 7 and 8): at or
+//! Scaling in (section 5.3.2, algorithm 2, equations 7 and 8): at or
 //! below α the least-used machine is marked; it goes back empty at the end of
 //! its paid period.
 
 use std::time::Duration;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Used<Id> {
+pub struct MachineUtilisation<Id> {
     pub id: Id,
     pub kind: usize,
     pub utilisation: f64,
     /// Power against others, here the machine's CPUs.
     pub power: f64,
-    /// The block it is in: of equals those of one block go together, since each
-    /// change of a block disturbs its holder.
-    pub block: u64,
+    /// The shard it is in: of equals those of one shard go together, since each
+    /// change of a shard disturbs its owner.
+    pub shard: u64,
     /// What is left of the paid period.
     pub paid_left: Duration,
 }
@@ -43,13 +43,13 @@
 }
 
 /// The machine to mark, if any. `kinds` is the number of machine types.
-pub fn mark<'a, Id>(
+pub fn select_machine<'a, Id>(
     miss_rate: f64,
     tasks_waiting: usize,
-    machines: &'a [Used<Id>],
+    machines: &'a [MachineUtilisation<Id>],
     kinds: usize,
     at: &Thresholds,
-) -> Option<&'a Used<Id>> {
+) -> Option<&'a MachineUtilisation<Id>> {
     if miss_rate > at.alpha || tasks_waiting > 0 {
         return None;
     }
@@ -57,7 +57,7 @@
         a.utilisation
             .total_cmp(&b.utilisation)
             .then(a.power.total_cmp(&b.power))
-            .then(a.block.cmp(&b.block))
+            .then(a.shard.cmp(&b.shard))
             .then(a.paid_left.cmp(&b.paid_left))
     })?;
     let mut counts = vec![0; kinds];
--- a/src/coordination/policy/scale_in/tests.rs
+++ b/src/coordination/policy/scale_in/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `coordination::policy::giveback`.
+//! Tests of `coordination::policy::scale_in`.
 
 use super::*;
 
@@ -8,13 +8,13 @@
     utilisation: 0.5,
 };
 
-fn used(id: u32, kind: usize, utilisation: f64, power: f64, left: u64) -> Used<u32> {
-    Used {
+fn used(id: u32, kind: usize, utilisation: f64, power: f64, left: u64) -> MachineUtilisation<u32> {
+    MachineUtilisation {
         id,
         kind,
         utilisation,
         power,
-        block: 1,
+        shard: 1,
         paid_left: Duration::from_secs(left),
     }
 }
@@ -36,21 +36,27 @@
         used(3, 0, 0.0, 4.0, 30),
         used(4, 0, 0.0, 4.0, 20),
     ];
-    assert_eq!(mark(0.05, 0, &machines, 1, &AT).map(|m| m.id), Some(4));
-    assert!(mark(0.051, 0, &machines, 1, &AT).is_none());
-    assert!(mark(0.0, 1, &machines, 1, &AT).is_none());
+    assert_eq!(
+        select_machine(0.05, 0, &machines, 1, &AT).map(|m| m.id),
+        Some(4)
+    );
+    assert!(select_machine(0.051, 0, &machines, 1, &AT).is_none());
+    assert!(select_machine(0.0, 1, &machines, 1, &AT).is_none());
 }
 
 #[test]
 fn a_mixed_fleet_keeps_busy_machines_and_a_uniform_one_does_not() {
     let mixed = [used(1, 0, 0.6, 4.0, 5), used(2, 1, 0.7, 4.0, 5)];
-    assert!(mark(0.0, 0, &mixed, 2, &AT).is_none());
+    assert!(select_machine(0.0, 0, &mixed, 2, &AT).is_none());
     let uniform = [used(1, 0, 0.6, 4.0, 5), used(2, 0, 0.7, 4.0, 5)];
-    assert_eq!(mark(0.0, 0, &uniform, 2, &AT).map(|m| m.id), Some(1));
+    assert_eq!(
+        select_machine(0.0, 0, &uniform, 2, &AT).map(|m| m.id),
+        Some(1)
+    );
 }
 
 #[test]
-fn paid_periods_run_from_the_rental() {
+fn paid_periods_run_from_the_provision_request() {
     let paid = PaidPeriods {
         first: Duration::from_secs(60),
         then: Duration::from_secs(10),
--- a/src/coordination/policy/zone_constraint.rs
+++ b/src/coordination/policy/zone_constraint.rs
@@ -8,14 +8,14 @@
 //! - [`ZoneScope::PerRecord`]: on the record that is written and the spec alone. At
 //!   most half of each record's tasks are in one zone, which adds up to half of the
 //!   job, since every record but the last has an even number of tasks. A job that must
-//!   be in one zone is confined to the zone that its spec names (`home`).
+//!   be in one zone is confined to the zone that its spec names (`assigned_zone`).
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::storage::{JobSpec, ZoneName, keys};
 
 /// Conditions of a placement beside the job's run records: the controller's quota, the
-/// spec, the outcome, and one block.
+/// spec, the outcome, and one shard.
 const OTHER_CONDITIONS: usize = 4;
 
 /// Conditions of a transaction for each change that the state service allows.
@@ -119,7 +119,7 @@
     }
 
     /// The zone that a job in one zone is in, or confined to.
-    pub fn settled_zone(&self) -> Option<&ZoneName> {
+    pub fn current_zone(&self) -> Option<&ZoneName> {
         let zone = self.counts.keys().next();
         zone.filter(|_| self.one_zone)
     }
