--- a/src/coordination/ports.rs
+++ b/src/coordination/ports.rs
@@ -1,4 +1,4 @@
-//! What the coordination layer says to workers, the cloud and its peers, and
+//! What the coordination layer says to agents, the cloud and its peers, and
 //! the ports through which it does. The transport layer implements them.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
@@ -7,8 +7,8 @@
 use quota::Refusal;
 
 use crate::storage::{
-    Attempt, ImageName, Incarnation, JobId, MachineId, MachineType, NodeName, Quota, RentName,
-    Resources, Revision, Session, TaskId, TeamName, Token, TypeName, ZoneName,
+    AgentEpoch, Attempt, ControllerName, ImageName, Incarnation, JobId, MachineId, MachineType,
+    ProvisionId, Quota, Resources, Revision, TaskId, TeamName, Token, TypeName, ZoneName,
 };
 
 /// How a task's process ended.
@@ -22,9 +22,9 @@
     NoRoom,
     /// Start refused: the task is there with another attempt.
     Busy,
-    /// Start refused: the worker found no description of the job.
+    /// Start refused: the agent found no description of the job.
     Unknown,
-    /// Another reason of the worker's.
+    /// Another reason of the agent's.
     Other,
 }
 
@@ -37,25 +37,25 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TaskReport {
+pub struct TaskStatus {
     pub task: TaskId,
     pub attempt: Attempt,
     pub state: TaskState,
 }
 
-/// What a worker tells of its machine.
+/// What an agent tells of its machine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Report {
+pub struct Heartbeat {
     pub machine: MachineId,
     pub address: String,
     pub kind: TypeName,
     pub zone: ZoneName,
     pub spot: bool,
-    pub session: Session,
+    pub epoch: AgentEpoch,
     pub sequence: u64,
     pub token: Token,
     pub notice: Option<Duration>,
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -75,15 +75,15 @@
     },
 }
 
-/// The answer to a report.
+/// The answer to a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ReportAnswer {
+pub enum HeartbeatResponse {
     Accepted {
         token: Token,
         commands: Vec<Command>,
     },
     /// Another controller holds the machine, if it is known which.
-    NotHere(Option<NodeName>),
+    NotHere(Option<ControllerName>),
     /// Cannot tell now.
     Unavailable,
 }
@@ -93,22 +93,22 @@
 #[error("no answer: {0}")]
 pub struct NoAnswer(pub String);
 
-pub struct OrdersAnswer {
-    /// False: nothing was executed, as token or session did not match.
+pub struct CommandResponse {
+    /// False: nothing was executed, as token or epoch did not match.
     pub executed: bool,
-    pub report: Report,
+    pub heartbeat: Heartbeat,
 }
 
-pub trait WorkerPort: Send + Sync {
-    fn orders<'a>(
+pub trait AgentClient: Send + Sync {
+    fn send_commands<'a>(
         &'a self,
         address: &'a str,
         token: Token,
-        session: Session,
+        epoch: AgentEpoch,
         commands: &'a [Command],
-    ) -> BoxFuture<'a, Result<OrdersAnswer, NoAnswer>>;
+    ) -> BoxFuture<'a, Result<CommandResponse, NoAnswer>>;
 
-    fn inspect<'a>(&'a self, address: &'a str) -> BoxFuture<'a, Result<Report, NoAnswer>>;
+    fn inspect<'a>(&'a self, address: &'a str) -> BoxFuture<'a, Result<Heartbeat, NoAnswer>>;
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -141,44 +141,44 @@
     pub age: Duration,
 }
 
-/// What to rent.
+/// What to provision.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wanted {
+pub struct ProvisionRequest {
     pub kind: TypeName,
     pub zone: ZoneName,
     pub spot: bool,
     pub count: u32,
 }
 
-pub trait CloudPort: Send + Sync {
+pub trait CloudClient: Send + Sync {
     fn catalog(&self) -> BoxFuture<'_, Result<Vec<MachineType>, CloudError>>;
-    fn rent<'a>(
+    fn provision<'a>(
         &'a self,
-        name: &'a RentName,
-        wanted: &'a Wanted,
+        name: &'a ProvisionId,
+        request: &'a ProvisionRequest,
     ) -> BoxFuture<'a, Result<Vec<MachineId>, CloudError>>;
-    fn give_back<'a>(&'a self, machines: &'a [MachineId]) -> BoxFuture<'a, Result<(), CloudError>>;
-    fn list(&self) -> BoxFuture<'_, Result<Vec<ListedMachine>, CloudError>>;
+    fn release<'a>(&'a self, machines: &'a [MachineId]) -> BoxFuture<'a, Result<(), CloudError>>;
+    fn list_machines(&self) -> BoxFuture<'_, Result<Vec<ListedMachine>, CloudError>>;
 }
 
 /// A machine as a controller that holds it, or was asked by it, sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HeldMachine {
+pub struct OwnedMachine {
     pub machine: MachineId,
-    /// Since the last report.
-    pub silent: Duration,
+    /// Since the last heartbeat.
+    pub since_heartbeat: Duration,
     /// Direct calls to it fail as well.
     pub unreachable: bool,
     /// Several jobs failed on it.
-    pub suspect: bool,
+    pub quarantined: bool,
     /// The cloud has announced to take it.
     pub leaving: bool,
-    /// Its reports come, but what we say does not reach it.
-    pub deaf: bool,
-    /// Where its worker listens, as long as the machine's record lacks it.
+    /// Its heartbeats come, but what we say does not reach it.
+    pub command_path_lost: bool,
+    /// Where its agent listens, as long as the machine's record lacks it.
     pub address: Option<String>,
     /// Its newest message; what is no newer says nothing.
-    pub session: Session,
+    pub epoch: AgentEpoch,
     pub sequence: u64,
     pub images: Arc<Vec<ImageName>>,
     /// Learned speed against others of its kind.
@@ -187,14 +187,14 @@
     pub freed: Resources,
 }
 
-/// A worker that reported to a controller which does not hold its machine.
+/// A heartbeat that reached a controller which does not own the machine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sighting {
+pub struct IndirectHeartbeat {
     pub machine: MachineId,
     pub kind: TypeName,
     pub zone: ZoneName,
     pub spot: bool,
-    pub session: Session,
+    pub epoch: AgentEpoch,
     pub sequence: u64,
     pub age: Duration,
 }
@@ -202,41 +202,41 @@
 /// What a controller can read of its peers, in steps: one that says nothing of it
 /// reads the frames of the first version only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Dialect(pub u64);
+pub struct ProtocolVersion(pub u64);
 
-impl Dialect {
-    /// Reads [`PeerCall::CancelledSince`], and answers what it cannot read.
-    pub const CANCELLATIONS: Dialect = Dialect(1);
+impl ProtocolVersion {
+    /// Reads [`PeerRequest::CancelledSince`], and answers what it cannot read.
+    pub const CANCELLATIONS: ProtocolVersion = ProtocolVersion(1);
     /// Runs gangs by their common attempt, and keeps within the limits to come.
-    pub const GANGS: Dialect = Dialect(2);
+    pub const GANGS: ProtocolVersion = ProtocolVersion(2);
     /// Places zone-bound jobs of any number of records, some by the zone in their spec.
-    pub const LARGE_ZONE_BOUND: Dialect = Dialect(3);
+    pub const LARGE_ZONE_BOUND: ProtocolVersion = ProtocolVersion(3);
     /// What this version reads in any case.
-    pub const OURS: Dialect = Self::LARGE_ZONE_BOUND;
+    pub const CURRENT: ProtocolVersion = Self::LARGE_ZONE_BOUND;
     /// Transfers quota on request, and moves machines together with the quota for their
     /// tasks; said only if the operator has turned transfers on.
-    pub const QUOTA_TRANSFERS: Dialect = Dialect(4);
+    pub const QUOTA_TRANSFERS: ProtocolVersion = ProtocolVersion(4);
 }
 
 /// What controllers tell each other every second.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Status {
-    pub node: NodeName,
+pub struct StatusMessage {
+    pub controller: ControllerName,
     pub incarnation: Incarnation,
-    pub dialect: Dialect,
+    pub protocol_version: ProtocolVersion,
     /// Highest revision that any answer of the state service carried; zero: this
     /// process has had none yet, and can't tell what its predecessor knew.
-    pub seen: Revision,
+    pub highest_revision: Revision,
     pub state_reachable: bool,
     /// This and the lists below are told to the leader only.
     pub full: bool,
-    pub held: Vec<HeldMachine>,
-    pub sightings: Vec<Sighting>,
+    pub owned: Vec<OwnedMachine>,
+    pub indirect_heartbeats: Vec<IndirectHeartbeat>,
     /// Jobs whose tasks fail on several machines, with the pause before the next try.
     pub failing: Vec<(JobId, Duration)>,
 }
 
-/// Tasks of a job that the leader gives to a holder to place.
+/// Tasks of a job that the leader gives to an owner to place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Offer {
     pub job: JobId,
@@ -244,11 +244,11 @@
 }
 
 /// A request for parts of the receiver's budgets.
-pub type QuotaRequest = quota::TransferRequest<NodeName, TeamName>;
+pub type QuotaRequest = quota::TransferRequest<ControllerName, TeamName>;
 
 /// What became of a request for quota.
 #[derive(Clone, Debug, PartialEq)]
-pub enum QuotaAnswer {
+pub enum QuotaResponse {
     /// Transferred.
     Granted(BTreeMap<TeamName, Quota>),
     /// Nothing has changed.
@@ -267,13 +267,13 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum PeerCall {
-    Status(Status),
+pub enum PeerRequest {
+    Status(StatusMessage),
     /// Tasks to place.
     Offers(Vec<Offer>),
     /// Tasks to stop, to make room for others.
     Preempt(Vec<TaskId>),
-    /// Is there a worker at this address?
+    /// Is there an agent at this address?
     Probe(String),
     /// Which jobs do you know to be cancelled by a change after this revision?
     CancelledSince(Revision),
@@ -292,20 +292,20 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum PeerAnswer {
-    Status(Status),
-    Taken,
-    Probed(bool),
+pub enum PeerResponse {
+    Status(StatusMessage),
+    Accepted,
+    ProbeResult(bool),
     CancelledSince(Cancellations),
-    Quota(QuotaAnswer),
+    Quota(QuotaResponse),
     /// The call is none that this version knows.
     Unknown,
 }
 
-pub trait PeerPort: Send + Sync {
+pub trait PeerClient: Send + Sync {
     fn call<'a>(
         &'a self,
-        node: &'a NodeName,
-        call: PeerCall,
-    ) -> BoxFuture<'a, Result<PeerAnswer, NoAnswer>>;
+        controller: &'a ControllerName,
+        call: PeerRequest,
+    ) -> BoxFuture<'a, Result<PeerResponse, NoAnswer>>;
 }
--- a/src/coordination/quota_exchange.rs
+++ b/src/coordination/quota_exchange.rs
@@ -2,7 +2,7 @@
 //!
 //! A controller that lacks quota, by the leader's targets or for tasks that it was
 //! offered, asks the one that seems to have most to spare. That one decides in its
-//! holder's loop, between its own placements, and commits both budgets in one
+//! owner's loop, between its own placements, and commits both budgets in one
 //! transaction. `docs/quota.md` has the argument why no limit is exceeded.
 
 use std::{
@@ -12,19 +12,21 @@
 };
 
 use quota::{
-    Allocations, Condition, Donor, DonorView, Holding, Outcome, PENDING_REQUESTS, Refusal,
-    Shortages, Transfer,
+    Allocations, Condition, Deficits, Donor, DonorView, Holding, Outcome, PENDING_REQUESTS,
+    Refusal, Transfer,
 };
 use tokio::{sync::oneshot, time::Instant};
 
 use super::{
     config::Config,
-    node::{Node, lock},
-    ports::{Dialect, PeerAnswer, PeerCall, QuotaAnswer, QuotaRequest, QuotaTargets},
+    controller::{Controller, lock},
+    ports::{
+        PeerRequest, PeerResponse, ProtocolVersion, QuotaRequest, QuotaResponse, QuotaTargets,
+    },
 };
 use crate::storage::{
-    AMOUNT_SLACK, CommitError, NodeName, Quota, Revision, StateCache, TeamName, Transaction,
-    budget::Urgency, keys, records::SeatRecord, state_cache::Versioned,
+    AMOUNT_SLACK, CommitError, ControllerName, Quota, Revision, StateCache, TeamName, Transaction,
+    keys, rate_limiter::RequestPriority, records::AllocationRecord, state_cache::Versioned,
 };
 
 /// A decision takes a commit; an asker hears of it within this time or reads it.
@@ -32,7 +34,7 @@
 /// Targets that the leader has not repeated for this long hold no more.
 const TARGET_LIFE: Duration = Duration::from_secs(3);
 /// Less than this is not asked for: tasks fit without it.
-const LEAST_SHORTAGE: f64 = AMOUNT_SLACK;
+const MIN_DEFICIT: f64 = AMOUNT_SLACK;
 
 /// What became of requests since the last look, for the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -56,10 +58,10 @@
 
 /// What a controller has asked for and been asked for.
 pub struct QuotaExchange {
-    donor: Donor<NodeName, TeamName>,
-    shortages: Shortages<NodeName, TeamName>,
+    donor: Donor<ControllerName, TeamName>,
+    deficits: Deficits<ControllerName, TeamName>,
     /// Askers that wait for a decision.
-    askers: BTreeMap<(NodeName, u64), oneshot::Sender<QuotaAnswer>>,
+    askers: BTreeMap<(ControllerName, u64), oneshot::Sender<QuotaResponse>>,
     targets: BTreeMap<TeamName, Target>,
     /// The leader's claim that the targets come from; those of an earlier one are late.
     targets_of: Revision,
@@ -73,7 +75,7 @@
         let teams = config.teams.iter().map(|team| team.name.clone());
         Self {
             donor: Donor::new(controllers, teams),
-            shortages: Shortages::new(config.node.clone(), config.incarnation.0),
+            deficits: Deficits::new(config.name.clone(), config.incarnation.0),
             askers: BTreeMap::new(),
             targets: BTreeMap::new(),
             targets_of: Revision(0),
@@ -81,11 +83,11 @@
         }
     }
 
-    /// Takes a request in; the answer comes from the holder's loop.
+    /// Takes a request in; the answer comes from the owner's loop.
     fn receive(
         &mut self,
         request: QuotaRequest,
-    ) -> Result<oneshot::Receiver<QuotaAnswer>, Refusal> {
+    ) -> Result<oneshot::Receiver<QuotaResponse>, Refusal> {
         let key = (request.recipient.clone(), request.number);
         self.donor.receive(request)?;
         self.askers.retain(|_, asker| !asker.is_closed());
@@ -94,11 +96,11 @@
         Ok(answer)
     }
 
-    fn decided(&mut self, request: &QuotaRequest, answer: QuotaAnswer) {
+    fn decided(&mut self, request: &QuotaRequest, answer: QuotaResponse) {
         match &answer {
-            QuotaAnswer::Granted(_) => self.counts.given += 1,
-            QuotaAnswer::Refused(_) => self.counts.refused += 1,
-            QuotaAnswer::Undecided => {}
+            QuotaResponse::Granted(_) => self.counts.given += 1,
+            QuotaResponse::Refused(_) => self.counts.refused += 1,
+            QuotaResponse::Undecided => {}
         }
         let key = (request.recipient.clone(), request.number);
         if let Some(asker) = self.askers.remove(&key) {
@@ -129,7 +131,7 @@
 
     /// What a tenth of a minute has brought, and for how long the oldest shortage lasts.
     pub(super) fn take_counts(&mut self, now: Instant) -> (QuotaCounts, Option<Duration>) {
-        let oldest = self.shortages.oldest(now.into_std());
+        let oldest = self.deficits.oldest(now.into_std());
         (std::mem::take(&mut self.counts), oldest)
     }
 }
@@ -140,17 +142,18 @@
     registration: Revision,
 }
 
-impl Node {
+impl Controller {
     /// Whether transfers have been turned on here, and every controller was known to read
     /// what they need.
     pub(super) fn knows_transfers(&self) -> bool {
-        self.config.tuning.quota_transfers && self.all_read(Dialect::QUOTA_TRANSFERS)
+        self.config.tuning.quota_transfers && self.all_support(ProtocolVersion::QUOTA_TRANSFERS)
     }
 
     /// Whether a living controller takes part in transfers, by its registration.
-    pub(super) fn takes_part(cache: &StateCache, node: &NodeName) -> bool {
-        let registered = cache.nodes.get(node);
-        registered.is_some_and(|kept| kept.value.dialect >= Dialect::QUOTA_TRANSFERS.0)
+    pub(super) fn takes_part(cache: &StateCache, controller: &ControllerName) -> bool {
+        let registered = cache.controllers.get(controller);
+        registered
+            .is_some_and(|entry| entry.value.protocol_version >= ProtocolVersion::QUOTA_TRANSFERS.0)
     }
 
     /// What our transfers must be conditional on; none: we may not transfer now.
@@ -161,12 +164,12 @@
     /// A leader's claim stands until its lease is over, so that transfers go on for as
     /// long after its death.
     fn fence(&self, cache: &StateCache) -> Option<Fence> {
-        let registered = cache.nodes.get(&self.config.node)?;
+        let registered = cache.controllers.get(&self.config.name)?;
         if registered.value.incarnation != self.config.incarnation {
             return None;
         }
         let leader = cache.leader.as_ref()?;
-        if !Self::takes_part(cache, &leader.value.node) || cache.revision < leader.revision {
+        if !Self::takes_part(cache, &leader.value.controller) || cache.revision < leader.revision {
             return None;
         }
         Some(Fence {
@@ -176,7 +179,7 @@
     }
 
     /// Answers a controller that asks for quota.
-    pub(super) async fn answer_quota_request(&self, request: QuotaRequest) -> QuotaAnswer {
+    pub(super) async fn handle_quota_request(&self, request: QuotaRequest) -> QuotaResponse {
         let recipient = request.recipient.clone();
         let received = if self.knows_transfers() {
             lock(&self.quota).receive(request)
@@ -188,27 +191,27 @@
             Err(refusal) => {
                 lock(&self.quota).counts.refused += 1;
                 if refusal.is_fault() {
-                    tracing::warn!(%recipient, %refusal, "a request for quota is refused");
+                    tracing::warn!(%recipient, %refusal, "quota request refused");
                 }
-                return QuotaAnswer::Refused(refusal);
+                return QuotaResponse::Refused(refusal);
             }
         };
-        self.holder_kick.notify_one();
+        self.owner_wakeup.notify_one();
         match tokio::time::timeout(DECIDED_WITHIN, answer).await {
             Ok(Ok(answer)) => answer,
-            _ => QuotaAnswer::Undecided,
+            _ => QuotaResponse::Undecided,
         }
     }
 
     /// Takes the leader's targets in.
-    pub(super) fn take_quota_targets(&self, targets: QuotaTargets) {
+    pub(super) fn accept_quota_targets(&self, targets: QuotaTargets) {
         let is_known = |team: &TeamName| self.config.team(team).is_some();
         if let Some(team) = targets.budgets.keys().find(|team| !is_known(team)) {
-            tracing::warn!(%team, "quota targets name an unknown team and are passed over");
+            tracing::warn!(%team, "quota targets for an unknown team ignored");
             return;
         }
         if lock(&self.quota).take_targets(targets, Instant::now()) {
-            self.holder_kick.notify_one();
+            self.owner_wakeup.notify_one();
         }
     }
 
@@ -216,49 +219,53 @@
     /// all that we have placed is in the cache, or voided.
     pub(super) async fn serve_quota_requests(&self) {
         for _ in 0..PENDING_REQUESTS {
-            if self.store.commit_wait(Urgency::Place).is_some() {
+            if self.store.commit_wait(RequestPriority::Placement).is_some() {
                 return;
             }
             let Some(request) = lock(&self.quota).donor.next_request() else {
                 return;
             };
             let answer = self.transfer_quota(&request).await;
-            let is_unknown = answer == QuotaAnswer::Undecided;
+            let is_unknown = answer == QuotaResponse::Undecided;
             lock(&self.quota).decided(&request, answer);
             if is_unknown {
-                // Our seat is written anew before anything else is decided.
+                // Our allocation is written anew before anything else is decided.
                 return;
             }
         }
     }
 
-    async fn transfer_quota(&self, request: &QuotaRequest) -> QuotaAnswer {
+    async fn transfer_quota(&self, request: &QuotaRequest) -> QuotaResponse {
         let planned = {
             let cache = self.store.cache();
             self.plan_transfer(&cache, request)
         };
         let (transfer, transaction) = match planned {
             Ok(planned) => planned,
-            Err(refusal) => return QuotaAnswer::Refused(refusal),
+            Err(refusal) => return QuotaResponse::Refused(refusal),
         };
-        match self.store.commit(&transaction, Urgency::Place).await {
+        match self
+            .store
+            .commit(&transaction, RequestPriority::Placement)
+            .await
+        {
             Ok(revision) => {
                 let recipient = &transfer.recipient;
                 tracing::debug!(%recipient, %revision, amounts = ?transfer.amounts, "quota transferred");
-                QuotaAnswer::Granted(transfer.amounts)
+                QuotaResponse::Granted(transfer.amounts)
             }
             Err(CommitError::Conflict(failed)) => {
-                tracing::debug!(?failed, "a transfer of quota met another change");
-                self.store.fresh().await;
-                QuotaAnswer::Refused(Refusal::Conflict)
+                tracing::debug!(?failed, "quota transfer conflicted with another change");
+                self.store.read_barrier().await;
+                QuotaResponse::Refused(Refusal::Conflict)
             }
             Err(error) if error.is_unknown() => {
-                lock(&self.holder).must_void_pending = true;
-                QuotaAnswer::Undecided
+                lock(&self.owner).has_commit_in_doubt = true;
+                QuotaResponse::Undecided
             }
             Err(error) => {
-                tracing::debug!(%error, "a transfer of quota is not possible now");
-                QuotaAnswer::Refused(Refusal::NotReady)
+                tracing::debug!(%error, "quota transfer not possible now");
+                QuotaResponse::Refused(Refusal::NotReady)
             }
         }
     }
@@ -267,19 +274,19 @@
         &self,
         cache: &StateCache,
         request: &QuotaRequest,
-    ) -> Result<(Transfer<NodeName, TeamName>, Transaction), Refusal> {
+    ) -> Result<(Transfer<ControllerName, TeamName>, Transaction), Refusal> {
         let fence = self.fence(cache).ok_or(Refusal::NotReady)?;
-        let seat = self.own_seat(cache).ok_or(Refusal::NotReady)?;
-        // What came to us with this change of our seat is known only once the cache has
+        let allocation = self.own_allocation(cache).ok_or(Refusal::NotReady)?;
+        // What came to us with this change of our allocation is known only once the cache has
         // passed it.
-        if cache.revision < seat.revision {
+        if cache.revision < allocation.revision {
             return Err(Refusal::Conflict);
         }
-        let recipient = cache.seats.get(&request.recipient);
+        let recipient = cache.allocations.get(&request.recipient);
         let recipient = recipient.ok_or(Refusal::Outdated)?;
-        // All machines of this node, also those leased to the process before us.
-        let used = cache.quota_used(cache.machines_of(&self.config.node));
-        let offered = lock(&self.holder).offered_quota(cache);
+        // All machines of this controller, also those leased to the process before us.
+        let used = cache.quota_used(cache.machines_of(&self.config.name));
+        let offered = lock(&self.owner).offered_quota(cache);
         let exchange = lock(&self.quota);
         let now = Instant::now();
         let holding = |team: &TeamName| {
@@ -287,50 +294,62 @@
             let under_way = offered.get(team).copied().unwrap_or_default();
             let target = exchange.target(team, now).unwrap_or_default();
             Holding {
-                allocated: seat.value.budgets.get(team).copied().unwrap_or_default(),
+                allocated: allocation
+                    .value
+                    .budgets
+                    .get(team)
+                    .copied()
+                    .unwrap_or_default(),
                 used,
                 reserved: used.plus(&under_way).max(&target),
             }
         };
         let transfer = Transfer::decide(
             request,
-            &allocations(seat),
+            &allocations(allocation),
             &allocations(recipient),
             holding,
             fence.leader.0,
             fence.registration.0,
         )?;
-        let transaction = self.transaction_of(&transfer, seat, recipient);
+        let transaction = self.transaction_of(&transfer, allocation, recipient);
         Ok((transfer, transaction))
     }
 
-    /// The transaction that carries a transfer out: both seats, on all its conditions.
+    /// The transaction that carries a transfer out: both allocations, on all its conditions.
     fn transaction_of(
         &self,
-        transfer: &Transfer<NodeName, TeamName>,
-        donor: &Versioned<SeatRecord>,
-        recipient: &Versioned<SeatRecord>,
+        transfer: &Transfer<ControllerName, TeamName>,
+        donor: &Versioned<AllocationRecord>,
+        recipient: &Versioned<AllocationRecord>,
     ) -> Transaction {
-        let own = &self.config.node;
-        let seat = |of: &Versioned<SeatRecord>, budgets: &BTreeMap<TeamName, Quota>| SeatRecord {
-            holder: of.value.holder,
-            budgets: budgets.clone(),
+        let own = &self.config.name;
+        let allocation = |of: &Versioned<AllocationRecord>, budgets: &BTreeMap<TeamName, Quota>| {
+            AllocationRecord {
+                owner: of.value.owner,
+                budgets: budgets.clone(),
+            }
         };
         let transaction = Transaction::default()
-            .set(keys::seat(own), &seat(donor, &transfer.donor_budgets))
             .set(
-                keys::seat(&transfer.recipient),
-                &seat(recipient, &transfer.recipient_budgets),
+                keys::allocation(own),
+                &allocation(donor, &transfer.donor_budgets),
+            )
+            .set(
+                keys::allocation(&transfer.recipient),
+                &allocation(recipient, &transfer.recipient_budgets),
             );
         transfer
             .conditions
             .iter()
             .fold(transaction, |transaction, condition| {
                 let (key, revision) = match condition {
-                    Condition::Donor(revision) => (keys::seat(own), *revision),
-                    Condition::Recipient(revision) => (keys::seat(&transfer.recipient), *revision),
+                    Condition::Donor(revision) => (keys::allocation(own), *revision),
+                    Condition::Recipient(revision) => {
+                        (keys::allocation(&transfer.recipient), *revision)
+                    }
                     Condition::Leader(revision) => (keys::LEADER.into(), *revision),
-                    Condition::Registration(revision) => (keys::node(own), *revision),
+                    Condition::Registration(revision) => (keys::controller(own), *revision),
                 };
                 transaction.require(key, Revision(revision))
             })
@@ -344,24 +363,24 @@
         }
         let request = {
             let cache = self.store.cache();
-            let Some(seat) = self.own_seat(&cache) else {
+            let Some(allocation) = self.own_allocation(&cache) else {
                 return;
             };
-            let lacking = lock(&self.holder).lacking.clone();
+            let owner_deficit = lock(&self.owner).deficit.clone();
             let mut exchange = lock(&self.quota);
             let now = Instant::now();
             for team in &self.config.teams {
-                let budget = seat.value.budgets.get(&team.name).copied();
+                let budget = allocation.value.budgets.get(&team.name).copied();
                 let target = exchange.target(&team.name, now).unwrap_or_default();
-                let short = target.minus(&budget.unwrap_or_default()).at_least_zero();
-                let offered = lacking.get(&team.name).copied().unwrap_or_default();
-                exchange.note_shortage(&team.name, short.max(&offered), now.into_std());
+                let target_deficit = target.minus(&budget.unwrap_or_default()).at_least_zero();
+                let offered = owner_deficit.get(&team.name).copied().unwrap_or_default();
+                exchange.note_deficit(&team.name, target_deficit.max(&offered), now.into_std());
             }
-            if exchange.shortages.is_empty() || !self.knows_transfers_in(&cache) {
+            if exchange.deficits.is_empty() || !self.knows_transfers_in(&cache) {
                 return;
             }
             let donors = self.donor_views(&cache);
-            exchange.shortages.next_request(&donors, now.into_std())
+            exchange.deficits.next_request(&donors, now.into_std())
         };
         if let Some(addressed) = request {
             let this = self.clone();
@@ -373,51 +392,54 @@
 
     /// As [`Self::knows_transfers`] for a cache that is locked already.
     fn knows_transfers_in(&self, cache: &StateCache) -> bool {
-        let recorded = cache.format.as_ref().map(|kept| kept.value.dialect);
+        let recorded = cache
+            .common_version
+            .as_ref()
+            .map(|entry| entry.value.protocol_version);
         self.config.tuning.quota_transfers
-            && recorded.unwrap_or_default() >= Dialect::QUOTA_TRANSFERS.0
+            && recorded.unwrap_or_default() >= ProtocolVersion::QUOTA_TRANSFERS.0
     }
 
     /// What the other controllers seem to have to spare.
-    fn donor_views(&self, cache: &StateCache) -> Vec<DonorView<NodeName, TeamName>> {
+    fn donor_views(&self, cache: &StateCache) -> Vec<DonorView<ControllerName, TeamName>> {
         cache
-            .seats
+            .allocations
             .iter()
-            .filter(|(node, kept)| {
-                **node != self.config.node
-                    && kept.value.holder.is_some()
-                    && Self::takes_part(cache, node)
+            .filter(|(controller, entry)| {
+                **controller != self.config.name
+                    && entry.value.owner.is_some()
+                    && Self::takes_part(cache, controller)
             })
-            .map(|(node, kept)| {
-                let used = cache.quota_used(cache.machines_of(node));
+            .map(|(controller, entry)| {
+                let used = cache.quota_used(cache.machines_of(controller));
                 let spare = |(team, budget): (&TeamName, &Quota)| {
                     let used = used.get(team).copied().unwrap_or_default();
                     (team.clone(), budget.minus(&used).at_least_zero())
                 };
                 DonorView {
-                    donor: node.clone(),
-                    spare: kept.value.budgets.iter().map(spare).collect(),
+                    donor: controller.clone(),
+                    spare: entry.value.budgets.iter().map(spare).collect(),
                 }
             })
             .collect()
     }
 
-    async fn request_quota(self: Arc<Self>, donor: NodeName, request: QuotaRequest) {
+    async fn request_quota(self: Arc<Self>, donor: ControllerName, request: QuotaRequest) {
         let number = request.number;
         let answer = self
             .peers
-            .call(&donor, PeerCall::RequestQuota(request))
+            .call(&donor, PeerRequest::RequestQuota(request))
             .await;
         let outcome = match answer {
-            Ok(PeerAnswer::Quota(QuotaAnswer::Granted(amounts))) => Outcome::Granted(amounts),
-            Ok(PeerAnswer::Quota(QuotaAnswer::Refused(refusal))) => Outcome::Refused(refusal),
+            Ok(PeerResponse::Quota(QuotaResponse::Granted(amounts))) => Outcome::Granted(amounts),
+            Ok(PeerResponse::Quota(QuotaResponse::Refused(refusal))) => Outcome::Refused(refusal),
             _ => Outcome::Lost,
         };
         tracing::debug!(%donor, ?outcome, "asked for quota");
         let is_granted = matches!(outcome, Outcome::Granted(_));
         if is_granted || outcome == Outcome::Refused(Refusal::Conflict) {
-            // Our seat has a new revision, with which the next round plans.
-            self.store.fresh().await;
+            // Our allocation has a new revision, with which the next round plans.
+            self.store.read_barrier().await;
         }
         {
             let mut exchange = lock(&self.quota);
@@ -426,26 +448,26 @@
                 false => exchange.counts.unserved += 1,
             }
             let now = Instant::now().into_std();
-            exchange.shortages.answered(number, &outcome, now);
+            exchange.deficits.answered(number, &outcome, now);
         }
-        self.holder_kick.notify_one();
+        self.owner_wakeup.notify_one();
     }
 }
 
 impl QuotaExchange {
-    fn note_shortage(&mut self, team: &TeamName, short: Quota, now: StdInstant) {
-        if short.exceeds(LEAST_SHORTAGE) {
-            self.shortages.note(team, short, now);
-        } else if let Some(lasted) = self.shortages.met(team, now) {
-            tracing::debug!(%team, ms = lasted.as_millis() as u64, "quota is no longer lacking");
+    fn note_deficit(&mut self, team: &TeamName, deficit: Quota, now: StdInstant) {
+        if deficit.exceeds(MIN_DEFICIT) {
+            self.deficits.note(team, deficit, now);
+        } else if let Some(lasted) = self.deficits.met(team, now) {
+            tracing::debug!(%team, ms = lasted.as_millis() as u64, "quota deficit met");
         }
     }
 }
 
-fn allocations(seat: &Versioned<SeatRecord>) -> Allocations<TeamName> {
+fn allocations(allocation: &Versioned<AllocationRecord>) -> Allocations<TeamName> {
     Allocations {
-        process: seat.value.holder.map(|holder| holder.0),
-        revision: seat.revision.0,
-        budgets: seat.value.budgets.clone(),
+        process: allocation.value.owner.map(|owner| owner.0),
+        revision: allocation.revision.0,
+        budgets: allocation.value.budgets.clone(),
     }
 }
--- a/src/coordination/run_time_estimator.rs
+++ b/src/coordination/run_time_estimator.rs
@@ -12,19 +12,19 @@
 const CLASSES: usize = 256;
 
 #[derive(Clone, Copy, Debug)]
-struct Factor {
+struct ClassRunTime {
     mean: f64,
     variance: f64,
 }
 
 #[derive(Debug, Default)]
-pub struct Learning {
-    classes: BTreeMap<ClassName, Factor>,
+pub struct RunTimeEstimator {
+    classes: BTreeMap<ClassName, ClassRunTime>,
 }
 
-impl Learning {
+impl RunTimeEstimator {
     /// Returns how the run compares with what the class led to expect.
-    pub fn learn(&mut self, class: &ClassName, estimate: Duration, run: Duration) -> Option<f64> {
+    pub fn observe(&mut self, class: &ClassName, estimate: Duration, run: Duration) -> Option<f64> {
         if estimate < Duration::from_millis(100) {
             return None;
         }
@@ -32,7 +32,7 @@
         if !self.classes.contains_key(class) && self.classes.len() >= CLASSES {
             return None;
         }
-        let factor = self.classes.entry(class.clone()).or_insert(Factor {
+        let factor = self.classes.entry(class.clone()).or_insert(ClassRunTime {
             mean: 1.0,
             variance: 0.0,
         });
--- a/src/coordination/startup.rs
+++ b/src/coordination/startup.rs
@@ -27,7 +27,7 @@
 
     /// The leader has leased machines to this process.
     pub(super) fn note_holding(&self) {
-        self.log_once(&self.holding, "holds its first machines");
+        self.log_once(&self.holding, "owns its first machines");
     }
 
     fn log_once(&self, step: &AtomicBool, message: &'static str) {
--- a/src/coordination/zone_usage.rs
+++ b/src/coordination/zone_usage.rs
@@ -1,6 +1,6 @@
 //! Where a job's tasks are, as the replica of the state service tells.
 
-use super::policy::zones::{ZoneConstraint, ZoneScope};
+use super::policy::zone_constraint::{ZoneConstraint, ZoneScope};
 use crate::storage::{
     JobSpec, StateCache, ZoneName, keys,
     records::{Placement, RunRecord},
@@ -13,9 +13,9 @@
         return ZoneConstraint::default();
     };
     let mut constraint = ZoneConstraint::of_job(spec);
-    confine_to_home(&mut constraint, spec);
-    for kept in job.chunks.values() {
-        count_record(cache, &kept.value, &mut constraint);
+    confine_to_assigned_zone(&mut constraint, spec);
+    for entry in job.chunks.values() {
+        count_record(cache, &entry.value, &mut constraint);
     }
     constraint
 }
@@ -50,8 +50,8 @@
             return Vec::new();
         };
         let mut exceeded = Vec::new();
-        for (record, kept) in &self.job.chunks {
-            if kept.value.placed.len() > keys::CHUNK as usize / 2 {
+        for (record, entry) in &self.job.chunks {
+            if entry.value.placed.len() > keys::CHUNK as usize / 2 {
                 let constraint = self.counted(spec, *record);
                 let zones = constraint.exceeded().cloned();
                 exceeded.extend(zones.map(|zone| (*record, zone)));
@@ -62,8 +62,8 @@
 
     fn counted(&self, spec: &JobSpec, record: u32) -> ZoneConstraint {
         let mut constraint = ZoneConstraint::of_record(spec, record);
-        if let Some(kept) = self.job.chunks.get(&record) {
-            count_record(self.cache, &kept.value, &mut constraint);
+        if let Some(entry) = self.job.chunks.get(&record) {
+            count_record(self.cache, &entry.value, &mut constraint);
         }
         constraint
     }
@@ -74,7 +74,7 @@
             return ZoneConstraint::default();
         };
         let mut constraint = self.counted(spec, record);
-        confine_to_home(&mut constraint, spec);
+        confine_to_assigned_zone(&mut constraint, spec);
         for (other, zone) in &self.exceeded {
             if *other != record {
                 constraint.close(zone.clone());
@@ -84,9 +84,9 @@
     }
 }
 
-fn confine_to_home(constraint: &mut ZoneConstraint, spec: &JobSpec) {
-    if let Some(home) = &spec.home {
-        constraint.confine(home.clone());
+fn confine_to_assigned_zone(constraint: &mut ZoneConstraint, spec: &JobSpec) {
+    if let Some(assigned_zone) = &spec.assigned_zone {
+        constraint.confine(assigned_zone.clone());
     }
 }
 
@@ -126,6 +126,6 @@
 
 /// Whether a job's placements wait for the leader to choose the zone that it is
 /// confined to.
-pub(super) fn needs_home(spec: &JobSpec, scope: ZoneScope) -> bool {
-    spec.one_zone && spec.home.is_none() && scope == ZoneScope::PerRecord
+pub(super) fn needs_zone_assignment(spec: &JobSpec, scope: ZoneScope) -> bool {
+    spec.one_zone && spec.assigned_zone.is_none() && scope == ZoneScope::PerRecord
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
 //! stallcove: a cluster scheduler for small sites. Several controllers run the
-//! same program; together they take jobs from users, rent machines, place tasks
+//! same program; together they take jobs from users, provision machines, place tasks
 //! on them and keep all state in a small state service.
 //!
 //! Layers, each using those below it only: [`transport`], [`protocol`],
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,18 +1,17 @@
-//! The program: command line, settings, logging, and the node's tasks.
+//! The program: command line, settings, logging, and the controller's tasks.
 
 use std::{collections::HashMap, process::ExitCode, str::FromStr, sync::Arc, time::Duration};
 
 use clap::Parser;
 use stallcove::{
-    coordination::{Node, Tuning},
+    coordination::{Controller, Tuning},
     protocol::{operator, settings::Settings},
-    storage::{Incarnation, NodeName, Team},
+    storage::{ControllerName, Incarnation, Team},
     transport::{
         Network,
+        clients::{HttpAgentClient, HttpCloudClient, HttpKeyValueStore, TcpPeerClient},
         http::HttpNetwork,
-        links,
-        ports::{HttpCloud, HttpState, HttpWorkers, LinkPeers},
-        server,
+        peer_connections, server,
         sockets::{InUse, Sockets},
     },
 };
@@ -120,10 +119,15 @@
     let sockets = Sockets::new(config.max_connections);
     let stop = CancellationToken::new();
     let net: Arc<dyn Network> = Arc::new(HttpNetwork::new(sockets.clone()));
-    let addresses: HashMap<NodeName, String> = settings
+    let addresses: HashMap<ControllerName, String> = settings
         .peers
         .iter()
-        .map(|peer| (NodeName::new(peer.node_name.as_str()), peer.address.clone()))
+        .map(|peer| {
+            (
+                ControllerName::new(peer.node_name.as_str()),
+                peer.address.clone(),
+            )
+        })
         .collect();
     let bind = |address: String| async move {
         TcpListener::bind(&address)
@@ -132,36 +136,36 @@
     };
     let public = bind(settings.serve_on.clone()).await?;
     let private = bind(settings.peer_bind.clone()).await?;
-    let node = Node::new(
+    let controller = Controller::new(
         config,
-        Box::new(HttpState {
+        Box::new(HttpKeyValueStore {
             net: net.clone(),
             address: settings.services.state.clone(),
         }),
-        Box::new(HttpWorkers { net: net.clone() }),
-        Box::new(HttpCloud {
+        Box::new(HttpAgentClient { net: net.clone() }),
+        Box::new(HttpCloudClient {
             net: net.clone(),
             address: settings.services.cloud.clone(),
         }),
-        Box::new(LinkPeers { net, addresses }),
+        Box::new(TcpPeerClient { net, addresses }),
         stop.clone(),
     );
-    tracing::info!(node = %node.config.node, zone = %node.config.zone, %incarnation, "started");
-    log_teams(&node.config.teams);
+    tracing::info!(controller = %controller.config.name, zone = %controller.config.zone, %incarnation, "started");
+    log_teams(&controller.config.teams);
     let mut duties: JoinSet<&'static str> = JoinSet::new();
-    node.start(&mut duties);
+    controller.start(&mut duties);
     {
-        let (node, sockets, stop) = (node.clone(), sockets.clone(), stop.clone());
+        let (controller, sockets, stop) = (controller.clone(), sockets.clone(), stop.clone());
         duties.spawn(async move {
-            let router = server::router(node, sockets.clone());
+            let router = server::router(controller, sockets.clone());
             server::serve(router, public, sockets, stop).await;
             "server"
         });
     }
     {
-        let (node, sockets, stop) = (node.clone(), sockets.clone(), stop.clone());
+        let (controller, sockets, stop) = (controller.clone(), sockets.clone(), stop.clone());
         duties.spawn(async move {
-            links::serve(node, private, sockets, stop).await;
+            peer_connections::serve(controller, private, sockets, stop).await;
             "peer links"
         });
     }
--- a/src/protocol/agents.rs
+++ b/src/protocol/agents.rs
@@ -1,11 +1,11 @@
-//! Workers' messages.
+//! Agents' messages.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    coordination::ports::{Command, Exit, Report, TaskReport, TaskState},
+    coordination::ports::{Command, Exit, Heartbeat, TaskState, TaskStatus},
     protocol::seconds,
-    storage::{Attempt, MachineId, Session, TaskId, Token, TypeName, ZoneName},
+    storage::{AgentEpoch, Attempt, MachineId, TaskId, Token, TypeName, ZoneName},
 };
 
 #[derive(Debug, Deserialize, Serialize)]
@@ -53,11 +53,11 @@
 }
 
 impl Hello {
-    /// None: not a report that we understand; taking part of it would lose tasks.
-    pub fn into_report(self) -> Option<Report> {
+    /// None: not a heartbeat that we understand; taking part of it would lose tasks.
+    pub fn into_heartbeat(self) -> Option<Heartbeat> {
         let mut tasks = Vec::with_capacity(self.strides.len());
         for stride in &self.strides {
-            tasks.push(TaskReport {
+            tasks.push(TaskStatus {
                 task: TaskId::parse(&stride.stride)?,
                 attempt: Attempt(stride.heat),
                 state: state(stride)?,
@@ -66,13 +66,13 @@
         if self.mount.is_empty() || self.mount.len() > 100 || self.addr.len() > 100 {
             return None;
         }
-        Some(Report {
+        Some(Heartbeat {
             machine: MachineId::new(self.mount),
             address: self.addr,
             kind: TypeName::new(self.breed),
             zone: ZoneName::new(self.paddock),
             spot: self.loaners,
-            session: Session(self.tenure),
+            epoch: AgentEpoch(self.tenure),
             sequence: self.tally,
             token: Token(self.bridle),
             notice: self.recall_s.and_then(seconds),
--- a/src/protocol/agents/tests.rs
+++ b/src/protocol/agents/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `protocol::workers`.
+//! Tests of `protocol::agents`.
 
 use super::*;
 
 #[test]
-fn a_report_is_read() {
+fn a_heartbeat_is_read() {
     let hello: Hello = serde_json::from_str(
         r#"{"mount":"vm-000231","addr":"10.1.0.232:9000","breed":"g8","paddock":"a",
         "loaners":true,"tenure":1,"tally":88,"bridle":41,"recall_s":null,
@@ -11,19 +11,19 @@
             {"stride":"job-000398/0","heat":1,"stance":"exited","cause":"done"}]}"#,
     )
     .expect("valid");
-    let report = hello.into_report().expect("a report");
-    assert_eq!(report.token, Token(41));
-    assert_eq!(report.tasks[1].state, TaskState::Exited(Exit::Done));
+    let heartbeat = hello.into_heartbeat().expect("a report");
+    assert_eq!(heartbeat.token, Token(41));
+    assert_eq!(heartbeat.tasks[1].state, TaskState::Exited(Exit::Done));
 }
 
 #[test]
-fn a_report_with_an_unknown_state_is_not_taken_in_part() {
+fn a_heartbeat_with_an_unknown_state_is_not_applied_in_part() {
     let hello: Hello = serde_json::from_str(
         r#"{"mount":"vm-1","addr":"a","breed":"b","paddock":"p","tenure":1,"tally":1,
         "bridle":0,"strides":[{"stride":"job-1/0","heat":1,"stance":"dancing"}]}"#,
     )
     .expect("valid");
-    assert!(hello.into_report().is_none());
+    assert!(hello.into_heartbeat().is_none());
 }
 
 /// A gang's task that waits for its mates has not begun; one whose mates are gone, or did
@@ -37,8 +37,8 @@
             {"stride":"job-1/2","heat":1,"stance":"exited","cause":"mates_gone"}]}"#,
     )
     .expect("valid");
-    let report = hello.into_report().expect("a report");
-    let states: Vec<TaskState> = report.tasks.iter().map(|task| task.state).collect();
+    let heartbeat = hello.into_heartbeat().expect("a report");
+    let states: Vec<TaskState> = heartbeat.tasks.iter().map(|task| task.state).collect();
     assert_eq!(
         states,
         [
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,14 +1,14 @@
-//! The wire's words: messages of users, workers, the cloud, the state service
+//! The wire's words: messages of users, agents, the cloud, the state service
 //! and the other controllers, and the two settings files. Elsewhere the
 //! program uses the field's standard terms.
 
+pub mod agents;
 pub mod cloud;
 pub mod operator;
-pub mod peers;
+pub mod peer_frames;
 pub mod settings;
 pub mod state;
 pub mod users;
-pub mod workers;
 
 use std::time::Duration;
 
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -104,13 +104,13 @@
         span(
             "timing.node_lease_s",
             timing.node_lease_s,
-            &mut tuning.node_lease,
+            &mut tuning.controller_lease,
         )?;
         span("timing.offer_s", timing.offer_s, &mut tuning.offer)?;
         if timing.silent_s.is_some() {
             let mut silent = Duration::ZERO;
             span("timing.silent_s", timing.silent_s, &mut silent)?;
-            tuning.silent = Some(silent);
+            tuning.unresponsive_after = Some(silent);
         }
     }
     if let Some(quota) = operator.quota.as_ref() {
@@ -122,7 +122,7 @@
     if tuning.beta <= 0.0 {
         return Err("band.beta must be positive".into());
     }
-    if tuning.node_lease < Duration::from_millis(1000) {
+    if tuning.controller_lease < Duration::from_millis(1000) {
         return Err("timing.node_lease_s must be at least 1".into());
     }
     Ok(tuning)
--- a/src/protocol/operator/tests.rs
+++ b/src/protocol/operator/tests.rs
@@ -12,7 +12,7 @@
     let tuning = parse("band { alpha: 0.02 round_s: 5 } timing { silent_s: 9 }").expect("valid");
     assert_eq!(tuning.alpha, 0.02);
     assert_eq!(tuning.round, Duration::from_secs(5));
-    assert_eq!(tuning.silent, Some(Duration::from_secs(9)));
+    assert_eq!(tuning.unresponsive_after, Some(Duration::from_secs(9)));
     assert_eq!(tuning.beta, Tuning::default().beta);
 }
 
--- a/src/protocol/peer_frames.rs
+++ b/src/protocol/peer_frames.rs
@@ -8,29 +8,29 @@
 
 use crate::{
     coordination::ports::{
-        Cancellations, Dialect, HeldMachine, Offer, PeerAnswer, PeerCall, QuotaAnswer,
-        QuotaRequest, QuotaTargets, Sighting, Status,
+        Cancellations, IndirectHeartbeat, Offer, OwnedMachine, PeerRequest, PeerResponse,
+        ProtocolVersion, QuotaRequest, QuotaResponse, QuotaTargets, StatusMessage,
     },
     storage::{
-        ImageName, Incarnation, JobId, MachineId, NodeName, Quota, Resources, Revision, Session,
-        TaskId, TeamName, TypeName, ZoneName,
+        AgentEpoch, ControllerName, ImageName, Incarnation, JobId, MachineId, Quota, Resources,
+        Revision, TaskId, TeamName, TypeName, ZoneName,
     },
 };
 
 /// Frames beyond this are not read. The largest tells of all machines: of 8,192 held and
-/// 8,192 sighted ones, see the test.
+/// 8,192 indirectly heard ones, see the test.
 pub const FRAME_LIMIT: usize = 8 * 1024 * 1024;
 
 #[derive(Archive, Serialize, Deserialize, Debug)]
-struct Held {
+struct OwnedMachineFrame {
     machine: String,
-    silent_ms: u64,
+    since_heartbeat_ms: u64,
     unreachable: bool,
-    suspect: bool,
+    quarantined: bool,
     leaving: bool,
-    deaf: bool,
+    command_path_lost: bool,
     address: Option<String>,
-    session: u64,
+    epoch: u64,
     sequence: u64,
     images: Vec<String>,
     speed: f64,
@@ -38,35 +38,35 @@
 }
 
 #[derive(Archive, Serialize, Deserialize, Debug)]
-struct Seen {
+struct IndirectHeartbeatFrame {
     machine: String,
     kind: String,
     zone: String,
     spot: bool,
-    session: u64,
+    epoch: u64,
     sequence: u64,
     age_ms: u64,
 }
 
 #[derive(Archive, Serialize, Deserialize, Debug)]
-struct WireStatus {
-    node: String,
+struct StatusFrame {
+    controller: String,
     incarnation: u64,
-    seen: u64,
+    highest_revision: u64,
     state_reachable: bool,
     full: bool,
-    held: Vec<Held>,
-    sightings: Vec<Seen>,
+    owned: Vec<OwnedMachineFrame>,
+    indirect_heartbeats: Vec<IndirectHeartbeatFrame>,
     failing: Vec<(String, u64)>,
 }
 
 #[derive(Archive, Serialize, Deserialize, Debug)]
-enum Request {
-    Status(WireStatus),
+enum RequestFrame {
+    Status(StatusFrame),
     Offers(Vec<(String, Vec<u32>)>),
     Preempt(Vec<(String, u32)>),
     Probe(String),
-    // From here on only to peers whose dialect has it. A variant must not be larger
+    // From here on only to peers whose protocol version has it. A variant must not be larger
     // than `Status`: the root of an archive is found from its end.
     CancelledSince(u64),
     Quota(WireQuotaRequest),
@@ -90,10 +90,10 @@
 }
 
 #[derive(Archive, Serialize, Deserialize, Debug)]
-enum Response {
-    Status(WireStatus),
-    Taken,
-    Probed(bool),
+enum ResponseFrame {
+    Status(StatusFrame),
+    Accepted,
+    ProbeResult(bool),
     // As above.
     CancelledSince(u64, bool, Vec<String>),
     Unknown,
@@ -102,49 +102,49 @@
     QuotaUndecided,
 }
 
-/// The dialect rides among the failing jobs: a peer of the first version passes over
-/// names that are no job's. `WireStatus` itself can't grow while such peers live.
-const DIALECT: &str = "dialect";
+/// The protocol version rides among the failing jobs: a peer of the first version passes over
+/// names that are no job's. `StatusFrame` itself can't grow while such peers live.
+const VERSION_ENTRY: &str = "dialect";
 
 fn millis(span: Duration) -> u64 {
     span.as_millis().min(u128::from(u32::MAX)) as u64
 }
 
-impl From<Status> for WireStatus {
-    fn from(status: Status) -> Self {
-        WireStatus {
-            node: status.node.to_string(),
+impl From<StatusMessage> for StatusFrame {
+    fn from(status: StatusMessage) -> Self {
+        StatusFrame {
+            controller: status.controller.to_string(),
             incarnation: status.incarnation.0,
-            seen: status.seen.0,
+            highest_revision: status.highest_revision.0,
             state_reachable: status.state_reachable,
             full: status.full,
-            held: status
-                .held
+            owned: status
+                .owned
                 .into_iter()
-                .map(|held| Held {
-                    machine: held.machine.to_string(),
-                    silent_ms: millis(held.silent),
-                    unreachable: held.unreachable,
-                    suspect: held.suspect,
-                    leaving: held.leaving,
-                    deaf: held.deaf,
-                    address: held.address,
-                    session: held.session.0,
-                    sequence: held.sequence,
-                    images: held.images.iter().map(ToString::to_string).collect(),
-                    speed: held.speed,
-                    freed: [held.freed.cpus, held.freed.gpus, held.freed.memory],
+                .map(|machine| OwnedMachineFrame {
+                    machine: machine.machine.to_string(),
+                    since_heartbeat_ms: millis(machine.since_heartbeat),
+                    unreachable: machine.unreachable,
+                    quarantined: machine.quarantined,
+                    leaving: machine.leaving,
+                    command_path_lost: machine.command_path_lost,
+                    address: machine.address,
+                    epoch: machine.epoch.0,
+                    sequence: machine.sequence,
+                    images: machine.images.iter().map(ToString::to_string).collect(),
+                    speed: machine.speed,
+                    freed: [machine.freed.cpus, machine.freed.gpus, machine.freed.memory],
                 })
                 .collect(),
-            sightings: status
-                .sightings
+            indirect_heartbeats: status
+                .indirect_heartbeats
                 .into_iter()
-                .map(|seen| Seen {
+                .map(|seen| IndirectHeartbeatFrame {
                     machine: seen.machine.to_string(),
                     kind: seen.kind.to_string(),
                     zone: seen.zone.to_string(),
                     spot: seen.spot,
-                    session: seen.session.0,
+                    epoch: seen.epoch.0,
                     sequence: seen.sequence,
                     age_ms: millis(seen.age),
                 })
@@ -153,53 +153,56 @@
                 .failing
                 .into_iter()
                 .map(|(job, pause)| (job.to_string(), millis(pause)))
-                .chain([(DIALECT.to_owned(), status.dialect.0)])
+                .chain([(VERSION_ENTRY.to_owned(), status.protocol_version.0)])
                 .collect(),
         }
     }
 }
 
-impl From<WireStatus> for Status {
-    fn from(wire: WireStatus) -> Self {
-        let dialect = wire.failing.iter().find(|(name, _)| name == DIALECT);
-        Status {
-            node: NodeName::new(wire.node),
+impl From<StatusFrame> for StatusMessage {
+    fn from(wire: StatusFrame) -> Self {
+        let protocol_version = wire.failing.iter().find(|(name, _)| name == VERSION_ENTRY);
+        StatusMessage {
+            controller: ControllerName::new(wire.controller),
             incarnation: Incarnation(wire.incarnation),
-            dialect: dialect.map_or_else(Dialect::default, |(_, step)| Dialect(*step)),
-            seen: Revision(wire.seen),
+            protocol_version: protocol_version
+                .map_or_else(ProtocolVersion::default, |(_, level)| {
+                    ProtocolVersion(*level)
+                }),
+            highest_revision: Revision(wire.highest_revision),
             state_reachable: wire.state_reachable,
             full: wire.full,
-            held: wire
-                .held
+            owned: wire
+                .owned
                 .into_iter()
-                .map(|held| HeldMachine {
-                    machine: MachineId::new(held.machine),
-                    silent: Duration::from_millis(held.silent_ms),
-                    unreachable: held.unreachable,
-                    suspect: held.suspect,
-                    leaving: held.leaving,
-                    deaf: held.deaf,
-                    address: held.address,
-                    session: Session(held.session),
-                    sequence: held.sequence,
-                    images: Arc::new(held.images.into_iter().map(ImageName::new).collect()),
-                    speed: held.speed,
+                .map(|machine| OwnedMachine {
+                    machine: MachineId::new(machine.machine),
+                    since_heartbeat: Duration::from_millis(machine.since_heartbeat_ms),
+                    unreachable: machine.unreachable,
+                    quarantined: machine.quarantined,
+                    leaving: machine.leaving,
+                    command_path_lost: machine.command_path_lost,
+                    address: machine.address,
+                    epoch: AgentEpoch(machine.epoch),
+                    sequence: machine.sequence,
+                    images: Arc::new(machine.images.into_iter().map(ImageName::new).collect()),
+                    speed: machine.speed,
                     freed: Resources {
-                        cpus: held.freed[0],
-                        gpus: held.freed[1],
-                        memory: held.freed[2],
+                        cpus: machine.freed[0],
+                        gpus: machine.freed[1],
+                        memory: machine.freed[2],
                     },
                 })
                 .collect(),
-            sightings: wire
-                .sightings
+            indirect_heartbeats: wire
+                .indirect_heartbeats
                 .into_iter()
-                .map(|seen| Sighting {
+                .map(|seen| IndirectHeartbeat {
                     machine: MachineId::new(seen.machine),
                     kind: TypeName::new(seen.kind),
                     zone: ZoneName::new(seen.zone),
                     spot: seen.spot,
-                    session: Session(seen.session),
+                    epoch: AgentEpoch(seen.epoch),
                     sequence: seen.sequence,
                     age: Duration::from_millis(seen.age_ms),
                 })
@@ -237,43 +240,43 @@
 
 #[derive(Debug, thiserror::Error)]
 #[error("not a message of a controller: {0}")]
-pub struct BadFrame(#[from] Error);
+pub struct FrameError(#[from] Error);
 
-pub fn write_call(call: PeerCall) -> Result<Vec<u8>, BadFrame> {
+pub fn encode_request(call: PeerRequest) -> Result<Vec<u8>, FrameError> {
     let ask = match call {
-        PeerCall::Status(status) => Request::Status(status.into()),
-        PeerCall::Offers(offers) => Request::Offers(
+        PeerRequest::Status(status) => RequestFrame::Status(status.into()),
+        PeerRequest::Offers(offers) => RequestFrame::Offers(
             offers
                 .into_iter()
                 .map(|offer| (offer.job.to_string(), offer.tasks))
                 .collect(),
         ),
-        PeerCall::Preempt(tasks) => Request::Preempt(
+        PeerRequest::Preempt(tasks) => RequestFrame::Preempt(
             tasks
                 .into_iter()
                 .map(|task| (task.job.to_string(), task.index))
                 .collect(),
         ),
-        PeerCall::Probe(address) => Request::Probe(address),
-        PeerCall::CancelledSince(revision) => Request::CancelledSince(revision.0),
-        PeerCall::RequestQuota(request) => Request::Quota(WireQuotaRequest {
+        PeerRequest::Probe(address) => RequestFrame::Probe(address),
+        PeerRequest::CancelledSince(revision) => RequestFrame::CancelledSince(revision.0),
+        PeerRequest::RequestQuota(request) => RequestFrame::Quota(WireQuotaRequest {
             recipient: request.recipient.to_string(),
             process: request.process,
             number: request.number,
             wanted: write_quotas(request.wanted),
         }),
-        PeerCall::SetQuotaTargets(targets) => {
-            Request::QuotaTargets(targets.leader.0, write_quotas(targets.budgets))
+        PeerRequest::SetQuotaTargets(targets) => {
+            RequestFrame::QuotaTargets(targets.leader.0, write_quotas(targets.budgets))
         }
     };
     Ok(rkyv::to_bytes::<Error>(&ask)?.to_vec())
 }
 
-pub fn read_call(frame: &[u8]) -> Result<PeerCall, BadFrame> {
+pub fn decode_request(frame: &[u8]) -> Result<PeerRequest, FrameError> {
     let frame = aligned(frame);
-    Ok(match rkyv::from_bytes::<Request, Error>(&frame)? {
-        Request::Status(status) => PeerCall::Status(status.into()),
-        Request::Offers(offers) => PeerCall::Offers(
+    Ok(match rkyv::from_bytes::<RequestFrame, Error>(&frame)? {
+        RequestFrame::Status(status) => PeerRequest::Status(status.into()),
+        RequestFrame::Offers(offers) => PeerRequest::Offers(
             offers
                 .into_iter()
                 .filter_map(|(job, tasks)| {
@@ -284,70 +287,72 @@
                 })
                 .collect(),
         ),
-        Request::Preempt(tasks) => PeerCall::Preempt(
+        RequestFrame::Preempt(tasks) => PeerRequest::Preempt(
             tasks
                 .into_iter()
                 .filter_map(|(job, index)| Some(TaskId::new(JobId::parse(&job)?, index)))
                 .collect(),
         ),
-        Request::Probe(address) => PeerCall::Probe(address),
-        Request::CancelledSince(revision) => PeerCall::CancelledSince(Revision(revision)),
-        Request::Quota(request) => PeerCall::RequestQuota(QuotaRequest {
-            recipient: NodeName::new(request.recipient),
+        RequestFrame::Probe(address) => PeerRequest::Probe(address),
+        RequestFrame::CancelledSince(revision) => PeerRequest::CancelledSince(Revision(revision)),
+        RequestFrame::Quota(request) => PeerRequest::RequestQuota(QuotaRequest {
+            recipient: ControllerName::new(request.recipient),
             process: request.process,
             number: request.number,
             wanted: read_quotas(request.wanted),
         }),
-        Request::QuotaTargets(leader, budgets) => PeerCall::SetQuotaTargets(QuotaTargets {
+        RequestFrame::QuotaTargets(leader, budgets) => PeerRequest::SetQuotaTargets(QuotaTargets {
             leader: Revision(leader),
             budgets: read_quotas(budgets),
         }),
     })
 }
 
-pub fn write_answer(answer: PeerAnswer) -> Result<Vec<u8>, BadFrame> {
+pub fn encode_response(answer: PeerResponse) -> Result<Vec<u8>, FrameError> {
     let tell = match answer {
-        PeerAnswer::Status(status) => Response::Status(status.into()),
-        PeerAnswer::Taken => Response::Taken,
-        PeerAnswer::Probed(up) => Response::Probed(up),
-        PeerAnswer::CancelledSince(Cancellations { seen, jobs }) => {
+        PeerResponse::Status(status) => ResponseFrame::Status(status.into()),
+        PeerResponse::Accepted => ResponseFrame::Accepted,
+        PeerResponse::ProbeResult(up) => ResponseFrame::ProbeResult(up),
+        PeerResponse::CancelledSince(Cancellations { seen, jobs }) => {
             let complete = jobs.is_some();
             let names = jobs.unwrap_or_default();
             let names = names.iter().map(ToString::to_string).collect();
-            Response::CancelledSince(seen.0, complete, names)
+            ResponseFrame::CancelledSince(seen.0, complete, names)
         }
-        PeerAnswer::Unknown => Response::Unknown,
-        PeerAnswer::Quota(QuotaAnswer::Granted(amounts)) => {
-            Response::QuotaGranted(write_quotas(amounts))
+        PeerResponse::Unknown => ResponseFrame::Unknown,
+        PeerResponse::Quota(QuotaResponse::Granted(amounts)) => {
+            ResponseFrame::QuotaGranted(write_quotas(amounts))
         }
-        PeerAnswer::Quota(QuotaAnswer::Refused(refusal)) => Response::QuotaRefused(refusal.code()),
-        PeerAnswer::Quota(QuotaAnswer::Undecided) => Response::QuotaUndecided,
+        PeerResponse::Quota(QuotaResponse::Refused(refusal)) => {
+            ResponseFrame::QuotaRefused(refusal.code())
+        }
+        PeerResponse::Quota(QuotaResponse::Undecided) => ResponseFrame::QuotaUndecided,
     };
     Ok(rkyv::to_bytes::<Error>(&tell)?.to_vec())
 }
 
-pub fn read_answer(frame: &[u8]) -> Result<PeerAnswer, BadFrame> {
+pub fn decode_response(frame: &[u8]) -> Result<PeerResponse, FrameError> {
     let frame = aligned(frame);
-    Ok(match rkyv::from_bytes::<Response, Error>(&frame)? {
-        Response::Status(status) => PeerAnswer::Status(status.into()),
-        Response::Taken => PeerAnswer::Taken,
-        Response::Probed(up) => PeerAnswer::Probed(up),
-        Response::CancelledSince(seen, complete, names) => {
+    Ok(match rkyv::from_bytes::<ResponseFrame, Error>(&frame)? {
+        ResponseFrame::Status(status) => PeerResponse::Status(status.into()),
+        ResponseFrame::Accepted => PeerResponse::Accepted,
+        ResponseFrame::ProbeResult(up) => PeerResponse::ProbeResult(up),
+        ResponseFrame::CancelledSince(seen, complete, names) => {
             let jobs: Option<Vec<JobId>> = names.iter().map(|name| JobId::parse(name)).collect();
-            PeerAnswer::CancelledSince(Cancellations {
+            PeerResponse::CancelledSince(Cancellations {
                 seen: Revision(seen),
                 jobs: jobs.filter(|_| complete),
             })
         }
-        Response::Unknown => PeerAnswer::Unknown,
-        Response::QuotaGranted(amounts) => {
-            PeerAnswer::Quota(QuotaAnswer::Granted(read_quotas(amounts)))
+        ResponseFrame::Unknown => PeerResponse::Unknown,
+        ResponseFrame::QuotaGranted(amounts) => {
+            PeerResponse::Quota(QuotaResponse::Granted(read_quotas(amounts)))
         }
         // A later version's refusal is a refusal.
-        Response::QuotaRefused(code) => PeerAnswer::Quota(QuotaAnswer::Refused(
+        ResponseFrame::QuotaRefused(code) => PeerResponse::Quota(QuotaResponse::Refused(
             Refusal::of_code(code).unwrap_or(Refusal::NotReady),
         )),
-        Response::QuotaUndecided => PeerAnswer::Quota(QuotaAnswer::Undecided),
+        ResponseFrame::QuotaUndecided => PeerResponse::Quota(QuotaResponse::Undecided),
     })
 }
 
--- a/src/protocol/peer_frames/tests.rs
+++ b/src/protocol/peer_frames/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of `protocol::peers`.
+//! Tests of `protocol::peer_frames`.
 
 use super::*;
 
-/// Guards against a holder of all machines whose status is too long to be sent:
+/// Guards against an owner of all machines whose status is too long to be sent:
 /// its machines would count as lost.
 #[test]
 fn a_status_of_thousands_of_machines_fits_a_frame() {
@@ -12,56 +12,59 @@
             .map(|n| ImageName::new(format!("img-{n:04}")))
             .collect::<Vec<_>>(),
     );
-    let held = (0..8192).map(|n| HeldMachine {
+    let held = (0..8192).map(|n| OwnedMachine {
         machine: MachineId::new(names(n).0),
-        silent: Duration::from_secs(1),
+        since_heartbeat: Duration::from_secs(1),
         unreachable: false,
-        suspect: false,
+        quarantined: false,
         leaving: false,
-        deaf: false,
+        command_path_lost: false,
         address: Some(names(n).1),
-        session: Session(1),
+        epoch: AgentEpoch(1),
         sequence: n,
         images: images.clone(),
         speed: 1.0,
         freed: Resources::default(),
     });
-    let sightings = (0..8192).map(|n| Sighting {
+    let indirect_heartbeats = (0..8192).map(|n| IndirectHeartbeat {
         machine: MachineId::new(names(n).0),
         kind: TypeName::new("a-machine-type"),
         zone: ZoneName::new("a-zone-of-some-region"),
         spot: true,
-        session: Session(1),
+        epoch: AgentEpoch(1),
         sequence: n,
         age: Duration::from_secs(1),
     });
-    let status = Status {
-        node: NodeName::new("n-0"),
+    let status = StatusMessage {
+        controller: ControllerName::new("n-0"),
         incarnation: Incarnation(1),
-        dialect: Dialect::OURS,
-        seen: Revision(1),
+        protocol_version: ProtocolVersion::CURRENT,
+        highest_revision: Revision(1),
         state_reachable: true,
         full: true,
-        held: held.collect(),
-        sightings: sightings.collect(),
+        owned: held.collect(),
+        indirect_heartbeats: indirect_heartbeats.collect(),
         failing: Vec::new(),
     };
-    let frame = write_call(PeerCall::Status(status.clone())).expect("plain data");
+    let frame = encode_request(PeerRequest::Status(status.clone())).expect("plain data");
     assert!(frame.len() < FRAME_LIMIT, "{}", frame.len());
-    assert_eq!(read_call(&frame).expect("ours"), PeerCall::Status(status));
+    assert_eq!(
+        decode_request(&frame).expect("ours"),
+        PeerRequest::Status(status)
+    );
 }
 
 #[test]
 fn messages_read_back_and_garbage_does_not() {
-    let call = PeerCall::Offers(vec![Offer {
+    let call = PeerRequest::Offers(vec![Offer {
         job: JobId::new("job-000001"),
         tasks: vec![3, 4],
     }]);
-    let frame = write_call(call.clone()).expect("plain data");
-    assert_eq!(read_call(&frame).expect("ours"), call);
-    assert!(read_call(&[]).is_err());
-    assert!(read_call(&[0xff; 64]).is_err());
-    assert!(read_call(&frame[..frame.len() / 2]).is_err());
+    let frame = encode_request(call.clone()).expect("plain data");
+    assert_eq!(decode_request(&frame).expect("ours"), call);
+    assert!(decode_request(&[]).is_err());
+    assert!(decode_request(&[0xff; 64]).is_err());
+    assert!(decode_request(&frame[..frame.len() / 2]).is_err());
 }
 
 #[test]
@@ -73,25 +76,25 @@
             gpus: 2.0,
         },
     )]);
-    let request = PeerCall::RequestQuota(QuotaRequest {
-        recipient: NodeName::new("n-1"),
+    let request = PeerRequest::RequestQuota(QuotaRequest {
+        recipient: ControllerName::new("n-1"),
         process: 7,
         number: 3,
         wanted: quotas.clone(),
     });
-    let targets = PeerCall::SetQuotaTargets(QuotaTargets {
+    let targets = PeerRequest::SetQuotaTargets(QuotaTargets {
         leader: Revision(12),
         budgets: quotas.clone(),
     });
     for call in [request, targets] {
-        let frame = write_call(call.clone()).expect("plain data");
-        assert_eq!(read_call(&frame).expect("ours"), call);
+        let frame = encode_request(call.clone()).expect("plain data");
+        assert_eq!(decode_request(&frame).expect("ours"), call);
     }
-    let refused = Refusal::ALL.map(QuotaAnswer::Refused);
-    let others = [QuotaAnswer::Granted(quotas), QuotaAnswer::Undecided];
+    let refused = Refusal::ALL.map(QuotaResponse::Refused);
+    let others = [QuotaResponse::Granted(quotas), QuotaResponse::Undecided];
     for answer in refused.into_iter().chain(others) {
-        let answer = PeerAnswer::Quota(answer);
-        let frame = write_answer(answer.clone()).expect("plain data");
-        assert_eq!(read_answer(&frame).expect("ours"), answer);
+        let answer = PeerResponse::Quota(answer);
+        let frame = encode_response(answer.clone()).expect("plain data");
+        assert_eq!(decode_response(&frame).expect("ours"), answer);
     }
 }
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -13,7 +13,9 @@
         config::{Objective, machines_for},
     },
     protocol::seconds,
-    storage::{ClassName, Incarnation, NodeName, Quota, StateLimits, Team, TeamName, ZoneName},
+    storage::{
+        ClassName, ControllerName, Incarnation, Quota, StateLimits, Team, TeamName, ZoneName,
+    },
 };
 
 #[derive(Debug, thiserror::Error)]
@@ -36,7 +38,7 @@
     #[serde(default)]
     pub peers: Vec<Peer>,
     pub services: Services,
-    pub settings: Inner,
+    pub settings: ClusterSettings,
 }
 
 #[derive(Debug, Deserialize)]
@@ -53,7 +55,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Inner {
+pub struct ClusterSettings {
     #[serde(default)]
     pub zones: Vec<String>,
     pub teams: Vec<TeamSettings>,
@@ -173,7 +175,7 @@
 
 /// Our largest records (36 tasks, 48 or 50 machines) keep within this.
 const LEAST_VALUE_KB: f64 = 2.0;
-/// A machine that moves between two blocks takes budget along, and the end of a job
+/// A machine that moves between two shards takes budget along, and the end of a job
 /// takes its keys with it.
 const LEAST_TXN_OPS: u32 = 4;
 
@@ -269,7 +271,7 @@
         let cancel = span("settings.workers.cancel_s", workers.cancel_s)?;
         span("settings.workers.report_s", workers.report_s)?;
         if cancel < lease + Duration::from_secs(6) {
-            // A node cut off from all news could not keep any worker.
+            // A controller cut off from all news could not keep any agent.
             return Err("settings.workers.cancel_s must exceed lease_s by 6 s or more".into());
         }
         let state = &self.settings.state;
@@ -311,11 +313,11 @@
     /// In domain terms. Call it on checked settings.
     pub fn config(&self, incarnation: Incarnation, tuning: Tuning) -> Config {
         let span = |value| seconds(value).unwrap_or_default();
-        let inner = &self.settings;
-        let now = &inner.state;
+        let cluster = &self.settings;
+        let now = &cluster.state;
         let next = Announced::read(&now.next).limits;
         Config {
-            node: NodeName::new(self.node_name.as_str()),
+            name: ControllerName::new(self.node_name.as_str()),
             zone: ZoneName::new(self.area.as_str()),
             incarnation,
             peers: self
@@ -323,12 +325,12 @@
                 .iter()
                 .map(|peer| {
                     (
-                        NodeName::new(peer.node_name.as_str()),
+                        ControllerName::new(peer.node_name.as_str()),
                         ZoneName::new(peer.area.as_str()),
                     )
                 })
                 .collect(),
-            teams: inner
+            teams: cluster
                 .teams
                 .iter()
                 .map(|team| Team {
@@ -340,7 +342,7 @@
                     limit: Quota::of_limit(team.cpus_max, team.gpus_max),
                 })
                 .collect(),
-            objectives: inner
+            objectives: cluster
                 .objectives
                 .iter()
                 .map(|objective| Objective {
@@ -348,9 +350,9 @@
                     within: objective.within_s.and_then(seconds),
                 })
                 .collect(),
-            worker_report: span(inner.workers.report_s),
-            worker_lease: span(inner.workers.lease_s),
-            cancel: span(inner.workers.cancel_s),
+            heartbeat_interval: span(cluster.workers.report_s),
+            agent_lease: span(cluster.workers.lease_s),
+            cancel: span(cluster.workers.cancel_s),
             state: StateLimits {
                 rps: now.rps,
                 write_rps: now.write_rps,
@@ -364,11 +366,11 @@
                     * 1024.0) as usize,
                 txn_ops: next.txn_ops.map_or(now.txn_ops, |ops| ops.min(now.txn_ops)) as usize,
             },
-            cloud_rps: inner.cloud.rps,
-            list_lag: span(inner.cloud.list_lag_s),
-            max_connections: inner.limits.max_connections as usize,
-            machines_tracked: machines_for(inner.limits.mem_mb),
-            dialect: tuning.dialect(),
+            cloud_rps: cluster.cloud.rps,
+            list_lag: span(cluster.cloud.list_lag_s),
+            max_connections: cluster.limits.max_connections as usize,
+            machines_tracked: machines_for(cluster.limits.mem_mb),
+            protocol_version: tuning.protocol_version(),
             tuning,
             wall: Arc::new(std::time::SystemTime::now),
         }
--- a/src/protocol/settings/teams.rs
+++ b/src/protocol/settings/teams.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{Inner, TeamSettings};
+use super::{ClusterSettings, TeamSettings};
 
 /// Bytes of a controller's record of budgets, beside its teams.
 const RECORD_BYTES: usize = 64;
@@ -12,7 +12,7 @@
 
 /// Names each team whose guarantee can't be met by its limit, or that stands twice, and
 /// says if there are more teams than a record of budgets can hold.
-pub(super) fn problems(settings: &Inner, value_bytes: usize) -> Vec<String> {
+pub(super) fn problems(settings: &ClusterSettings, value_bytes: usize) -> Vec<String> {
     let mut problems: Vec<String> = settings.teams.iter().flat_map(problems_of).collect();
     let mut names = BTreeSet::new();
     for team in &settings.teams {
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 
 use crate::storage::{
-    client::{Event, Item, Op, Page, Transaction},
+    client::{KeyValue, Operation, RangePage, Transaction, WatchEvent},
     *,
 };
 
@@ -15,9 +15,9 @@
     pub mark: u64,
 }
 
-impl From<Entry> for Item {
+impl From<Entry> for KeyValue {
     fn from(entry: Entry) -> Self {
-        Item {
+        KeyValue {
             key: entry.k,
             value: entry.data,
             revision: Revision(entry.mark),
@@ -33,10 +33,10 @@
     pub ledger: u64,
 }
 
-impl From<Entries> for Page {
+impl From<Entries> for RangePage {
     fn from(entries: Entries) -> Self {
-        Page {
-            items: entries.entries.into_iter().map(Item::from).collect(),
+        RangePage {
+            items: entries.entries.into_iter().map(KeyValue::from).collect(),
             more: entries.truncated,
             revision: Revision(entries.ledger),
         }
@@ -86,12 +86,12 @@
                 .ops
                 .iter()
                 .map(|op| match op {
-                    Op::Set { key, value, grant } => Change::Set {
+                    Operation::Put { key, value, lease } => Change::Set {
                         set: key.clone(),
                         data: value.clone(),
-                        tether: grant.map(|grant| grant.0),
+                        tether: lease.map(|lease| lease.0),
                     },
-                    Op::Drop { key } => Change::Drop { drop: key.clone() },
+                    Operation::Delete { key } => Change::Drop { drop: key.clone() },
                 })
                 .collect(),
         }
@@ -132,15 +132,15 @@
     Drop { drop: String, mark: u64 },
 }
 
-impl From<Happening> for Event {
+impl From<Happening> for WatchEvent {
     fn from(happening: Happening) -> Self {
         match happening {
-            Happening::Set { set, data, mark } => Event::Set(Item {
+            Happening::Set { set, data, mark } => WatchEvent::Put(KeyValue {
                 key: set,
                 value: data,
                 revision: Revision(mark),
             }),
-            Happening::Drop { drop, mark } => Event::Drop {
+            Happening::Drop { drop, mark } => WatchEvent::Delete {
                 key: drop,
                 revision: Revision(mark),
             },
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    coordination::users::{JobState, JobStatus},
+    coordination::jobs::{JobState, JobStatus},
     protocol::seconds,
     storage::{
         ClassName, ImageName, JobId, JobKind, JobSpec, Priority, Resources, TeamName, TypeName,
@@ -135,7 +135,7 @@
         save: span("saddle_s", job.saddle_s)?,
         deadline: job.post_s.map(|s| span("post_s", s)).transpose()?,
         accepted_ms: 0,
-        home: None,
+        assigned_zone: None,
     };
     Ok((id, spec))
 }
--- a/src/storage/client.rs
+++ b/src/storage/client.rs
@@ -20,26 +20,25 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{
-    budget::{Budget, Urgency},
-    chance,
     ids::Revision,
-    keys,
+    jitter, keys,
+    rate_limiter::{RateLimiter, RequestPriority},
     records::OutcomeRecord,
     state_cache::StateCache,
 };
 
-/// A grant of the state service, to which keys can be attached.
+/// A lease of the key-value store, to which keys can be attached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GrantId(pub u64);
+pub struct LeaseId(pub u64);
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Op {
-    Set {
+pub enum Operation {
+    Put {
         key: String,
         value: Value,
-        grant: Option<GrantId>,
+        lease: Option<LeaseId>,
     },
-    Drop {
+    Delete {
         key: String,
     },
 }
@@ -48,7 +47,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Transaction {
     pub conditions: Vec<(String, Revision)>,
-    pub ops: Vec<Op>,
+    pub ops: Vec<Operation>,
 }
 
 impl Transaction {
@@ -61,15 +60,15 @@
         self.set_with(key, value, None)
     }
 
-    pub fn set_with(mut self, key: String, value: &impl Serialize, grant: Option<GrantId>) -> Self {
+    pub fn set_with(mut self, key: String, value: &impl Serialize, lease: Option<LeaseId>) -> Self {
         // Our records are plain data with string keys; they always serialise.
         let value = serde_json::to_value(value).unwrap_or(Value::Null);
-        self.ops.push(Op::Set { key, value, grant });
+        self.ops.push(Operation::Put { key, value, lease });
         self
     }
 
     pub fn remove(mut self, key: String) -> Self {
-        self.ops.push(Op::Drop { key });
+        self.ops.push(Operation::Delete { key });
         self
     }
 
@@ -93,8 +92,8 @@
     Throttled,
     #[error("no answer: perhaps executed")]
     NoAnswer,
-    #[error("the grant has ended")]
-    NoGrant,
+    #[error("the lease has expired")]
+    LeaseExpired,
     #[error("too old a revision to follow")]
     TooOld,
     #[error("rejected: {0}")]
@@ -132,65 +131,65 @@
 
 /// A key as read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Item {
+pub struct KeyValue {
     pub key: String,
     pub value: Value,
     pub revision: Revision,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Event {
-    Set(Item),
-    Drop { key: String, revision: Revision },
+pub enum WatchEvent {
+    Put(KeyValue),
+    Delete { key: String, revision: Revision },
 }
 
-pub struct Page {
-    pub items: Vec<Item>,
+pub struct RangePage {
+    pub items: Vec<KeyValue>,
     pub more: bool,
     pub revision: Revision,
 }
 
 /// What a state service offers. Each call is bounded in time by its port.
-pub trait StatePort: Send + Sync {
-    fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Item>, StateError>>;
+pub trait KeyValueStore: Send + Sync {
+    fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<KeyValue>, StateError>>;
     fn range<'a>(
         &'a self,
         prefix: &'a str,
         after: Option<&'a str>,
-    ) -> BoxFuture<'a, Result<Page, StateError>>;
+    ) -> BoxFuture<'a, Result<RangePage, StateError>>;
     fn commit<'a>(
         &'a self,
         transaction: &'a Transaction,
     ) -> BoxFuture<'a, Result<Revision, CommitError>>;
-    fn grant(&self, life: Duration) -> BoxFuture<'_, Result<GrantId, StateError>>;
-    fn renew(&self, grant: GrantId) -> BoxFuture<'_, Result<(), StateError>>;
-    fn follow(
+    fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StateError>>;
+    fn renew_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StateError>>;
+    fn watch(
         &self,
         from: Revision,
-        hold: Duration,
-    ) -> BoxFuture<'_, Result<(Revision, Vec<Event>), StateError>>;
+        max_wait: Duration,
+    ) -> BoxFuture<'_, Result<(Revision, Vec<WatchEvent>), StateError>>;
 }
 
 /// How long a watch is held open: short enough that an outage shows quickly.
-const HOLD: Duration = Duration::from_millis(1000);
+const WATCH_MAX_WAIT: Duration = Duration::from_millis(1000);
 /// Part of the request limit that all controllers' reads of changes may take.
 const READS_SHARE: f64 = 0.33;
 /// Least pause between two reads of changes.
-const LEAST_GAP: Duration = Duration::from_millis(20);
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(20);
 /// Part of the limits that is used by plan; the rest is for what collides.
-const PLANNED: f64 = 0.9;
+const PLANNED_SHARE: f64 = 0.9;
 /// Part of the limits that one controller uses at most, whatever others leave.
-const MOST: f64 = 0.75;
+const MAX_SHARE: f64 = 0.75;
 /// Fresh reads waiting at a time.
-const FRESH_WAITING: usize = 2_000;
+const MAX_BARRIER_WAITERS: usize = 2_000;
 /// Without reading any changes for this long everything is read anew.
-const ABSENT: Duration = Duration::from_secs(12);
+const FULL_READ_AFTER: Duration = Duration::from_secs(12);
 /// Without an answer for this long the state service counts as lost.
 const LOST_AFTER: Duration = Duration::from_millis(2_500);
 
 /// What was asked of the state service since the last look, for the log.
 #[derive(Clone, Debug, Default)]
-pub struct Counts {
+pub struct StoreCounters {
     pub requests: u32,
     /// Changes made, by the kind of record.
     pub written: BTreeMap<String, u32>,
@@ -202,27 +201,27 @@
 
 /// The state service as the rest of the program sees it.
 pub struct Store {
-    port: Box<dyn StatePort>,
+    port: Box<dyn KeyValueStore>,
     cache: Mutex<StateCache>,
     changed: watch::Sender<u64>,
     loaded: AtomicBool,
-    requests: Budget,
-    writes: Budget,
+    requests: RateLimiter,
+    writes: RateLimiter,
     /// Start of the latest read or commit that the service answered and whose
     /// changes are all in the cache.
-    confirmed: Mutex<Option<Instant>>,
+    confirmed_at: Mutex<Option<Instant>>,
     failing_since: Mutex<Option<Instant>>,
-    fresh_waiting: Mutex<Vec<oneshot::Sender<bool>>>,
-    fresh_asked: Notify,
+    barrier_waiters: Mutex<Vec<oneshot::Sender<bool>>>,
+    barrier_requested: Notify,
     /// Highest revision that any answer carried.
-    seen: AtomicU64,
-    /// Highest revision of a fate that was looked up.
+    highest_revision: AtomicU64,
+    /// Highest revision of an outcome that was looked up.
     looked_up: AtomicU64,
-    counts: Mutex<Counts>,
+    counters: Mutex<StoreCounters>,
     limits: StateLimits,
     /// Pause between two reads of changes, in microseconds: it lets changes
     /// gather, so that busy times do not eat the request limit.
-    gap: AtomicU64,
+    read_interval: AtomicU64,
     last_read: Mutex<Instant>,
 }
 
@@ -232,24 +231,27 @@
 }
 
 impl Store {
-    pub fn new(port: Box<dyn StatePort>, limits: StateLimits) -> Self {
+    pub fn new(port: Box<dyn KeyValueStore>, limits: StateLimits) -> Self {
         let StateLimits { rps, write_rps, .. } = limits;
         Self {
             port,
             cache: Mutex::default(),
             changed: watch::Sender::new(0),
             loaded: AtomicBool::new(false),
-            requests: Budget::between((rps * 0.3).max(2.0), (rps * MOST).max(2.0)),
-            writes: Budget::between((write_rps * 0.3).max(2.0), (write_rps * MOST).max(2.0)),
-            confirmed: Mutex::new(None),
+            requests: RateLimiter::between((rps * 0.3).max(2.0), (rps * MAX_SHARE).max(2.0)),
+            writes: RateLimiter::between(
+                (write_rps * 0.3).max(2.0),
+                (write_rps * MAX_SHARE).max(2.0),
+            ),
+            confirmed_at: Mutex::new(None),
             failing_since: Mutex::new(None),
-            fresh_waiting: Mutex::default(),
-            fresh_asked: Notify::new(),
-            seen: AtomicU64::new(0),
+            barrier_waiters: Mutex::default(),
+            barrier_requested: Notify::new(),
+            highest_revision: AtomicU64::new(0),
             looked_up: AtomicU64::new(0),
-            counts: Mutex::default(),
+            counters: Mutex::default(),
             limits,
-            gap: AtomicU64::new(LEAST_GAP.as_micros() as u64),
+            read_interval: AtomicU64::new(MIN_READ_INTERVAL.as_micros() as u64),
             last_read: Mutex::new(Instant::now()),
         }
     }
@@ -259,22 +261,25 @@
     /// `lowered`: the limits to come may hold from now on.
     pub fn share_limits(&self, living: usize, leads: bool, lowered: bool) {
         let living = living.max(1) as f64;
-        let part = PLANNED * if leads { 2.0 } else { 1.0 } / (living + 1.0);
+        let part = PLANNED_SHARE * if leads { 2.0 } else { 1.0 } / (living + 1.0);
         let limits = &self.limits;
         let (rps, write_rps) = if lowered {
             (limits.next_rps, limits.next_write_rps)
         } else {
             (limits.rps, limits.write_rps)
         };
-        self.requests.set_bounds(rps * part, rps * MOST);
-        self.writes.set_bounds(write_rps * part, write_rps * MOST);
-        let gap = Duration::from_secs_f64(living / (rps * READS_SHARE).max(1.0));
-        self.gap
-            .store(gap.max(LEAST_GAP).as_micros() as u64, Ordering::Relaxed);
+        self.requests.set_bounds(rps * part, rps * MAX_SHARE);
+        self.writes
+            .set_bounds(write_rps * part, write_rps * MAX_SHARE);
+        let read_interval = Duration::from_secs_f64(living / (rps * READS_SHARE).max(1.0));
+        self.read_interval.store(
+            read_interval.max(MIN_READ_INTERVAL).as_micros() as u64,
+            Ordering::Relaxed,
+        );
     }
 
-    fn gap(&self) -> Duration {
-        Duration::from_micros(self.gap.load(Ordering::Relaxed))
+    fn read_interval(&self) -> Duration {
+        Duration::from_micros(self.read_interval.load(Ordering::Relaxed))
     }
 
     /// Changes of the state service that may be made now without making more
@@ -284,9 +289,9 @@
     }
 
     /// How long a commit would have to wait now for the service's limits.
-    pub fn commit_wait(&self, urgency: Urgency) -> Option<Duration> {
-        let requests = self.requests.wait(urgency);
-        requests.max(self.writes.wait(urgency))
+    pub fn commit_wait(&self, priority: RequestPriority) -> Option<Duration> {
+        let requests = self.requests.wait(priority);
+        requests.max(self.writes.wait(priority))
     }
 
     pub fn cache(&self) -> MutexGuard<'_, StateCache> {
@@ -304,58 +309,58 @@
     }
 
     /// What was asked of the service since the last call.
-    pub fn take_counts(&self) -> Counts {
-        std::mem::take(&mut *lock(&self.counts))
+    pub fn take_counters(&self) -> StoreCounters {
+        std::mem::take(&mut *lock(&self.counters))
     }
 
     fn count(&self, transaction: &Transaction, result: &Result<Revision, CommitError>) {
-        let mut counts = lock(&self.counts);
-        counts.requests += 1;
+        let mut counters = lock(&self.counters);
+        counters.requests += 1;
         match result {
             Ok(_) => {
                 for op in &transaction.ops {
                     let (sign, key) = match op {
-                        Op::Set { key, .. } => ("+", key),
-                        Op::Drop { key } => ("-", key),
+                        Operation::Put { key, .. } => ("+", key),
+                        Operation::Delete { key } => ("-", key),
                     };
                     let kind = key.split('/').next().unwrap_or(key);
-                    *counts.written.entry(format!("{sign}{kind}")).or_default() += 1;
+                    *counters.written.entry(format!("{sign}{kind}")).or_default() += 1;
                 }
             }
-            Err(CommitError::Conflict(_)) => counts.refused += transaction.ops.len() as u32,
-            Err(CommitError::State(StateError::Throttled)) => counts.throttled += 1,
+            Err(CommitError::Conflict(_)) => counters.refused += transaction.ops.len() as u32,
+            Err(CommitError::State(StateError::Throttled)) => counters.throttled += 1,
             Err(_) => {}
         }
     }
 
-    fn touch(&self) {
+    fn notify_changed(&self) {
         self.changed.send_modify(|n| *n += 1);
     }
 
-    pub fn confirmed(&self) -> Option<Instant> {
-        *lock(&self.confirmed)
+    pub fn confirmed_at(&self) -> Option<Instant> {
+        *lock(&self.confirmed_at)
     }
 
-    pub fn seen(&self) -> Revision {
-        Revision(self.seen.load(Ordering::Relaxed))
+    pub fn highest_revision(&self) -> Revision {
+        Revision(self.highest_revision.load(Ordering::Relaxed))
     }
 
-    /// The cache has caught up with every fate that was looked up ahead of it, so
+    /// The cache has caught up with every outcome that was looked up ahead of it, so
     /// that it shows all cancellations that users were told of here.
-    pub fn has_followed_fates(&self) -> bool {
+    pub fn has_applied_looked_up_outcomes(&self) -> bool {
         self.cache().revision.0 >= self.looked_up.load(Ordering::Relaxed)
     }
 
-    /// The state service answers this node.
+    /// The state service answers this controller.
     pub fn is_reachable(&self) -> bool {
         let failing = *lock(&self.failing_since);
         failing.is_none_or(|since| since.elapsed() < LOST_AFTER)
             && self
-                .confirmed()
-                .is_some_and(|at| at.elapsed() < HOLD + LOST_AFTER)
+                .confirmed_at()
+                .is_some_and(|at| at.elapsed() < WATCH_MAX_WAIT + LOST_AFTER)
     }
 
-    fn note<T>(&self, result: &Result<T, StateError>) {
+    fn note_reachability<T>(&self, result: &Result<T, StateError>) {
         let mut failing = lock(&self.failing_since);
         match result {
             Err(StateError::Unavailable | StateError::NoAnswer) => {
@@ -374,8 +379,9 @@
         }
     }
 
-    fn saw(&self, revision: Revision) {
-        self.seen.fetch_max(revision.0, Ordering::Relaxed);
+    fn note_revision(&self, revision: Revision) {
+        self.highest_revision
+            .fetch_max(revision.0, Ordering::Relaxed);
     }
 
     /// Commits, and puts the changes into the cache. Overload answers are never
@@ -383,20 +389,20 @@
     pub async fn commit(
         &self,
         transaction: &Transaction,
-        urgency: Urgency,
+        priority: RequestPriority,
     ) -> Result<Revision, CommitError> {
         self.check_size(transaction)?;
         let mut tries = 0;
         loop {
-            self.requests.acquire(1.0, urgency).await;
+            self.requests.acquire(1.0, priority).await;
             let writes = transaction.ops.len() as f64;
-            self.writes.acquire(writes, urgency).await;
+            self.writes.acquire(writes, priority).await;
             let result = self.port.commit(transaction).await;
             self.count(transaction, &result);
             match &result {
                 Ok(revision) => {
-                    self.note(&Ok(()));
-                    self.saw(*revision);
+                    self.note_reachability(&Ok(()));
+                    self.note_revision(*revision);
                     self.absorb(transaction, *revision);
                 }
                 Err(CommitError::State(StateError::Throttled)) if tries < 4 => {
@@ -404,11 +410,11 @@
                     // Which of the two limits it was is not told.
                     self.requests.refused();
                     self.writes.refused();
-                    tokio::time::sleep(chance::millis(30, 90) * tries).await;
+                    tokio::time::sleep(jitter::millis(30, 90) * tries).await;
                     continue;
                 }
-                Err(CommitError::State(error)) => self.note::<()>(&Err(error.clone())),
-                Err(CommitError::Conflict(_)) => self.note(&Ok(())),
+                Err(CommitError::State(error)) => self.note_reachability::<()>(&Err(error.clone())),
+                Err(CommitError::Conflict(_)) => self.note_reachability(&Ok(())),
             }
             return result;
         }
@@ -421,11 +427,11 @@
         let conditions = transaction.conditions.len();
         let most = self.limits.txn_ops;
         let large = transaction.ops.iter().find_map(|op| match op {
-            Op::Set { key, value, .. } => {
+            Operation::Put { key, value, .. } => {
                 let size = value.to_string().len();
                 (size > self.limits.value_bytes).then_some((key, size))
             }
-            Op::Drop { .. } => None,
+            Operation::Delete { .. } => None,
         });
         if ops <= most && conditions <= 4 * most && large.is_none() {
             return Ok(());
@@ -443,108 +449,108 @@
         let mut cache = self.cache();
         for op in &transaction.ops {
             match op {
-                Op::Set { key, value, .. } => cache.set(key, value.clone(), revision),
-                Op::Drop { key } => cache.drop_ahead(key, revision),
+                Operation::Put { key, value, .. } => cache.set(key, value.clone(), revision),
+                Operation::Delete { key } => cache.delete_ahead(key, revision),
             }
         }
         drop(cache);
-        self.touch();
+        self.notify_changed();
     }
 
-    pub async fn get(&self, key: &str) -> Result<Option<Item>, StateError> {
-        self.requests.acquire(1.0, Urgency::User).await;
+    pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StateError> {
+        self.requests.acquire(1.0, RequestPriority::User).await;
         let result = self.port.get(key).await;
-        self.note(&result);
+        self.note_reachability(&result);
         result
     }
 
-    /// Looks a fate up; `None`: the job has none.
-    pub async fn look_up_fate(
+    /// Looks an outcome up; `None`: the job has none.
+    pub async fn look_up_outcome(
         &self,
         job: &super::JobId,
     ) -> Result<Option<OutcomeRecord>, StateError> {
-        let Some(item) = self.get(&keys::fate(job)).await? else {
+        let Some(item) = self.get(&keys::outcome(job)).await? else {
             return Ok(None);
         };
         // Before anybody is told of it: peers ask what we have seen.
-        self.saw(item.revision);
+        self.note_revision(item.revision);
         self.looked_up.fetch_max(item.revision.0, Ordering::Relaxed);
-        let fate: OutcomeRecord = serde_json::from_value(item.value)
+        let outcome: OutcomeRecord = serde_json::from_value(item.value)
             .map_err(|error| StateError::Rejected(error.to_string()))?;
-        self.cache().keep_fate(job.clone(), fate);
-        Ok(Some(fate))
+        self.cache().remember_outcome(job.clone(), outcome);
+        Ok(Some(outcome))
     }
 
-    pub async fn grant(&self, life: Duration) -> Result<GrantId, StateError> {
-        self.requests.acquire(1.0, Urgency::Fence).await;
-        let result = self.port.grant(life).await;
-        self.note(&result);
+    pub async fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, StateError> {
+        self.requests.acquire(1.0, RequestPriority::Fencing).await;
+        let result = self.port.grant_lease(ttl).await;
+        self.note_reachability(&result);
         result
     }
 
-    pub async fn renew(&self, grant: GrantId) -> Result<(), StateError> {
-        self.requests.acquire(1.0, Urgency::Fence).await;
-        let result = self.port.renew(grant).await;
-        self.note(&result);
+    pub async fn renew_lease(&self, lease: LeaseId) -> Result<(), StateError> {
+        self.requests.acquire(1.0, RequestPriority::Fencing).await;
+        let result = self.port.renew_lease(lease).await;
+        self.note_reachability(&result);
         result
     }
 
     /// A read of everything that begins after this call; true when the cache
     /// then holds all that was committed before it. Callers share reads.
-    pub async fn fresh(&self) -> bool {
+    pub async fn read_barrier(&self) -> bool {
         if !self.is_loaded() || !self.is_reachable() {
             return false;
         }
         let (sender, receiver) = oneshot::channel();
         {
-            let mut waiting = lock(&self.fresh_waiting);
-            if waiting.len() >= FRESH_WAITING {
+            let mut waiting = lock(&self.barrier_waiters);
+            if waiting.len() >= MAX_BARRIER_WAITERS {
                 return false;
             }
             waiting.push(sender);
         }
-        self.fresh_asked.notify_one();
+        self.barrier_requested.notify_one();
         receiver.await.unwrap_or(false)
     }
 
-    /// Duty: answers the callers of [`Store::fresh`], many with one read.
-    pub async fn serve_fresh(&self, stop: CancellationToken) {
+    /// Duty: answers the callers of [`Store::read_barrier`], many with one read.
+    pub async fn serve_read_barriers(&self, stop: CancellationToken) {
         while !stop.is_cancelled() {
             tokio::select! {
                 biased;
                 _ = stop.cancelled() => return,
-                _ = self.fresh_asked.notified() => {}
+                _ = self.barrier_requested.notified() => {}
             }
-            let waiting = std::mem::take(&mut *lock(&self.fresh_waiting));
+            let waiting = std::mem::take(&mut *lock(&self.barrier_waiters));
             if waiting.is_empty() {
                 continue;
             }
-            let fresh = self.read_on(Duration::ZERO).await.is_ok();
+            let fresh = self.read_changes(Duration::ZERO).await.is_ok();
             for sender in waiting {
                 let _ = sender.send(fresh);
             }
-            tokio::time::sleep(self.gap()).await;
+            tokio::time::sleep(self.read_interval()).await;
         }
     }
 
     /// Duty: keeps the cache up to date.
-    pub async fn follow(&self, stop: CancellationToken) {
+    pub async fn watch(&self, stop: CancellationToken) {
         while !stop.is_cancelled() {
             let step = async {
                 // After a long absence the changes since would come as one answer
                 // without a limit to its size: the live set is read in pages.
-                if !self.is_loaded() || lock(&self.last_read).elapsed() > ABSENT {
+                if !self.is_loaded() || lock(&self.last_read).elapsed() > FULL_READ_AFTER {
                     return self.load().await;
                 }
                 // Fresh reads bring changes as well: while they go on, a watch
                 // beside them would only cost requests.
-                let gap = self.gap().mul_f64(1.25);
+                let read_interval = self.read_interval().mul_f64(1.25);
                 loop {
                     let since = lock(&self.last_read).elapsed();
-                    if since >= gap {
-                        return self.read_on(HOLD).await;
+                    if since >= read_interval {
+                        return self.read_changes(WATCH_MAX_WAIT).await;
                     }
-                    tokio::time::sleep(gap - since).await;
+                    tokio::time::sleep(read_interval - since).await;
                 }
             };
             let result = tokio::select! {
@@ -555,26 +561,26 @@
             match result {
                 Ok(()) => {}
                 Err(StateError::TooOld) => {
-                    tracing::info!("the watch has a gap; reading everything again");
+                    tracing::info!("watch gap; reading the live set again");
                     self.loaded.store(false, Ordering::Relaxed);
                 }
                 Err(error) => {
                     tracing::debug!(%error, "watch failed");
-                    tokio::time::sleep(chance::millis(150, 300)).await;
+                    tokio::time::sleep(jitter::millis(150, 300)).await;
                 }
             }
         }
     }
 
-    async fn read_on(&self, hold: Duration) -> Result<(), StateError> {
-        self.requests.acquire(1.0, Urgency::User).await;
+    async fn read_changes(&self, max_wait: Duration) -> Result<(), StateError> {
+        self.requests.acquire(1.0, RequestPriority::User).await;
         let started = Instant::now();
-        lock(&self.counts).requests += 1;
+        lock(&self.counters).requests += 1;
         let from = self.cache().revision;
-        let result = self.port.follow(from, hold).await;
-        self.note(&result);
+        let result = self.port.watch(from, max_wait).await;
+        self.note_reachability(&result);
         let (revision, events) = result?;
-        self.saw(revision);
+        self.note_revision(revision);
         let any = !events.is_empty();
         {
             let mut cache = self.cache();
@@ -589,11 +595,11 @@
         *lock(&self.last_read) = Instant::now();
         // A held watch answers late; what it tells is as new as its answer, but
         // only its start is certain.
-        let mut confirmed = lock(&self.confirmed);
-        *confirmed = (*confirmed).max(Some(started));
-        drop(confirmed);
+        let mut confirmed_at = lock(&self.confirmed_at);
+        *confirmed_at = (*confirmed_at).max(Some(started));
+        drop(confirmed_at);
         if any {
-            self.touch();
+            self.notify_changed();
         }
         Ok(())
     }
@@ -606,9 +612,9 @@
         for prefix in keys::LIVE {
             let mut after: Option<String> = None;
             loop {
-                self.requests.acquire(1.0, Urgency::User).await;
+                self.requests.acquire(1.0, RequestPriority::User).await;
                 let result = self.port.range(prefix, after.as_deref()).await;
-                self.note(&result);
+                self.note_reachability(&result);
                 let page = result?;
                 first = Some(first.unwrap_or(page.revision));
                 after = page.items.last().map(|item| item.key.clone());
@@ -633,24 +639,24 @@
         self.loaded.store(false, Ordering::Relaxed);
         {
             let mut cache = self.cache();
-            fresh.take_fates(&mut cache);
+            fresh.take_outcomes(&mut cache);
             *cache = fresh;
         }
         *lock(&self.last_read) = Instant::now();
-        *lock(&self.confirmed) = Some(started);
+        *lock(&self.confirmed_at) = Some(started);
         // Only now does the cache hold our own commits made meanwhile.
-        self.read_on(Duration::ZERO).await?;
+        self.read_changes(Duration::ZERO).await?;
         self.loaded.store(true, Ordering::Relaxed);
-        self.touch();
+        self.notify_changed();
         Ok(())
     }
 }
 
-fn apply(cache: &mut StateCache, events: Vec<Event>) {
+fn apply(cache: &mut StateCache, events: Vec<WatchEvent>) {
     for event in events {
         match event {
-            Event::Set(item) => cache.set(&item.key, item.value, item.revision),
-            Event::Drop { key, revision } => cache.drop_key(&key, revision),
+            WatchEvent::Put(item) => cache.set(&item.key, item.value, item.revision),
+            WatchEvent::Delete { key, revision } => cache.delete(&key, revision),
         }
     }
 }
--- a/src/storage/ids.rs
+++ b/src/storage/ids.rs
@@ -64,12 +64,12 @@
     JobId
 );
 name_type!(
-    /// A rented machine, as the cloud names it.
+    /// A provisioned machine, as the cloud names it.
     MachineId
 );
 name_type!(
     /// A controller.
-    NodeName
+    ControllerName
 );
 name_type!(
     /// A team with a guarantee and a limit.
@@ -92,9 +92,9 @@
     ImageName
 );
 name_type!(
-    /// The name of a rental request, and of the record of what it rented; never
+    /// The name of a provision request, and of the record of what it provisioned; never
     /// used twice.
-    RentName
+    ProvisionId
 );
 
 number_type!(
@@ -102,7 +102,7 @@
     Revision
 );
 number_type!(
-    /// Who may command a machine: the revision of its block's record.
+    /// Who may command a machine: the revision of its shard's record.
     Token
 );
 number_type!(
@@ -110,8 +110,8 @@
     Attempt
 );
 number_type!(
-    /// A worker's session; rises whenever its lease expires.
-    Session
+    /// Which life of an agent; rises whenever its lease expires.
+    AgentEpoch
 );
 number_type!(
     /// One process of a controller; a restart is another one.
@@ -119,7 +119,7 @@
 );
 number_type!(
     /// A set of machines that is leased as a whole.
-    BlockId
+    ShardId
 );
 
 impl From<Revision> for Token {
--- a/src/storage/jitter.rs
+++ b/src/storage/jitter.rs
@@ -1,4 +1,4 @@
-//! Random pauses, from one generator that tests can seed.
+//! Jitter: random pauses, from one generator that tests can seed.
 
 use std::{cell::RefCell, time::Duration};
 
@@ -13,7 +13,7 @@
     GENERATOR.with(|generator| *generator.borrow_mut() = StdRng::seed_from_u64(seed));
 }
 
-pub fn share(from: f64, to: f64) -> f64 {
+pub fn uniform(from: f64, to: f64) -> f64 {
     GENERATOR.with(|generator| generator.borrow_mut().random_range(from..to))
 }
 
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -1,28 +1,38 @@
 //! The key scheme. `docs/PROTOCOL-NOTES.md` tells what each key means.
 
-use crate::storage::ids::{BlockId, JobId, NodeName, RentName};
+use crate::storage::ids::{ControllerName, JobId, ProvisionId, ShardId};
 
 pub const SPEC: &str = "spec/";
-pub const FATE: &str = "fate/";
+pub const OUTCOME: &str = "fate/";
 pub const RUN: &str = "run/";
-pub const DRAIN: &str = "drain/";
-pub const SEAT: &str = "seat/";
-pub const BLOCK: &str = "block/";
-pub const MACHINE: &str = "machine/";
-pub const RENT: &str = "rent/";
-pub const NODE: &str = "node/";
+pub const CLEANUP: &str = "drain/";
+pub const ALLOCATION: &str = "seat/";
+pub const SHARD: &str = "block/";
+pub const MACHINE_GROUP: &str = "machine/";
+pub const PROVISION_REQUEST: &str = "rent/";
+pub const CONTROLLER: &str = "node/";
 pub const LEADER: &str = "leader";
 pub const CATALOG: &str = "catalog";
-pub const FORMAT: &str = "format";
+pub const COMMON_VERSION: &str = "format";
 
-/// The live set, read at start and after a gap in the watch. Fates are not in
+/// The live set, read at start and after a gap in the watch. Outcomes are not in
 /// it: they are kept for good and looked up one by one.
 pub const LIVE: &[&str] = &[
-    SPEC, RUN, DRAIN, SEAT, BLOCK, MACHINE, RENT, NODE, LEADER, CATALOG, FORMAT,
+    SPEC,
+    RUN,
+    CLEANUP,
+    ALLOCATION,
+    SHARD,
+    MACHINE_GROUP,
+    PROVISION_REQUEST,
+    CONTROLLER,
+    LEADER,
+    CATALOG,
+    COMMON_VERSION,
 ];
 
 /// Tasks in one run record. An entry takes up to about 50 bytes, so that a full
-/// record stays under 2 KiB. A record's tasks are placed by one holder, so that
+/// record stays under 2 KiB. A record's tasks are placed by one owner, so that
 /// smaller records spread a large job over more of them; larger ones need fewer
 /// changes of the state service.
 pub const CHUNK: u32 = 36;
@@ -31,37 +41,37 @@
     format!("{SPEC}{job}")
 }
 
-pub fn fate(job: &JobId) -> String {
-    format!("{FATE}{job}")
+pub fn outcome(job: &JobId) -> String {
+    format!("{OUTCOME}{job}")
 }
 
-pub fn drain(job: &JobId) -> String {
-    format!("{DRAIN}{job}")
+pub fn cleanup(job: &JobId) -> String {
+    format!("{CLEANUP}{job}")
 }
 
 pub fn run(job: &JobId, chunk: u32) -> String {
     format!("{RUN}{job}/{chunk}")
 }
 
-pub fn seat(node: &NodeName) -> String {
-    format!("{SEAT}{node}")
+pub fn allocation(controller: &ControllerName) -> String {
+    format!("{ALLOCATION}{controller}")
 }
 
-pub fn block(block: BlockId) -> String {
-    format!("{BLOCK}{block}")
+pub fn shard(shard: ShardId) -> String {
+    format!("{SHARD}{shard}")
 }
 
-/// The machines that one request rented.
-pub fn machines(rental: &RentName) -> String {
-    format!("{MACHINE}{rental}")
+/// The machines that one request provisioned.
+pub fn machine_group(provision_id: &ProvisionId) -> String {
+    format!("{MACHINE_GROUP}{provision_id}")
 }
 
-pub fn rent(rent: &RentName) -> String {
-    format!("{RENT}{rent}")
+pub fn provision_request(provision_id: &ProvisionId) -> String {
+    format!("{PROVISION_REQUEST}{provision_id}")
 }
 
-pub fn node(node: &NodeName) -> String {
-    format!("{NODE}{node}")
+pub fn controller(controller: &ControllerName) -> String {
+    format!("{CONTROLLER}{controller}")
 }
 
 /// A key taken apart.
@@ -69,16 +79,16 @@
 pub enum Key {
     Spec(JobId),
     JobOutcome(JobId),
-    Drain(JobId),
+    Cleanup(JobId),
     Run(JobId, u32),
-    Seat(NodeName),
-    Block(BlockId),
-    Machines(RentName),
-    Rent(RentName),
-    Node(NodeName),
+    Allocation(ControllerName),
+    Shard(ShardId),
+    MachineGroup(ProvisionId),
+    ProvisionRequest(ProvisionId),
+    Controller(ControllerName),
     Leader,
     Catalog,
-    Format,
+    CommonVersion,
 }
 
 impl Key {
@@ -90,31 +100,31 @@
         if let Some(rest) = key.strip_prefix(SPEC) {
             return JobId::parse(rest).map(Key::Spec);
         }
-        if let Some(rest) = key.strip_prefix(FATE) {
+        if let Some(rest) = key.strip_prefix(OUTCOME) {
             return JobId::parse(rest).map(Key::JobOutcome);
         }
-        if let Some(rest) = key.strip_prefix(DRAIN) {
-            return JobId::parse(rest).map(Key::Drain);
+        if let Some(rest) = key.strip_prefix(CLEANUP) {
+            return JobId::parse(rest).map(Key::Cleanup);
         }
-        if let Some(rest) = key.strip_prefix(SEAT) {
-            return Some(Key::Seat(NodeName::new(rest)));
+        if let Some(rest) = key.strip_prefix(ALLOCATION) {
+            return Some(Key::Allocation(ControllerName::new(rest)));
         }
-        if let Some(rest) = key.strip_prefix(BLOCK) {
-            return Some(Key::Block(BlockId(rest.parse().ok()?)));
+        if let Some(rest) = key.strip_prefix(SHARD) {
+            return Some(Key::Shard(ShardId(rest.parse().ok()?)));
         }
-        if let Some(rest) = key.strip_prefix(MACHINE) {
-            return Some(Key::Machines(RentName::new(rest)));
+        if let Some(rest) = key.strip_prefix(MACHINE_GROUP) {
+            return Some(Key::MachineGroup(ProvisionId::new(rest)));
         }
-        if let Some(rest) = key.strip_prefix(RENT) {
-            return Some(Key::Rent(RentName::new(rest)));
+        if let Some(rest) = key.strip_prefix(PROVISION_REQUEST) {
+            return Some(Key::ProvisionRequest(ProvisionId::new(rest)));
         }
-        if let Some(rest) = key.strip_prefix(NODE) {
-            return Some(Key::Node(NodeName::new(rest)));
+        if let Some(rest) = key.strip_prefix(CONTROLLER) {
+            return Some(Key::Controller(ControllerName::new(rest)));
         }
         match key {
             LEADER => Some(Key::Leader),
             CATALOG => Some(Key::Catalog),
-            FORMAT => Some(Key::Format),
+            COMMON_VERSION => Some(Key::CommonVersion),
             _ => None,
         }
     }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,16 +1,16 @@
 //! Bookkeeping: ids, the job model, the key scheme, the replica of the state
 //! service's live set, and the client that reads and writes it.
 
-pub mod budget;
-pub mod chance;
 pub mod client;
 pub mod ids;
+pub mod jitter;
 pub mod keys;
 pub mod model;
+pub mod rate_limiter;
 pub mod records;
 pub mod state_cache;
 
-pub use client::{CommitError, StateError, StateLimits, StatePort, Store, Transaction};
+pub use client::{CommitError, KeyValueStore, StateError, StateLimits, Store, Transaction};
 pub use ids::*;
 pub use model::*;
 pub use state_cache::StateCache;
--- a/src/storage/model.rs
+++ b/src/storage/model.rs
@@ -129,8 +129,8 @@
     pub accepted_ms: u64,
     /// The zone that the leader has confined a job in one zone to, when it has too many
     /// records for a placement to depend on all of them.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub home: Option<ZoneName>,
+    #[serde(rename = "home", default, skip_serializing_if = "Option::is_none")]
+    pub assigned_zone: Option<ZoneName>,
 }
 
 impl JobSpec {
@@ -139,7 +139,7 @@
     }
 
     pub fn allows_zone(&self, name: &ZoneName) -> bool {
-        let wanted = [&self.zone, &self.home];
+        let wanted = [&self.zone, &self.assigned_zone];
         wanted.into_iter().flatten().all(|zone| zone == name)
     }
 
--- a/src/storage/rate_limiter.rs
+++ b/src/storage/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! Limits our own calls to the state service, so that recovery after an outage
+//! Rate limits of our own calls to the state service, so that recovery after an outage
 //! starves neither leadership nor users.
 //!
 //! The service's limits are shared by the controllers that live. Each counts on
@@ -14,31 +14,31 @@
 
 /// What a call is for; the first are served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Urgency {
-    /// Grant renewal, leadership, fencing.
-    Fence,
-    /// Fates and submissions.
+pub enum RequestPriority {
+    /// Lease renewal, leadership, fencing.
+    Fencing,
+    /// Outcomes and submissions.
     User,
     /// Placements and results.
-    Place,
+    Placement,
     /// Everything else.
-    Rest,
+    Background,
 }
 
-impl Urgency {
+impl RequestPriority {
     /// The part of the bucket that is left to more urgent calls.
     fn reserve(self) -> f64 {
         match self {
-            Urgency::Fence => 0.0,
-            Urgency::User => 0.1,
-            Urgency::Place => 0.25,
-            Urgency::Rest => 0.4,
+            RequestPriority::Fencing => 0.0,
+            RequestPriority::User => 0.1,
+            RequestPriority::Placement => 0.25,
+            RequestPriority::Background => 0.4,
         }
     }
 }
 
 #[derive(Debug)]
-struct Bucket {
+struct TokenBucket {
     /// What this controller may count on.
     fair: f64,
     /// What it never goes beyond.
@@ -54,7 +54,7 @@
 }
 
 /// How often the rate is judged, and how fast it grows and shrinks.
-const JUDGED_EVERY: Duration = Duration::from_millis(500);
+const ADJUST_INTERVAL: Duration = Duration::from_millis(500);
 const GROWTH: f64 = 1.25;
 const CUT: f64 = 0.6;
 /// A controller always counts on so many calls a second.
@@ -62,7 +62,7 @@
 /// After a refusal the rate does not grow for a moment.
 const QUIET: Duration = Duration::from_secs(2);
 
-impl Bucket {
+impl TokenBucket {
     fn refill(&mut self, now: Instant) {
         let gained = now.saturating_duration_since(self.at).as_secs_f64() * self.rate;
         self.level = (self.level + gained).min(self.rate);
@@ -72,7 +72,7 @@
     /// The others often use less than their part: what they leave may be used
     /// until the service says otherwise.
     fn judge(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.judged) < JUDGED_EVERY {
+        if now.saturating_duration_since(self.judged) < ADJUST_INTERVAL {
             return;
         }
         self.judged = now;
@@ -91,16 +91,16 @@
 /// A token bucket of one second's worth, whose rate adjusts itself between a
 /// fair part of the limit and most of it.
 #[derive(Debug)]
-pub struct Budget(Mutex<Bucket>);
+pub struct RateLimiter(Mutex<TokenBucket>);
 
-impl Budget {
+impl RateLimiter {
     pub fn new(rate: f64) -> Self {
         Self::between(rate, rate)
     }
 
     pub fn between(fair: f64, most: f64) -> Self {
         let now = Instant::now();
-        Self(Mutex::new(Bucket {
+        Self(Mutex::new(TokenBucket {
             fair,
             most,
             rate: fair,
@@ -112,7 +112,7 @@
         }))
     }
 
-    fn lock(&self) -> MutexGuard<'_, Bucket> {
+    fn lock(&self) -> MutexGuard<'_, TokenBucket> {
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
 
@@ -143,12 +143,12 @@
     }
 
     /// Takes `amount`, going into debt if need be, or tells how long to wait.
-    fn take(&self, amount: f64, urgency: Urgency) -> Result<(), Duration> {
+    fn take(&self, amount: f64, priority: RequestPriority) -> Result<(), Duration> {
         let mut bucket = self.lock();
         let now = Instant::now();
         bucket.refill(now);
         bucket.judge(now);
-        let floor = urgency.reserve() * bucket.rate;
+        let floor = priority.reserve() * bucket.rate;
         if bucket.level >= floor.max(1.0).min(bucket.rate) {
             bucket.level -= amount;
             return Ok(());
@@ -163,12 +163,12 @@
     /// How long a call would have to wait now; none: not at all. What is planned
     /// after the wait is planned on newer knowledge than what waits when it is
     /// ready to be sent.
-    pub fn wait(&self, urgency: Urgency) -> Option<Duration> {
-        self.take(0.0, urgency).err()
+    pub fn wait(&self, priority: RequestPriority) -> Option<Duration> {
+        self.take(0.0, priority).err()
     }
 
-    pub async fn acquire(&self, amount: f64, urgency: Urgency) {
-        while let Err(wait) = self.take(amount, urgency) {
+    pub async fn acquire(&self, amount: f64, priority: RequestPriority) {
+        while let Err(wait) = self.take(amount, priority) {
             tokio::time::sleep(wait).await;
         }
     }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -6,7 +6,8 @@
 
 use crate::storage::{
     ids::{
-        Attempt, Incarnation, MachineId, NodeName, RentName, Session, TeamName, TypeName, ZoneName,
+        AgentEpoch, Attempt, ControllerName, Incarnation, MachineId, ProvisionId, TeamName,
+        TypeName, ZoneName,
     },
     model::*,
 };
@@ -19,7 +20,7 @@
     #[serde(rename = "m")]
     pub machine: MachineId,
     #[serde(rename = "s")]
-    pub session: Session,
+    pub epoch: AgentEpoch,
 }
 
 /// The tasks of one stride range of a job.
@@ -57,14 +58,14 @@
         Attempt(last.map_or(1, |attempt| attempt.0 + 1))
     }
 
-    pub fn place(&mut self, task: u32, machine: MachineId, session: Session, attempt: Attempt) {
+    pub fn place(&mut self, task: u32, machine: MachineId, epoch: AgentEpoch, attempt: Attempt) {
         self.before.remove(&task);
         self.placed.insert(
             task,
             Placement {
                 attempt,
                 machine,
-                session,
+                epoch,
             },
         );
     }
@@ -95,40 +96,43 @@
     }
 }
 
-/// How a block's holder may use a machine.
+/// How a shard's owner may use a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachineUse {
     /// Takes any task.
     #[serde(rename = "o")]
-    Open,
-    /// Marked to be given back: takes only tasks ending within its paid period.
+    Available,
+    /// Marked draining: takes only tasks ending within its paid period.
     #[serde(rename = "m")]
-    Marked,
+    Draining,
     /// Takes nothing more: to be moved or returned.
     #[serde(rename = "f")]
-    Frozen,
+    Cordoned,
 }
 
 /// What one controller's process may use of the teams' limits, over all its
-/// blocks. Every placement of its is conditional on this record.
+/// shards. Every placement of its is conditional on this record.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct SeatRecord {
+pub struct AllocationRecord {
     /// The process that holds it, or nobody.
-    pub holder: Option<Incarnation>,
+    #[serde(rename = "holder")]
+    pub owner: Option<Incarnation>,
     pub budgets: BTreeMap<TeamName, Quota>,
 }
 
 /// Machines that are leased together. The record's revision is the token of all
-/// of them. Blocks are of bounded size, so that a record keeps within the state
+/// of them. Shards are of bounded size, so that a record keeps within the state
 /// service's limit, and so that a change disturbs few machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct BlockRecord {
-    pub node: NodeName,
+pub struct ShardRecord {
+    #[serde(rename = "node")]
+    pub controller: ControllerName,
     /// The process that holds it.
-    pub holder: Incarnation,
+    #[serde(rename = "holder")]
+    pub owner: Incarnation,
     /// To be leased to another controller: its machines take nothing more.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub frozen: bool,
+    #[serde(rename = "frozen", default, skip_serializing_if = "std::ops::Not::not")]
+    pub cordoned: bool,
     pub machines: BTreeMap<MachineId, MachineUse>,
 }
 
@@ -138,35 +142,35 @@
     pub kind: TypeName,
     pub zone: ZoneName,
     pub spot: bool,
-    /// Time of day of the rental, in milliseconds.
-    pub rented_ms: u64,
-    /// Where its worker listens; known once it has reported.
+    /// Time of day of the machine group, in milliseconds.
+    pub provisioned_ms: u64,
+    /// Where its agent listens; known once it has sent a heartbeat.
     pub address: Option<String>,
     /// The record that it stands in.
-    pub rental: RentName,
+    pub machine_group: ProvisionId,
 }
 
 /// Machines that came with one request: one record for all of them, since
 /// changes of the state service are scarce.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RentalRecord {
+pub struct MachineGroupRecord {
     #[serde(rename = "t")]
     pub kind: TypeName,
     #[serde(rename = "z")]
     pub zone: ZoneName,
     #[serde(rename = "s")]
     pub spot: bool,
-    /// Time of day of the rental, in milliseconds.
+    /// Time of day of the machine group, in milliseconds.
     #[serde(rename = "at")]
-    pub rented_ms: u64,
-    /// Those not yet returned, each with its worker's address once it is known.
+    pub provisioned_ms: u64,
+    /// Those not yet returned, each with its agent's address once it is known.
     #[serde(rename = "m")]
     pub machines: BTreeMap<MachineId, Option<String>>,
 }
 
-/// A rental request, written before it is sent.
+/// A provision request, written before it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RentRecord {
+pub struct ProvisionRecord {
     #[serde(rename = "t")]
     pub kind: TypeName,
     #[serde(rename = "z")]
@@ -179,24 +183,25 @@
     pub at_ms: u64,
 }
 
-/// A living controller; the key goes with its grant.
+/// A living controller; the key goes with its lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct NodeRecord {
+pub struct ControllerRecord {
     pub incarnation: Incarnation,
     pub zone: ZoneName,
     /// What it can read; the version before says nothing of it.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub dialect: u64,
+    #[serde(rename = "dialect", default, skip_serializing_if = "is_zero")]
+    pub protocol_version: u64,
 }
 
 fn is_zero(number: &u64) -> bool {
     *number == 0
 }
 
-/// The leader; the key goes with its grant. Its revision fences all it writes.
+/// The leader; the key goes with its lease. Its revision fences all it writes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    pub node: NodeName,
+    #[serde(rename = "node")]
+    pub controller: ControllerName,
     pub incarnation: Incarnation,
 }
 
@@ -204,14 +209,16 @@
 /// them say so; it is never taken back. Until it stands nothing is written or accepted
 /// that the version before could not serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FormatRecord {
-    pub dialect: u64,
+pub struct CommonVersionRecord {
+    #[serde(rename = "dialect")]
+    pub protocol_version: u64,
 }
 
 /// The end of a job, with what a user may still ask about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeRecord {
-    pub fate: JobOutcome,
+    #[serde(rename = "fate")]
+    pub outcome: JobOutcome,
     /// Tasks done, for display.
     pub done: u32,
 }
--- a/src/storage/records/tests.rs
+++ b/src/storage/records/tests.rs
@@ -7,7 +7,7 @@
     let mut run = RunRecord::default();
     let machine = MachineId::new("vm-1");
     assert_eq!(run.next_attempt(3), Attempt(1));
-    run.place(3, machine.clone(), Session(1), Attempt(1));
+    run.place(3, machine.clone(), AgentEpoch(1), Attempt(1));
     assert_eq!(run.next_attempt(3), Attempt(2));
     run.unplace(3);
     assert_eq!(run.next_attempt(3), Attempt(2));
@@ -31,7 +31,7 @@
         run.place(
             task,
             MachineId::new("vm-000231999"),
-            Session(99),
+            AgentEpoch(99),
             Attempt(99),
         );
     }
--- a/src/storage/state_cache.rs
+++ b/src/storage/state_cache.rs
@@ -15,14 +15,15 @@
 
 use crate::storage::{
     ids::{
-        Attempt, BlockId, Incarnation, JobId, MachineId, NodeName, RentName, Revision, TaskId,
-        TeamName, TypeName,
+        Attempt, ControllerName, Incarnation, JobId, MachineId, ProvisionId, Revision, ShardId,
+        TaskId, TeamName, TypeName,
     },
     keys::{self, Key},
     model::*,
     records::{
-        BlockRecord, CatalogRecord, FormatRecord, LeaderRecord, MachineRecord, NodeRecord,
-        OutcomeRecord, Placement, RentRecord, RentalRecord, RunRecord, SeatRecord,
+        AllocationRecord, CatalogRecord, CommonVersionRecord, ControllerRecord, LeaderRecord,
+        MachineGroupRecord, MachineRecord, OutcomeRecord, Placement, ProvisionRecord, RunRecord,
+        ShardRecord,
     },
 };
 
@@ -43,23 +44,23 @@
     pub spec: Option<Versioned<Arc<JobSpec>>>,
     pub chunks: BTreeMap<u32, Versioned<RunRecord>>,
     /// Its user has cancelled it: tasks are to go, none may start.
-    pub draining: Option<Revision>,
+    pub cleanup_since: Option<Revision>,
     pub placed: u32,
     pub done: u32,
-    /// Placed tasks whose machines are gone: they went out of their rental only
+    /// Placed tasks whose machines are gone: they went out of their machine group only
     /// after their return was answered, or are known to be no more.
     pub lost: BTreeSet<u32>,
 }
 
 impl Job {
     pub fn spec(&self) -> Option<&Arc<JobSpec>> {
-        self.spec.as_ref().map(|kept| &kept.value)
+        self.spec.as_ref().map(|entry| &entry.value)
     }
 
     pub fn run_revision(&self, chunk: u32) -> Revision {
         self.chunks
             .get(&chunk)
-            .map_or(Revision(0), |kept| kept.revision)
+            .map_or(Revision(0), |entry| entry.revision)
     }
 
     /// Placed tasks that are, or may be, on a machine.
@@ -88,11 +89,11 @@
     pub fn is_task_done(&self, task: u32) -> bool {
         self.chunks
             .get(&(task / keys::CHUNK))
-            .is_some_and(|kept| kept.value.is_done(task))
+            .is_some_and(|entry| entry.value.is_done(task))
     }
 
     pub fn waiting(&self) -> u32 {
-        match (&self.spec, self.draining) {
+        match (&self.spec, self.cleanup_since) {
             (Some(spec), None) => spec.value.tasks.saturating_sub(self.present() + self.done),
             _ => 0,
         }
@@ -109,7 +110,7 @@
         let empty = RunRecord::default();
         let mut found = Vec::new();
         for chunk in 0..spec.tasks.div_ceil(keys::CHUNK) {
-            let record = self.chunks.get(&chunk).map_or(&empty, |kept| &kept.value);
+            let record = self.chunks.get(&chunk).map_or(&empty, |entry| &entry.value);
             let from = chunk * keys::CHUNK;
             for task in from..(from + keys::CHUNK).min(spec.tasks) {
                 if found.len() >= most {
@@ -126,7 +127,7 @@
 
     /// The tasks of a gang that are, or may be, on a machine.
     pub fn present_placements(&self) -> impl Iterator<Item = (u32, &Placement)> {
-        let records = self.chunks.values().map(|kept| &kept.value);
+        let records = self.chunks.values().map(|entry| &entry.value);
         records
             .flat_map(|record| &record.placed)
             .map(|(task, placement)| (*task, placement))
@@ -141,7 +142,7 @@
         let Some(attempt) = self.present_placements().map(|(_, p)| p.attempt).min() else {
             return true;
         };
-        let records = || self.chunks.values().map(|kept| &kept.value);
+        let records = || self.chunks.values().map(|entry| &entry.value);
         let ended = records().flat_map(|record| record.before.values()).max();
         self.done == 0 && self.lost.is_empty() && ended.is_none_or(|last| *last < attempt)
     }
@@ -152,7 +153,7 @@
         if let Some((_, placement)) = self.present_placements().next() {
             return placement.attempt;
         }
-        let records = || self.chunks.values().map(|kept| &kept.value);
+        let records = || self.chunks.values().map(|entry| &entry.value);
         let ended = records().flat_map(|record| record.before.values()).max();
         let lost = records().flat_map(|record| record.placed.values());
         let lost = lost.map(|placement| &placement.attempt).max();
@@ -169,27 +170,27 @@
     fn recount(&mut self) {
         self.placed = 0;
         self.done = 0;
-        for kept in self.chunks.values() {
-            self.placed += kept.value.placed.len() as u32;
-            self.done += kept.value.done_count();
+        for entry in self.chunks.values() {
+            self.placed += entry.value.placed.len() as u32;
+            self.done += entry.value.done_count();
         }
     }
 }
 
 /// Who holds a machine.
 #[derive(Clone, Debug)]
-struct Lease {
-    block: BlockId,
-    node: NodeName,
-    holder: Incarnation,
-    /// The change with which it came to this holder.
+struct ShardLease {
+    shard: ShardId,
+    controller: ControllerName,
+    owner: Incarnation,
+    /// The change with which it came to this owner.
     since: Revision,
 }
 
 /// What is placed on one machine.
 #[derive(Clone, Debug, Default)]
-pub struct Load {
-    pub tasks: BTreeMap<TaskId, Placed>,
+pub struct MachineLoad {
+    pub tasks: BTreeMap<TaskId, PlacedTask>,
     /// What the tasks take of it.
     pub taken: Resources,
     /// What they use of each team's limit.
@@ -199,13 +200,13 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Placed {
+pub struct PlacedTask {
     pub placement: Placement,
     /// None: the job's other keys are gone, or have not been read yet.
     pub spec: Option<Arc<JobSpec>>,
 }
 
-impl Load {
+impl MachineLoad {
     /// Sums anew. A machine has few tasks, and sums that are only added to
     /// would drift.
     fn recount(&mut self) {
@@ -225,39 +226,39 @@
     }
 }
 
-/// Fates kept in memory; older ones are looked up again when asked for.
-const FATES_KEPT: usize = 20_000;
+/// Outcomes kept in memory; older ones are looked up again when asked for.
+const MAX_OUTCOMES: usize = 20_000;
 /// Own deletions remembered until the watch has passed them.
-const DROPS_KEPT: usize = 4_096;
+const MAX_DELETIONS: usize = 4_096;
 
 #[derive(Debug, Default)]
 pub struct StateCache {
     /// The watch has delivered every change up to here.
     pub revision: Revision,
     pub jobs: HashMap<JobId, Job>,
-    pub seats: BTreeMap<NodeName, Versioned<SeatRecord>>,
-    pub blocks: BTreeMap<BlockId, Versioned<BlockRecord>>,
-    pub rentals: BTreeMap<RentName, Versioned<RentalRecord>>,
-    /// The machines of all rentals.
+    pub allocations: BTreeMap<ControllerName, Versioned<AllocationRecord>>,
+    pub shards: BTreeMap<ShardId, Versioned<ShardRecord>>,
+    pub machine_groups: BTreeMap<ProvisionId, Versioned<MachineGroupRecord>>,
+    /// The machines of all machine groups.
     pub machines: BTreeMap<MachineId, MachineRecord>,
-    pub rents: BTreeMap<RentName, Versioned<RentRecord>>,
-    pub nodes: BTreeMap<NodeName, Versioned<NodeRecord>>,
+    pub provision_requests: BTreeMap<ProvisionId, Versioned<ProvisionRecord>>,
+    pub controllers: BTreeMap<ControllerName, Versioned<ControllerRecord>>,
     pub leader: Option<Versioned<LeaderRecord>>,
     pub catalog: Option<Versioned<CatalogRecord>>,
     /// What all controllers can read; none: nobody has said yet.
-    pub format: Option<Versioned<FormatRecord>>,
+    pub common_version: Option<Versioned<CommonVersionRecord>>,
     /// Placements by machine, with running sums.
-    pub on_machine: HashMap<MachineId, Load>,
+    pub on_machine: HashMap<MachineId, MachineLoad>,
     /// Jobs with tasks that are neither placed nor done.
     pub waiting: BTreeSet<JobId>,
     /// Jobs that are cancelled, or done with keys still to be removed.
-    pub ending: BTreeSet<JobId>,
-    leases: HashMap<MachineId, Lease>,
+    pub pending_cleanup: BTreeSet<JobId>,
+    leases: HashMap<MachineId, ShardLease>,
     /// Jobs that are cancelled by the word of a peer which has seen this revision;
     /// the watch has not brought it yet.
-    told_cancelled: BTreeMap<JobId, Revision>,
-    fates: HashMap<JobId, OutcomeRecord>,
-    fate_order: VecDeque<JobId>,
+    peer_cancelled: BTreeMap<JobId, Revision>,
+    outcomes: HashMap<JobId, OutcomeRecord>,
+    outcome_order: VecDeque<JobId>,
     dropped: HashMap<String, Revision>,
 }
 
@@ -265,66 +266,69 @@
     match serde_json::from_value(value) {
         Ok(record) => Some(record),
         Err(error) => {
-            tracing::error!(key, %error, "a record cannot be read and is passed over");
+            tracing::error!(key, %error, "unreadable record skipped");
             None
         }
     }
 }
 
 fn newer<T>(slot: Option<&Versioned<T>>, revision: Revision) -> bool {
-    slot.is_none_or(|kept| kept.revision < revision)
+    slot.is_none_or(|entry| entry.revision < revision)
 }
 
 impl StateCache {
-    pub fn fate(&self, job: &JobId) -> Option<OutcomeRecord> {
-        self.fates.get(job).copied()
+    pub fn outcome(&self, job: &JobId) -> Option<OutcomeRecord> {
+        self.outcomes.get(job).copied()
     }
 
-    /// Fates never change: those known to the cache that this one replaces hold.
-    pub fn take_fates(&mut self, older: &mut StateCache) {
-        self.fates = std::mem::take(&mut older.fates);
-        self.fate_order = std::mem::take(&mut older.fate_order);
+    /// Outcomes never change: those known to the cache that this one replaces hold.
+    pub fn take_outcomes(&mut self, older: &mut StateCache) {
+        self.outcomes = std::mem::take(&mut older.outcomes);
+        self.outcome_order = std::mem::take(&mut older.outcome_order);
     }
 
-    pub fn keep_fate(&mut self, job: JobId, fate: OutcomeRecord) {
-        if self.fates.insert(job.clone(), fate).is_none() {
-            self.fate_order.push_back(job);
-            if self.fate_order.len() > FATES_KEPT
-                && let Some(oldest) = self.fate_order.pop_front()
+    pub fn remember_outcome(&mut self, job: JobId, outcome: OutcomeRecord) {
+        if self.outcomes.insert(job.clone(), outcome).is_none() {
+            self.outcome_order.push_back(job);
+            if self.outcome_order.len() > MAX_OUTCOMES
+                && let Some(oldest) = self.outcome_order.pop_front()
             {
-                self.fates.remove(&oldest);
+                self.outcomes.remove(&oldest);
             }
         }
     }
 
-    /// The block that a machine is in.
-    pub fn block_of(&self, machine: &MachineId) -> Option<(BlockId, &Versioned<BlockRecord>)> {
-        let id = self.leases.get(machine)?.block;
-        Some((id, self.blocks.get(&id)?))
+    /// The shard that a machine is in.
+    pub fn shard_of(&self, machine: &MachineId) -> Option<(ShardId, &Versioned<ShardRecord>)> {
+        let id = self.leases.get(machine)?.shard;
+        Some((id, self.shards.get(&id)?))
     }
 
-    /// The change with which a machine came to its present holder: whatever
-    /// earlier holders told it carries a lower token.
-    pub fn held_since(&self, machine: &MachineId) -> Revision {
+    /// The change with which a machine came to its present owner: whatever
+    /// earlier owners told it carries a lower token.
+    pub fn owned_since(&self, machine: &MachineId) -> Revision {
         self.leases
             .get(machine)
             .map_or(Revision(0), |lease| lease.since)
     }
 
-    /// Whether the process that the block's record names may still act: its
-    /// node's seat has not passed to another one, or to nobody.
-    pub fn is_seated(&self, block: &BlockRecord) -> bool {
-        self.seats
-            .get(&block.node)
-            .is_some_and(|seat| seat.value.holder == Some(block.holder))
+    /// Whether the process that the shard's record names may still act: its
+    /// controller's allocation has not passed to another one, or to nobody.
+    pub fn has_current_owner(&self, shard: &ShardRecord) -> bool {
+        self.allocations
+            .get(&shard.controller)
+            .is_some_and(|allocation| allocation.value.owner == Some(shard.owner))
     }
 
-    /// All machines of a node's blocks.
-    pub fn machines_of<'a>(&'a self, node: &'a NodeName) -> impl Iterator<Item = &'a MachineId> {
-        self.blocks
+    /// All machines of a controller's shards.
+    pub fn machines_of<'a>(
+        &'a self,
+        controller: &'a ControllerName,
+    ) -> impl Iterator<Item = &'a MachineId> {
+        self.shards
             .values()
-            .filter(move |kept| kept.value.node == *node)
-            .flat_map(|kept| kept.value.machines.keys())
+            .filter(move |entry| entry.value.controller == *controller)
+            .flat_map(|entry| entry.value.machines.keys())
     }
 
     pub fn machine_type(&self, name: &TypeName) -> Option<&MachineType> {
@@ -363,11 +367,16 @@
         used
     }
 
-    /// What each node's machines use of each team's limit.
-    pub fn quota_by_node(&self) -> BTreeMap<NodeName, BTreeMap<TeamName, Quota>> {
-        self.seats
+    /// What each controller's machines use of each team's limit.
+    pub fn quota_by_controller(&self) -> BTreeMap<ControllerName, BTreeMap<TeamName, Quota>> {
+        self.allocations
             .keys()
-            .map(|node| (node.clone(), self.quota_used(self.machines_of(node))))
+            .map(|controller| {
+                (
+                    controller.clone(),
+                    self.quota_used(self.machines_of(controller)),
+                )
+            })
             .collect()
     }
 
@@ -387,13 +396,13 @@
                 self.index(&id);
             }
             Some(Key::JobOutcome(id)) => {
-                if let Some(fate) = read(key, value) {
-                    self.keep_fate(id, fate);
+                if let Some(outcome) = read(key, value) {
+                    self.remember_outcome(id, outcome);
                 }
             }
-            Some(Key::Drain(id)) => {
+            Some(Key::Cleanup(id)) => {
                 let job = self.jobs.entry(id.clone()).or_default();
-                job.draining = job.draining.max(Some(revision));
+                job.cleanup_since = job.cleanup_since.max(Some(revision));
                 self.index(&id);
             }
             Some(Key::Run(id, chunk)) => {
@@ -411,39 +420,45 @@
                     );
                 }
             }
-            Some(Key::Seat(node)) => keep(&mut self.seats, node, key, value, revision),
-            Some(Key::Block(id)) => {
-                if newer(self.blocks.get(&id), revision)
+            Some(Key::Allocation(controller)) => {
+                keep(&mut self.allocations, controller, key, value, revision)
+            }
+            Some(Key::Shard(id)) => {
+                if newer(self.shards.get(&id), revision)
                     && let Some(record) = read(key, value)
                 {
                     let value = record;
-                    self.replace_block(id, Some(Versioned { revision, value }));
+                    self.replace_shard(id, Some(Versioned { revision, value }));
                 }
             }
-            Some(Key::Machines(name)) => {
-                if newer(self.rentals.get(&name), revision)
+            Some(Key::MachineGroup(name)) => {
+                if newer(self.machine_groups.get(&name), revision)
                     && let Some(record) = read(key, value)
                 {
                     let value = record;
-                    self.replace_rental(name, Some(Versioned { revision, value }));
+                    self.replace_machine_group(name, Some(Versioned { revision, value }));
                 }
             }
-            Some(Key::Rent(name)) => keep(&mut self.rents, name, key, value, revision),
-            Some(Key::Node(node)) => keep(&mut self.nodes, node, key, value, revision),
+            Some(Key::ProvisionRequest(name)) => {
+                keep(&mut self.provision_requests, name, key, value, revision)
+            }
+            Some(Key::Controller(controller)) => {
+                keep(&mut self.controllers, controller, key, value, revision)
+            }
             Some(Key::Leader) if newer(self.leader.as_ref(), revision) => {
                 self.leader = read(key, value).map(|value| Versioned { revision, value });
             }
             Some(Key::Catalog) if newer(self.catalog.as_ref(), revision) => {
                 self.catalog = read(key, value).map(|value| Versioned { revision, value });
             }
-            Some(Key::Format) if newer(self.format.as_ref(), revision) => {
-                self.format = read(key, value).map(|value| Versioned { revision, value });
+            Some(Key::CommonVersion) if newer(self.common_version.as_ref(), revision) => {
+                self.common_version = read(key, value).map(|value| Versioned { revision, value });
             }
             _ => {}
         }
     }
 
-    pub fn drop_key(&mut self, key: &str, revision: Revision) {
+    pub fn delete(&mut self, key: &str, revision: Revision) {
         match Key::parse(key) {
             Some(Key::Spec(id)) => {
                 if let Some(job) = self.jobs.get_mut(&id)
@@ -456,11 +471,11 @@
                 }
                 self.forget_if_empty(&id);
             }
-            Some(Key::Drain(id)) => {
+            Some(Key::Cleanup(id)) => {
                 if let Some(job) = self.jobs.get_mut(&id)
-                    && job.draining.is_some_and(|at| at < revision)
+                    && job.cleanup_since.is_some_and(|at| at < revision)
                 {
-                    job.draining = None;
+                    job.cleanup_since = None;
                 }
                 self.forget_if_empty(&id);
             }
@@ -470,15 +485,21 @@
                     self.replace_run(id, chunk, None);
                 }
             }
-            Some(Key::Seat(node)) => drop_older(&mut self.seats, &node, revision),
-            Some(Key::Block(id)) if newer(self.blocks.get(&id), revision) => {
-                self.replace_block(id, None);
+            Some(Key::Allocation(controller)) => {
+                drop_older(&mut self.allocations, &controller, revision)
+            }
+            Some(Key::Shard(id)) if newer(self.shards.get(&id), revision) => {
+                self.replace_shard(id, None);
+            }
+            Some(Key::MachineGroup(name)) if newer(self.machine_groups.get(&name), revision) => {
+                self.replace_machine_group(name, None);
+            }
+            Some(Key::ProvisionRequest(name)) => {
+                drop_older(&mut self.provision_requests, &name, revision)
             }
-            Some(Key::Machines(name)) if newer(self.rentals.get(&name), revision) => {
-                self.replace_rental(name, None);
+            Some(Key::Controller(controller)) => {
+                drop_older(&mut self.controllers, &controller, revision)
             }
-            Some(Key::Rent(name)) => drop_older(&mut self.rents, &name, revision),
-            Some(Key::Node(node)) => drop_older(&mut self.nodes, &node, revision),
             Some(Key::Leader) if newer(self.leader.as_ref(), revision) => self.leader = None,
             Some(Key::Catalog) if newer(self.catalog.as_ref(), revision) => self.catalog = None,
             _ => {}
@@ -487,9 +508,9 @@
 
     /// A deletion of our own, ahead of the watch: the watch may still deliver
     /// older values of the key, which must not bring it back.
-    pub fn drop_ahead(&mut self, key: &str, revision: Revision) {
-        self.drop_key(key, revision);
-        if revision > self.revision && self.dropped.len() < DROPS_KEPT {
+    pub fn delete_ahead(&mut self, key: &str, revision: Revision) {
+        self.delete(key, revision);
+        if revision > self.revision && self.dropped.len() < MAX_DELETIONS {
             self.dropped.insert(key.to_owned(), revision);
         }
     }
@@ -497,13 +518,16 @@
     /// Whether the job's tasks must go and none may start: its user has cancelled
     /// it, or it is over and its keys are being removed.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
-        self.told_cancelled.contains_key(id)
-            || self.jobs.get(id).is_some_and(|job| job.draining.is_some())
+        self.peer_cancelled.contains_key(id)
+            || self
+                .jobs
+                .get(id)
+                .is_some_and(|job| job.cleanup_since.is_some())
     }
 
     /// Jobs to be stopped on the word of a peer.
-    pub fn told_cancelled(&self) -> impl Iterator<Item = &JobId> {
-        self.told_cancelled.keys()
+    pub fn peer_cancelled(&self) -> impl Iterator<Item = &JobId> {
+        self.peer_cancelled.keys()
     }
 
     /// A peer that has seen this revision says that these jobs are cancelled. Those
@@ -511,9 +535,13 @@
     pub fn note_cancelled(&mut self, jobs: Vec<JobId>, seen: Revision) -> usize {
         let mut new = 0;
         for id in jobs {
-            if seen > self.revision && self.jobs.get(&id).is_some_and(|job| job.draining.is_none())
+            if seen > self.revision
+                && self
+                    .jobs
+                    .get(&id)
+                    .is_some_and(|job| job.cleanup_since.is_none())
             {
-                new += usize::from(self.told_cancelled.insert(id, seen).is_none());
+                new += usize::from(self.peer_cancelled.insert(id, seen).is_none());
             }
         }
         new
@@ -522,19 +550,19 @@
     /// Jobs cancelled by changes after this revision, as long as anything of them is
     /// left: of the others no task can be anywhere.
     pub fn cancelled_since(&self, revision: Revision) -> Vec<JobId> {
-        let draining = self.ending.iter().filter(|id| {
+        let cleanup_since = self.pending_cleanup.iter().filter(|id| {
             let job = self.jobs.get(*id);
-            job.is_some_and(|job| job.draining.is_some_and(|changed| changed > revision))
+            job.is_some_and(|job| job.cleanup_since.is_some_and(|changed| changed > revision))
         });
-        draining
-            .chain(self.told_cancelled.keys())
+        cleanup_since
+            .chain(self.peer_cancelled.keys())
             .cloned()
             .collect()
     }
 
     pub fn advance(&mut self, revision: Revision) {
         if revision > self.revision {
-            self.told_cancelled.retain(|_, seen| *seen > revision);
+            self.peer_cancelled.retain(|_, seen| *seen > revision);
             self.revision = revision;
             self.dropped.retain(|_, at| *at > revision);
         }
@@ -544,7 +572,7 @@
         if let Some(job) = self.jobs.get(id)
             && job.spec.is_none()
             && job.chunks.is_empty()
-            && job.draining.is_none()
+            && job.cleanup_since.is_none()
         {
             self.jobs.remove(id);
         }
@@ -555,45 +583,51 @@
     fn index(&mut self, id: &JobId) {
         let job = self.jobs.get(id);
         set_member(&mut self.waiting, id, job.is_some_and(|j| j.waiting() > 0));
-        let ending = job.is_some_and(|j| j.draining.is_some() || j.all_done());
-        set_member(&mut self.ending, id, ending);
+        let pending_cleanup = job.is_some_and(|j| j.cleanup_since.is_some() || j.all_done());
+        set_member(&mut self.pending_cleanup, id, pending_cleanup);
     }
 
-    fn replace_block(&mut self, id: BlockId, record: Option<Versioned<BlockRecord>>) {
-        let old = self.blocks.remove(&id);
+    fn replace_shard(&mut self, id: ShardId, record: Option<Versioned<ShardRecord>>) {
+        let old = self.shards.remove(&id);
         if let Some(record) = record {
-            let BlockRecord { node, holder, .. } = &record.value;
+            let ShardRecord {
+                controller, owner, ..
+            } = &record.value;
             for machine in record.value.machines.keys() {
                 let same = self
                     .leases
                     .get(machine)
-                    .filter(|lease| lease.node == *node && lease.holder == *holder);
+                    .filter(|lease| lease.controller == *controller && lease.owner == *owner);
                 let since = same.map_or(record.revision, |lease| lease.since);
-                let lease = Lease {
-                    block: id,
-                    node: node.clone(),
-                    holder: *holder,
+                let lease = ShardLease {
+                    shard: id,
+                    controller: controller.clone(),
+                    owner: *owner,
                     since,
                 };
                 self.leases.insert(machine.clone(), lease);
             }
-            self.blocks.insert(id, record);
+            self.shards.insert(id, record);
         }
-        for machine in old.iter().flat_map(|kept| kept.value.machines.keys()) {
+        for machine in old.iter().flat_map(|entry| entry.value.machines.keys()) {
             let stays = self
-                .blocks
+                .shards
                 .get(&id)
-                .is_some_and(|kept| kept.value.machines.contains_key(machine));
-            if !stays && self.leases.get(machine).is_some_and(|l| l.block == id) {
+                .is_some_and(|entry| entry.value.machines.contains_key(machine));
+            if !stays && self.leases.get(machine).is_some_and(|l| l.shard == id) {
                 self.leases.remove(machine);
             }
         }
     }
 
-    fn replace_rental(&mut self, name: RentName, record: Option<Versioned<RentalRecord>>) {
-        let old = self.rentals.remove(&name);
-        let before = old.as_ref().map(|kept| &kept.value.machines);
-        let after = record.as_ref().map(|kept| &kept.value.machines);
+    fn replace_machine_group(
+        &mut self,
+        name: ProvisionId,
+        record: Option<Versioned<MachineGroupRecord>>,
+    ) {
+        let old = self.machine_groups.remove(&name);
+        let before = old.as_ref().map(|entry| &entry.value.machines);
+        let after = record.as_ref().map(|entry| &entry.value.machines);
         let in_one = |machine: &MachineId, other: Option<&BTreeMap<MachineId, _>>| {
             other.is_none_or(|machines| !machines.contains_key(machine))
         };
@@ -604,30 +638,30 @@
         for machine in &gone {
             self.machines.remove(machine);
         }
-        if let Some(kept) = record {
-            let rental = &kept.value;
-            for (machine, address) in &rental.machines {
+        if let Some(entry) = record {
+            let machine_group = &entry.value;
+            for (machine, address) in &machine_group.machines {
                 let record = MachineRecord {
-                    kind: rental.kind.clone(),
-                    zone: rental.zone.clone(),
-                    spot: rental.spot,
-                    rented_ms: rental.rented_ms,
+                    kind: machine_group.kind.clone(),
+                    zone: machine_group.zone.clone(),
+                    spot: machine_group.spot,
+                    provisioned_ms: machine_group.provisioned_ms,
                     address: address.clone(),
-                    rental: name.clone(),
+                    machine_group: name.clone(),
                 };
                 self.machines.insert(machine.clone(), record);
             }
-            self.rentals.insert(name, kept);
+            self.machine_groups.insert(name, entry);
         }
         for (machines, lost) in [(&gone, true), (&new, false)] {
             for machine in machines {
-                self.note_lost(machine, lost);
+                self.note_machine_lost(machine, lost);
             }
         }
     }
 
     /// The tasks of a machine that has gone, or has become known, wait or do not.
-    fn note_lost(&mut self, machine: &MachineId, lost: bool) {
+    fn note_machine_lost(&mut self, machine: &MachineId, lost: bool) {
         let tasks = self.on_machine.get(machine).into_iter();
         let tasks: Vec<TaskId> = tasks.flat_map(|l| l.tasks.keys().cloned()).collect();
         for task in tasks {
@@ -649,7 +683,7 @@
         let placed: Vec<(u32, MachineId)> = job
             .chunks
             .values()
-            .flat_map(|kept| &kept.value.placed)
+            .flat_map(|entry| &entry.value.placed)
             .map(|(task, placement)| (*task, placement.machine.clone()))
             .collect();
         for (task, machine) in placed {
@@ -666,8 +700,8 @@
         let job = self.jobs.entry(id.clone()).or_default();
         let old = job.chunks.remove(&chunk);
         let none = BTreeMap::new();
-        let before = old.as_ref().map_or(&none, |kept| &kept.value.placed);
-        let after = record.as_ref().map_or(&none, |kept| &kept.value.placed);
+        let before = old.as_ref().map_or(&none, |entry| &entry.value.placed);
+        let after = record.as_ref().map_or(&none, |entry| &entry.value.placed);
         let spec = job.spec().cloned();
         // Most entries of a record stay as they are; only the others are moved.
         let mut touched: Vec<&MachineId> = Vec::new();
@@ -681,7 +715,7 @@
         }
         for (task, placement) in after {
             if before.get(task) != Some(placement) {
-                let placed = Placed {
+                let placed = PlacedTask {
                     placement: placement.clone(),
                     spec: spec.clone(),
                 };
@@ -743,7 +777,7 @@
 }
 
 fn drop_older<K: Ord, T>(map: &mut BTreeMap<K, Versioned<T>>, name: &K, revision: Revision) {
-    if map.get(name).is_some_and(|kept| kept.revision < revision) {
+    if map.get(name).is_some_and(|entry| entry.revision < revision) {
         map.remove(name);
     }
 }
--- a/src/storage/state_cache/tests.rs
+++ b/src/storage/state_cache/tests.rs
@@ -3,7 +3,7 @@
 use serde_json::json;
 
 use super::*;
-use crate::storage::{ClassName, ImageName, Session};
+use crate::storage::{AgentEpoch, ClassName, ImageName};
 
 fn run(machine: &str) -> Value {
     json!({"p": {"0": {"a": 1, "m": machine, "s": 1}}})
@@ -22,7 +22,7 @@
 fn own_deletions_are_not_undone_by_a_late_watch() {
     let mut cache = StateCache::default();
     cache.set("run/job-1/0", run("vm-1"), Revision(5));
-    cache.drop_ahead("run/job-1/0", Revision(8));
+    cache.delete_ahead("run/job-1/0", Revision(8));
     cache.set("run/job-1/0", run("vm-1"), Revision(7));
     assert!(cache.jobs.is_empty() && cache.on_machine.is_empty());
     cache.advance(Revision(8));
@@ -30,29 +30,29 @@
 }
 
 /// Guards against taking a machine that went away and came back for one that
-/// was held all the time: what the holder in between told it may be under way.
+/// was held all the time: what the owner in between told it may be under way.
 #[test]
-fn a_machine_that_came_back_is_held_anew() {
+fn a_machine_that_came_back_is_owned_anew() {
     let mut cache = StateCache::default();
-    let block = |node: &str, holder: u64, machines: &[&str]| {
+    let shard = |controller: &str, owner: u64, machines: &[&str]| {
         let machines: serde_json::Map<String, Value> = machines
             .iter()
             .map(|id| ((*id).to_owned(), json!("o")))
             .collect();
-        json!({"node": node, "holder": holder, "machines": machines})
+        json!({"node": controller, "holder": owner, "machines": machines})
     };
     let vm = MachineId::new("vm-1");
-    cache.set("block/1", block("a", 7, &["vm-1"]), Revision(3));
-    cache.set("block/1", block("a", 7, &["vm-1", "vm-2"]), Revision(4));
-    assert_eq!(cache.held_since(&vm), Revision(3));
-    cache.set("block/1", block("a", 7, &["vm-2"]), Revision(5));
-    cache.set("block/2", block("b", 8, &["vm-1"]), Revision(5));
-    assert_eq!(cache.held_since(&vm), Revision(5));
-    cache.set("block/2", block("b", 8, &[]), Revision(6));
-    cache.set("block/1", block("a", 7, &["vm-1", "vm-2"]), Revision(6));
-    assert_eq!(cache.held_since(&vm), Revision(6));
-    cache.set("block/1", block("a", 9, &["vm-1", "vm-2"]), Revision(7));
-    assert_eq!(cache.held_since(&vm), Revision(7));
+    cache.set("block/1", shard("a", 7, &["vm-1"]), Revision(3));
+    cache.set("block/1", shard("a", 7, &["vm-1", "vm-2"]), Revision(4));
+    assert_eq!(cache.owned_since(&vm), Revision(3));
+    cache.set("block/1", shard("a", 7, &["vm-2"]), Revision(5));
+    cache.set("block/2", shard("b", 8, &["vm-1"]), Revision(5));
+    assert_eq!(cache.owned_since(&vm), Revision(5));
+    cache.set("block/2", shard("b", 8, &[]), Revision(6));
+    cache.set("block/1", shard("a", 7, &["vm-1", "vm-2"]), Revision(6));
+    assert_eq!(cache.owned_since(&vm), Revision(6));
+    cache.set("block/1", shard("a", 9, &["vm-1", "vm-2"]), Revision(7));
+    assert_eq!(cache.owned_since(&vm), Revision(7));
 }
 
 /// The running sums against a plain recount, over random changes of records.
@@ -61,7 +61,7 @@
     use rand::{Rng, SeedableRng};
     let mut dice = rand::rngs::StdRng::seed_from_u64(7);
     let mut cache = StateCache::default();
-    let rental = |machines: u32| {
+    let machine_group = |machines: u32| {
         let names = (0..machines).map(|n| (format!("vm-{n}"), Value::Null));
         json!({"t": "x", "z": "z", "s": false, "at": 0,
             "m": names.collect::<serde_json::Map<_, _>>()})
@@ -82,11 +82,11 @@
                 cache.set(&format!("spec/job-{job}"), value, Revision(revision));
             }
             2 if dice.random_bool(0.1) => {
-                let value = rental(dice.random_range(0..5));
+                let value = machine_group(dice.random_range(0..5));
                 cache.set("machine/r-1", value, Revision(revision));
             }
             1 if dice.random_bool(0.2) => {
-                cache.drop_key(&format!("run/job-{job}/0"), Revision(revision));
+                cache.delete(&format!("run/job-{job}/0"), Revision(revision));
             }
             _ => {
                 let mut placed = serde_json::Map::new();
@@ -128,7 +128,7 @@
 #[test]
 fn tasks_of_a_machine_that_is_gone_wait_at_once() {
     let mut cache = StateCache::default();
-    let rental = |machines: &[&str]| {
+    let machine_group = |machines: &[&str]| {
         let machines: serde_json::Map<String, Value> = machines
             .iter()
             .map(|id| ((*id).to_owned(), Value::Null))
@@ -136,17 +136,17 @@
         json!({"t": "x", "z": "z", "s": false, "at": 0, "m": machines})
     };
     let id = JobId::new("job-1");
-    // Runs are read before rentals at a start.
+    // Runs are read before machine groups at a start.
     cache.set(
         "run/job-1/0",
         json!({"p": {"0": {"a": 1, "m": "vm-1", "s": 1}, "1": {"a": 4, "m": "vm-2", "s": 1}}}),
         Revision(5),
     );
     assert_eq!(cache.jobs[&id].present(), 0);
-    cache.set("machine/r-1", rental(&["vm-1", "vm-2"]), Revision(2));
+    cache.set("machine/r-1", machine_group(&["vm-1", "vm-2"]), Revision(2));
     assert_eq!(cache.jobs[&id].present(), 2);
     assert!(cache.jobs[&id].placement(1).is_some());
-    cache.set("machine/r-1", rental(&["vm-1"]), Revision(7));
+    cache.set("machine/r-1", machine_group(&["vm-1"]), Revision(7));
     assert_eq!(cache.jobs[&id].present(), 1);
     assert!(cache.jobs[&id].placement(1).is_none());
     assert!(cache.jobs[&id].placement(0).is_some());
@@ -154,11 +154,11 @@
     let mut record = cache.jobs[&id].chunks[&0].value.clone();
     let attempt = record.next_attempt(1);
     assert_eq!(attempt, Attempt(5));
-    record.place(1, MachineId::new("vm-1"), Session(1), attempt);
+    record.place(1, MachineId::new("vm-1"), AgentEpoch(1), attempt);
     let value = serde_json::to_value(&record).expect("plain data");
     cache.set("run/job-1/0", value, Revision(8));
     assert_eq!(cache.jobs[&id].present(), 2);
-    cache.drop_key("machine/r-1", Revision(9));
+    cache.delete("machine/r-1", Revision(9));
     assert_eq!(cache.jobs[&id].present(), 0);
 }
 
@@ -170,8 +170,8 @@
         json!({"p": {"1": {"a": 1, "m": "vm-1", "s": 1}}, "d": [[3, 4]]}),
         Revision(5),
     );
-    let rental = json!({"t": "x", "z": "z", "s": false, "at": 0, "m": {"vm-1": null}});
-    cache.set("machine/r-1", rental, Revision(4));
+    let machine_group = json!({"t": "x", "z": "z", "s": false, "at": 0, "m": {"vm-1": null}});
+    cache.set("machine/r-1", machine_group, Revision(4));
     let job = cache.jobs.get_mut(&JobId::new("job-1")).expect("a job");
     job.spec = Some(Versioned {
         revision: Revision(1),
@@ -194,7 +194,7 @@
             save: Default::default(),
             deadline: None,
             accepted_ms: 0,
-            home: None,
+            assigned_zone: None,
         }),
     });
     assert_eq!(job.waiting(), 3);
--- a/src/transport/clients.rs
+++ b/src/transport/clients.rs
@@ -8,14 +8,14 @@
 
 use crate::{
     coordination::ports::{
-        CloudError, CloudPort, Command, ListedMachine, NoAnswer, OrdersAnswer, PeerAnswer,
-        PeerCall, PeerPort, Report, Wanted, WorkerPort,
+        AgentClient, CloudClient, CloudError, Command, CommandResponse, Heartbeat, ListedMachine,
+        NoAnswer, PeerClient, PeerRequest, PeerResponse, ProvisionRequest,
     },
-    protocol::{cloud, peers, state, workers},
+    protocol::{agents, cloud, peer_frames, state},
     storage::{
-        CommitError, MachineId, MachineType, NodeName, RentName, Revision, Session, StateError,
-        StatePort, Token, Transaction,
-        client::{Event, GrantId, Item, Page},
+        AgentEpoch, CommitError, ControllerName, KeyValueStore, MachineId, MachineType,
+        ProvisionId, Revision, StateError, Token, Transaction,
+        client::{KeyValue, LeaseId, RangePage, WatchEvent},
     },
     transport::network::{Call, Method, Network, Reply, SendError, Target},
 };
@@ -37,12 +37,12 @@
     serde_json::from_slice(&reply.body).map_err(|error| error.to_string())
 }
 
-pub struct HttpState {
+pub struct HttpKeyValueStore {
     pub net: Net,
     pub address: String,
 }
 
-impl HttpState {
+impl HttpKeyValueStore {
     async fn call(
         &self,
         method: Method,
@@ -77,7 +77,7 @@
             |rejection| rejection.error,
         );
         if error == "no such lease" {
-            StateError::NoGrant
+            StateError::LeaseExpired
         } else {
             StateError::Rejected(error)
         }
@@ -91,8 +91,8 @@
     }
 }
 
-impl StatePort for HttpState {
-    fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Item>, StateError>> {
+impl KeyValueStore for HttpKeyValueStore {
+    fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<KeyValue>, StateError>> {
         async move {
             let path = format!("/kv/{key}");
             let reply = self
@@ -110,7 +110,7 @@
         &'a self,
         prefix: &'a str,
         after: Option<&'a str>,
-    ) -> BoxFuture<'a, Result<Page, StateError>> {
+    ) -> BoxFuture<'a, Result<RangePage, StateError>> {
         async move {
             let mut path = format!("/kv?starts={prefix}&most=500");
             if let Some(after) = after {
@@ -120,7 +120,7 @@
             let reply = self
                 .call(Method::Get, path, Bytes::new(), STATE_TIMEOUT * 2)
                 .await?;
-            Self::read::<state::Entries>(&reply).map(Page::from)
+            Self::read::<state::Entries>(&reply).map(RangePage::from)
         }
         .boxed()
     }
@@ -149,10 +149,10 @@
         .boxed()
     }
 
-    fn grant(&self, life: Duration) -> BoxFuture<'_, Result<GrantId, StateError>> {
+    fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StateError>> {
         async move {
             let message = state::Life {
-                life_ms: life.as_millis() as u64,
+                life_ms: ttl.as_millis() as u64,
             };
             let reply = self
                 .call(
@@ -162,35 +162,38 @@
                     STATE_TIMEOUT,
                 )
                 .await?;
-            Self::read::<state::Tether>(&reply).map(|tether| GrantId(tether.tether))
+            Self::read::<state::Tether>(&reply).map(|tether| LeaseId(tether.tether))
         }
         .boxed()
     }
 
-    fn renew(&self, grant: GrantId) -> BoxFuture<'_, Result<(), StateError>> {
+    fn renew_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StateError>> {
         async move {
-            let path = format!("/grants/{}/touch", grant.0);
+            let path = format!("/grants/{}/touch", lease.0);
             let reply = self
                 .call(Method::Post, path, Bytes::new(), STATE_TIMEOUT)
                 .await?;
             match reply.status {
                 200 => Ok(()),
-                404 => Err(StateError::NoGrant),
+                404 => Err(StateError::LeaseExpired),
                 _ => Err(Self::rejected(&reply)),
             }
         }
         .boxed()
     }
 
-    fn follow(
+    fn watch(
         &self,
         from: Revision,
-        hold: Duration,
-    ) -> BoxFuture<'_, Result<(Revision, Vec<Event>), StateError>> {
+        max_wait: Duration,
+    ) -> BoxFuture<'_, Result<(Revision, Vec<WatchEvent>), StateError>> {
         async move {
-            let path = format!("/follow?starts=&from={from}&hold_ms={}", hold.as_millis());
+            let path = format!(
+                "/follow?starts=&from={from}&hold_ms={}",
+                max_wait.as_millis()
+            );
             let reply = self
-                .call(Method::Get, path, Bytes::new(), hold + STATE_TIMEOUT)
+                .call(Method::Get, path, Bytes::new(), max_wait + STATE_TIMEOUT)
                 .await?;
             if reply.status == 410 {
                 return Err(StateError::TooOld);
@@ -198,37 +201,37 @@
             let events = Self::read::<state::Events>(&reply)?;
             Ok((
                 Revision(events.ledger),
-                events.events.into_iter().map(Event::from).collect(),
+                events.events.into_iter().map(WatchEvent::from).collect(),
             ))
         }
         .boxed()
     }
 }
 
-pub struct HttpWorkers {
+pub struct HttpAgentClient {
     pub net: Net,
 }
 
-fn report(reply: &Reply) -> Result<Report, NoAnswer> {
-    parse::<workers::Hello>(reply)
+fn read_heartbeat(reply: &Reply) -> Result<Heartbeat, NoAnswer> {
+    parse::<agents::Hello>(reply)
         .ok()
-        .and_then(workers::Hello::into_report)
+        .and_then(agents::Hello::into_heartbeat)
         .ok_or_else(|| NoAnswer(format!("status {} without a report", reply.status)))
 }
 
-impl WorkerPort for HttpWorkers {
-    fn orders<'a>(
+impl AgentClient for HttpAgentClient {
+    fn send_commands<'a>(
         &'a self,
         address: &'a str,
         token: Token,
-        session: Session,
+        epoch: AgentEpoch,
         commands: &'a [Command],
-    ) -> BoxFuture<'a, Result<OrdersAnswer, NoAnswer>> {
+    ) -> BoxFuture<'a, Result<CommandResponse, NoAnswer>> {
         async move {
-            let message = workers::Orders {
+            let message = agents::Orders {
                 bridle: token.0,
-                tenure: session.0,
-                calls: commands.iter().map(workers::Call::from).collect(),
+                tenure: epoch.0,
+                calls: commands.iter().map(agents::Call::from).collect(),
             };
             let call = Call {
                 target: Target::Worker,
@@ -243,15 +246,15 @@
                 .http(call)
                 .await
                 .map_err(|error| NoAnswer(error.to_string()))?;
-            Ok(OrdersAnswer {
+            Ok(CommandResponse {
                 executed: reply.status == 200,
-                report: report(&reply)?,
+                heartbeat: read_heartbeat(&reply)?,
             })
         }
         .boxed()
     }
 
-    fn inspect<'a>(&'a self, address: &'a str) -> BoxFuture<'a, Result<Report, NoAnswer>> {
+    fn inspect<'a>(&'a self, address: &'a str) -> BoxFuture<'a, Result<Heartbeat, NoAnswer>> {
         async move {
             let call = Call {
                 target: Target::Worker,
@@ -266,13 +269,13 @@
                 .http(call)
                 .await
                 .map_err(|error| NoAnswer(error.to_string()))?;
-            report(&reply)
+            read_heartbeat(&reply)
         }
         .boxed()
     }
 }
 
-pub struct HttpCloud {
+pub struct HttpCloudClient {
     pub net: Net,
     pub address: String,
 }
@@ -280,7 +283,7 @@
 /// Pages of the machine list read at most: 32,000 machines.
 const LIST_PAGES: usize = 64;
 
-impl HttpCloud {
+impl HttpCloudClient {
     async fn call(&self, method: Method, path: String, body: Bytes) -> Result<Reply, CloudError> {
         let call = Call {
             target: Target::Service,
@@ -313,7 +316,7 @@
     parse(reply).map_err(CloudError::Rejected)
 }
 
-impl CloudPort for HttpCloud {
+impl CloudClient for HttpCloudClient {
     fn catalog(&self) -> BoxFuture<'_, Result<Vec<MachineType>, CloudError>> {
         async move {
             let reply = self
@@ -328,18 +331,18 @@
         .boxed()
     }
 
-    fn rent<'a>(
+    fn provision<'a>(
         &'a self,
-        name: &'a RentName,
-        wanted: &'a Wanted,
+        name: &'a ProvisionId,
+        request: &'a ProvisionRequest,
     ) -> BoxFuture<'a, Result<Vec<MachineId>, CloudError>> {
         async move {
             let message = cloud::Hire {
                 hire: name.to_string(),
-                breed: wanted.kind.to_string(),
-                paddock: wanted.zone.to_string(),
-                loaners: wanted.spot,
-                number: wanted.count,
+                breed: request.kind.to_string(),
+                paddock: request.zone.to_string(),
+                loaners: request.spot,
+                number: request.count,
             };
             let reply = self
                 .call(Method::Post, "/machines".into(), body(&message))
@@ -350,7 +353,7 @@
         .boxed()
     }
 
-    fn give_back<'a>(&'a self, machines: &'a [MachineId]) -> BoxFuture<'a, Result<(), CloudError>> {
+    fn release<'a>(&'a self, machines: &'a [MachineId]) -> BoxFuture<'a, Result<(), CloudError>> {
         async move {
             let message = cloud::Mounts {
                 mounts: machines.iter().map(ToString::to_string).collect(),
@@ -362,7 +365,7 @@
         .boxed()
     }
 
-    fn list(&self) -> BoxFuture<'_, Result<Vec<ListedMachine>, CloudError>> {
+    fn list_machines(&self) -> BoxFuture<'_, Result<Vec<ListedMachine>, CloudError>> {
         async move {
             let mut machines: Vec<ListedMachine> = Vec::new();
             for _ in 0..LIST_PAGES {
@@ -389,30 +392,31 @@
     }
 }
 
-pub struct LinkPeers {
+pub struct TcpPeerClient {
     pub net: Net,
-    pub addresses: HashMap<NodeName, String>,
+    pub addresses: HashMap<ControllerName, String>,
 }
 
-impl PeerPort for LinkPeers {
+impl PeerClient for TcpPeerClient {
     fn call<'a>(
         &'a self,
-        node: &'a NodeName,
-        call: PeerCall,
-    ) -> BoxFuture<'a, Result<PeerAnswer, NoAnswer>> {
+        controller: &'a ControllerName,
+        call: PeerRequest,
+    ) -> BoxFuture<'a, Result<PeerResponse, NoAnswer>> {
         async move {
             let no_answer = |error: String| NoAnswer(error);
             let address = self
                 .addresses
-                .get(node)
+                .get(controller)
                 .ok_or_else(|| no_answer("not a peer".into()))?;
-            let frame = peers::write_call(call).map_err(|error| no_answer(error.to_string()))?;
+            let frame =
+                peer_frames::encode_request(call).map_err(|error| no_answer(error.to_string()))?;
             let answer = self
                 .net
                 .frame(address, frame, PEER_TIMEOUT)
                 .await
                 .map_err(|error| no_answer(error.to_string()))?;
-            peers::read_answer(&answer).map_err(|error| no_answer(error.to_string()))
+            peer_frames::decode_response(&answer).map_err(|error| no_answer(error.to_string()))
         }
         .boxed()
     }
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -18,8 +18,8 @@
 use tower::Service;
 
 use super::{
-    links::LinkPool,
     network::{Call, Method, Network, Reply, SendError, Target},
+    peer_connections::PeerConnectionPool,
     sockets::{Counted, Sockets, Use},
 };
 
@@ -28,7 +28,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Idle connections to a service, and how long they are kept.
 const SERVICE_IDLE: (usize, Duration) = (6, Duration::from_secs(20));
-/// The same for a worker: of these there are hundreds, and orders to one come
+/// The same for an agent: of these there are hundreds, and commands to one come
 /// close together or not at all.
 const WORKER_IDLE: (usize, Duration) = (1, Duration::from_secs(2));
 
@@ -67,7 +67,7 @@
 pub struct HttpNetwork {
     services: Pool,
     workers: Pool,
-    links: Arc<LinkPool>,
+    liveness: Arc<PeerConnectionPool>,
     sockets: Sockets,
 }
 
@@ -91,7 +91,7 @@
         Self {
             services: pool(Use::Service, SERVICE_IDLE),
             workers: pool(Use::Worker, WORKER_IDLE),
-            links: Arc::new(LinkPool::new(sockets.clone())),
+            liveness: Arc::new(PeerConnectionPool::new(sockets.clone())),
             sockets,
         }
     }
@@ -153,7 +153,7 @@
         timeout: Duration,
     ) -> BoxFuture<'a, Result<Vec<u8>, SendError>> {
         async move {
-            match tokio::time::timeout(timeout, self.links.exchange(address, frame)).await {
+            match tokio::time::timeout(timeout, self.liveness.exchange(address, frame)).await {
                 Ok(result) => result,
                 Err(_) => Err(SendError::NoAnswer("timed out".into())),
             }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,11 +1,11 @@
-//! Sockets: the server for users and workers, HTTP clients, peer links, and
+//! Sockets: the server for users and agents, HTTP clients, peer links, and
 //! admission.
 
 pub mod admission;
+pub mod clients;
 pub mod http;
-pub mod links;
 pub mod network;
-pub mod ports;
+pub mod peer_connections;
 pub mod server;
 pub mod sockets;
 
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -13,7 +13,7 @@
     Delete,
 }
 
-/// Whom a request is for: connections to many workers are kept but shortly.
+/// Whom a request is for: connections to many agents are kept but shortly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     Service,
--- a/src/transport/peer_connections.rs
+++ b/src/transport/peer_connections.rs
@@ -24,17 +24,17 @@
     sockets::{Sockets, Taken, Use},
 };
 use crate::{
-    coordination::{Node, ports::PeerAnswer},
-    protocol::peers::{self, FRAME_LIMIT},
+    coordination::{Controller, ports::PeerResponse},
+    protocol::peer_frames::{self, FRAME_LIMIT},
 };
 
-type Link = (Framed<TcpStream, LengthDelimitedCodec>, Taken);
+type PeerConnection = (Framed<TcpStream, LengthDelimitedCodec>, Taken);
 
-const IDLE_LINKS: usize = 4;
-const LINKS_IN: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 4;
+const MAX_INBOUND_CONNECTIONS: usize = 64;
 const IDLE: Duration = Duration::from_secs(30);
 
-fn framed(stream: TcpStream, taken: Taken) -> Link {
+fn framed(stream: TcpStream, taken: Taken) -> PeerConnection {
     // Small messages that somebody waits for.
     let _ = stream.set_nodelay(true);
     let framed = LengthDelimitedCodec::builder()
@@ -44,12 +44,12 @@
 }
 
 /// Idle links by address.
-pub struct LinkPool {
-    idle: Mutex<HashMap<String, Vec<Link>>>,
+pub struct PeerConnectionPool {
+    idle: Mutex<HashMap<String, Vec<PeerConnection>>>,
     sockets: Sockets,
 }
 
-impl LinkPool {
+impl PeerConnectionPool {
     pub fn new(sockets: Sockets) -> Self {
         Self {
             idle: Mutex::default(),
@@ -57,15 +57,15 @@
         }
     }
 
-    fn take(&self, address: &str) -> Option<Link> {
+    fn take(&self, address: &str) -> Option<PeerConnection> {
         let mut pool = self.idle.lock().unwrap_or_else(|e| e.into_inner());
         pool.get_mut(address)?.pop()
     }
 
-    fn put(&self, address: &str, link: Link) {
+    fn put(&self, address: &str, link: PeerConnection) {
         let mut pool = self.idle.lock().unwrap_or_else(|e| e.into_inner());
         let idle = pool.entry(address.to_owned()).or_default();
-        if idle.len() < IDLE_LINKS {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(link);
         }
     }
@@ -94,7 +94,7 @@
     }
 }
 
-async fn ask((link, _): &mut Link, frame: Bytes) -> io::Result<Vec<u8>> {
+async fn ask((link, _): &mut PeerConnection, frame: Bytes) -> io::Result<Vec<u8>> {
     link.send(frame).await?;
     match link.next().await {
         Some(answer) => Ok(answer?.to_vec()),
@@ -104,12 +104,12 @@
 
 /// Serves the peers' links until told to stop.
 pub async fn serve(
-    node: Arc<Node>,
+    controller: Arc<Controller>,
     listener: TcpListener,
     sockets: Sockets,
     stop: CancellationToken,
 ) {
-    let places = Arc::new(Semaphore::new(LINKS_IN));
+    let places = Arc::new(Semaphore::new(MAX_INBOUND_CONNECTIONS));
     loop {
         let accepted = tokio::select! {
             biased;
@@ -126,21 +126,21 @@
         let Some(taken) = sockets.take(Use::Service) else {
             continue;
         };
-        let (node, stop) = (node.clone(), stop.clone());
+        let (controller, stop) = (controller.clone(), stop.clone());
         tokio::spawn(async move {
             let _place = place;
             tokio::select! {
                 biased;
                 _ = stop.cancelled() => {}
-                _ = serve_link(&node, framed(stream, taken)) => {}
+                _ = serve_link(&controller, framed(stream, taken)) => {}
             }
         });
     }
 }
 
-async fn serve_link(node: &Arc<Node>, (mut link, _taken): Link) {
+async fn serve_link(controller: &Arc<Controller>, (mut link, _taken): PeerConnection) {
     while let Ok(Some(Ok(frame))) = tokio::time::timeout(IDLE, link.next()).await {
-        let Some(answer) = answer(node, &frame).await else {
+        let Some(answer) = answer(controller, &frame).await else {
             return;
         };
         if link.send(Bytes::from(answer)).await.is_err() {
@@ -151,13 +151,13 @@
 
 /// Answers a peer's message. One that this version can't read is answered too: a
 /// dropped link would look like a controller that is gone.
-pub async fn answer(node: &Arc<Node>, frame: &[u8]) -> Option<Vec<u8>> {
-    let answer = match peers::read_call(frame) {
-        Ok(call) => node.answer_peer(call).await,
+pub async fn answer(controller: &Arc<Controller>, frame: &[u8]) -> Option<Vec<u8>> {
+    let answer = match peer_frames::decode_request(frame) {
+        Ok(call) => controller.handle_peer_request(call).await,
         Err(error) => {
-            tracing::debug!(%error, "a peer's message is passed over");
-            PeerAnswer::Unknown
+            tracing::debug!(%error, "unreadable peer message");
+            PeerResponse::Unknown
         }
     };
-    peers::write_answer(answer).ok()
+    peer_frames::encode_response(answer).ok()
 }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,4 +1,4 @@
-//! The server for users, workers and health checks.
+//! The server for users, agents and health checks.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,14 +22,13 @@
 };
 use crate::{
     coordination::{
-        Node,
-        ports::ReportAnswer,
-        users::{JobState, Submitted, UserError},
+        Controller,
+        jobs::{JobError, JobState, Submitted},
+        ports::HeartbeatResponse,
     },
     protocol::{
-        BODY_LIMIT,
+        BODY_LIMIT, agents,
         users::{self, Stance},
-        workers,
     },
     storage::JobId,
 };
@@ -47,28 +46,28 @@
 
 #[derive(Clone)]
 struct App {
-    node: Arc<Node>,
+    controller: Arc<Controller>,
     admission: Admission,
 }
 
-pub fn router(node: Arc<Node>, sockets: Sockets) -> Router {
+pub fn router(controller: Arc<Controller>, sockets: Sockets) -> Router {
     let app = App {
-        node,
+        controller,
         admission: Admission::default(),
     };
     Router::new()
         .route("/api/jobs", post(submit))
-        .route("/api/jobs/{id}", get(ask))
-        .route("/api/jobs/{id}/abort", post(abort))
+        .route("/api/jobs/{id}", get(job_status))
+        .route("/api/jobs/{id}/abort", post(cancel))
         .route("/ready", get(ready))
-        .route("/hello", post(hello))
+        .route("/hello", post(heartbeat))
         .with_state(app)
         .layer(middleware::from_fn_with_state(sockets, close_if_pressed))
 }
 
-/// With few sockets left, connections end with their answer. Each worker comes
-/// again with its next report, so that idle ones are given up within one report
-/// interval, and all workers can be heard by one controller.
+/// With few sockets left, connections end with their answer. Each agent comes
+/// again with its next heartbeat, so that idle ones are given up within one heartbeat
+/// interval, and all agents can be heard by one controller.
 async fn close_if_pressed(
     State(sockets): State<Sockets>,
     request: Request,
@@ -95,27 +94,29 @@
 }
 
 #[derive(Serialize)]
-struct Problem<'a> {
+struct ErrorBody<'a> {
     error: &'a str,
 }
 
-fn problem(status: StatusCode, error: &str) -> Response {
-    json(status, &Problem { error })
+fn error_response(status: StatusCode, error: &str) -> Response {
+    json(status, &ErrorBody { error })
 }
 
-fn later(error: &str, seconds: &'static str) -> Response {
-    let mut response = problem(StatusCode::SERVICE_UNAVAILABLE, error);
+fn retry_later(error: &str, seconds: &'static str) -> Response {
+    let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, error);
     response
         .headers_mut()
         .insert(header::RETRY_AFTER, HeaderValue::from_static(seconds));
     response
 }
 
-fn refusal(error: UserError) -> Response {
+fn job_error_response(error: JobError) -> Response {
     match &error {
-        UserError::Unavailable => later("cannot tell now", RETRY_LATER),
-        UserError::Unknown => problem(StatusCode::NOT_FOUND, "no such job"),
-        UserError::Impossible(_) => problem(StatusCode::UNPROCESSABLE_ENTITY, &error.to_string()),
+        JobError::Unavailable => retry_later("cannot tell now", RETRY_LATER),
+        JobError::Unknown => error_response(StatusCode::NOT_FOUND, "no such job"),
+        JobError::Infeasible(_) => {
+            error_response(StatusCode::UNPROCESSABLE_ENTITY, &error.to_string())
+        }
     }
 }
 
@@ -124,19 +125,22 @@
     let body = axum::body::to_bytes(request.into_body(), BODY_LIMIT);
     match tokio::time::timeout(BODY_TIMEOUT, body).await {
         Ok(Ok(bytes)) => Ok(bytes),
-        Ok(Err(_)) => Err(problem(StatusCode::BAD_REQUEST, "body too large or broken")),
-        Err(_) => Err(problem(StatusCode::REQUEST_TIMEOUT, "body too slow")),
+        Ok(Err(_)) => Err(error_response(
+            StatusCode::BAD_REQUEST,
+            "body too large or broken",
+        )),
+        Err(_) => Err(error_response(StatusCode::REQUEST_TIMEOUT, "body too slow")),
     }
 }
 
 /// Runs a user's request within the admission limit and its time.
 async fn admitted(app: &App, work: impl Future<Output = Response>) -> Response {
     let Some(_place) = app.admission.enter() else {
-        return later("too many requests in progress", RETRY_SOON);
+        return retry_later("too many requests in progress", RETRY_SOON);
     };
     tokio::time::timeout(USER_TIMEOUT, work)
         .await
-        .unwrap_or_else(|_| later("took too long", RETRY_SOON))
+        .unwrap_or_else(|_| retry_later("took too long", RETRY_SOON))
 }
 
 async fn submit(State(app): State<App>, request: Request) -> Response {
@@ -146,80 +150,80 @@
     };
     let (id, spec) = match users::read_job(&body) {
         Ok(job) => job,
-        Err(error) => return problem(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => return error_response(StatusCode::BAD_REQUEST, &error.to_string()),
     };
     admitted(&app, async {
-        match app.node.submit(id.clone(), spec).await {
+        match app.controller.submit_job(id.clone(), spec).await {
             Ok(Submitted::Accepted) => {
                 json(StatusCode::CREATED, &Stance::brief(&id, JobState::Queued))
             }
             Ok(Submitted::Known(status)) => json(StatusCode::OK, &Stance::of(&id, status)),
-            Err(error) => refusal(error),
+            Err(error) => job_error_response(error),
         }
     })
     .await
 }
 
-async fn ask(State(app): State<App>, Path(id): Path<String>) -> Response {
+async fn job_status(State(app): State<App>, Path(id): Path<String>) -> Response {
     let Some(id) = JobId::parse(&id) else {
-        return problem(StatusCode::NOT_FOUND, "no such job");
+        return error_response(StatusCode::NOT_FOUND, "no such job");
     };
     admitted(&app, async {
-        match app.node.ask(&id).await {
+        match app.controller.job_status(&id).await {
             Ok(status) => json(StatusCode::OK, &Stance::of(&id, status)),
-            Err(error) => refusal(error),
+            Err(error) => job_error_response(error),
         }
     })
     .await
 }
 
-async fn abort(State(app): State<App>, Path(id): Path<String>) -> Response {
+async fn cancel(State(app): State<App>, Path(id): Path<String>) -> Response {
     let Some(id) = JobId::parse(&id) else {
-        return problem(StatusCode::NOT_FOUND, "no such job");
+        return error_response(StatusCode::NOT_FOUND, "no such job");
     };
     admitted(&app, async {
-        match app.node.abort(&id).await {
+        match app.controller.cancel_job(&id).await {
             Ok(status) => json(StatusCode::OK, &Stance::brief(&id, status.state)),
-            Err(error) => refusal(error),
+            Err(error) => job_error_response(error),
         }
     })
     .await
 }
 
 async fn ready(State(app): State<App>) -> Response {
-    if app.node.is_ready() {
+    if app.controller.is_ready() {
         StatusCode::OK.into_response()
     } else {
         StatusCode::SERVICE_UNAVAILABLE.into_response()
     }
 }
 
-async fn hello(State(app): State<App>, request: Request) -> Response {
+async fn heartbeat(State(app): State<App>, request: Request) -> Response {
     let body = match read_body(request).await {
         Ok(body) => body,
         Err(response) => return response,
     };
-    let report = serde_json::from_slice::<workers::Hello>(&body)
+    let heartbeat = serde_json::from_slice::<agents::Hello>(&body)
         .ok()
-        .and_then(workers::Hello::into_report);
-    let Some(report) = report else {
-        return problem(StatusCode::BAD_REQUEST, "not a report");
+        .and_then(agents::Hello::into_heartbeat);
+    let Some(heartbeat) = heartbeat else {
+        return error_response(StatusCode::BAD_REQUEST, "not a report");
     };
-    match app.node.answer_report(&report) {
-        ReportAnswer::Accepted { token, commands } => json(
+    match app.controller.handle_heartbeat(&heartbeat) {
+        HeartbeatResponse::Accepted { token, commands } => json(
             StatusCode::OK,
-            &workers::Answer {
+            &agents::Answer {
                 bridle: token.0,
-                calls: commands.iter().map(workers::Call::from).collect(),
+                calls: commands.iter().map(agents::Call::from).collect(),
             },
         ),
-        ReportAnswer::NotHere(node) => json(
+        HeartbeatResponse::NotHere(controller) => json(
             StatusCode::MISDIRECTED_REQUEST,
-            &workers::Elsewhere {
-                groom: node.as_ref().map(|node| node.as_str()),
+            &agents::Elsewhere {
+                groom: controller.as_ref().map(|controller| controller.as_str()),
             },
         ),
-        ReportAnswer::Unavailable => later("cannot tell now", RETRY_SOON),
+        HeartbeatResponse::Unavailable => retry_later("cannot tell now", RETRY_SOON),
     }
 }
 
@@ -245,7 +249,7 @@
             }
         };
         // Beyond the limit the connection is closed at once, so that the load
-        // balancer goes on to another node.
+        // balancer goes on to another controller.
         let Some(taken) = sockets.take(Use::Served) else {
             continue;
         };
--- a/src/transport/sockets.rs
+++ b/src/transport/sockets.rs
@@ -1,6 +1,6 @@
 //! One budget for all of the process's sockets, in and out. Past the platform's
 //! limit every new connection fails, those to the state service included, so
-//! that each kind of connection stops at its own share of the whole: workers
+//! that each kind of connection stops at its own share of the whole: agents
 //! that we call first, then those that call us, controllers and the state
 //! service last.
 
@@ -20,10 +20,10 @@
 /// What a connection is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Use {
-    /// Reports, users and health checks.
+    /// Heartbeats, users and health checks.
     Served,
-    /// Commands to workers, and looks at them: what they carry goes with the
-    /// answers to reports as well.
+    /// Commands to agents, and probes of them: what they carry goes with the
+    /// answers to heartbeats as well.
     Worker,
     /// State service, cloud and controllers.
     Service,
@@ -31,7 +31,7 @@
 
 /// Of the whole, from here on connections are closed after use.
 const PRESSED: f64 = 0.7;
-/// Of the whole, from here on workers are not called.
+/// Of the whole, from here on agents are not called.
 const WORKERS_END: f64 = 0.85;
 /// Of the whole, from here on nobody new is served.
 const SERVED_END: f64 = 0.94;
--- a/src/transport/sockets/tests.rs
+++ b/src/transport/sockets/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// Guards against workers' connections that leave none for the state service:
-/// a controller that holds all machines lost its seat by that.
+/// Guards against agents' connections that leave none for the state service:
+/// a controller that holds all machines lost its allocation by that.
 #[test]
 fn each_use_stops_at_its_share() {
     let sockets = Sockets::new(116);
--- a/tests/chaos.rs
+++ b/tests/chaos.rs
@@ -5,7 +5,7 @@
 use std::thread;
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
-use stand_ins::script::Script;
+use simulator::scenario::Scenario;
 
 const SEEDS: std::ops::Range<u64> = 1..33;
 /// Seeds from here on are drawn as the same ones below, with quota transfers on.
@@ -78,9 +78,9 @@
         lines.push("next writes=100 ops=5 value=2048".into());
         let mut at = dice.random_range(8.0..60.0);
         let every = dice.random_range(2.0..25.0);
-        for node in 0..3 {
+        for controller in 0..3 {
             let time = dice.random_range(0.3..6.0);
-            lines.push(format!("at {at:.2} upgrade n{node} for={time:.2}"));
+            lines.push(format!("at {at:.2} upgrade n{controller} for={time:.2}"));
             at += every;
         }
         lines.push(format!("at {:.2} state lowers", at + 12.0));
@@ -101,14 +101,14 @@
         };
         together = at;
         let time = dice.random_range(2.0..30.0);
-        let node = dice.random_range(0..3);
+        let controller = dice.random_range(0..3);
         let mut second = None;
         let line = match dice.random_range(0..33) {
             0 => format!("at {at:.2} crash all for={:.2}", time / 3.0),
             1 | 2 => format!("at {at:.2} crash leader for={:.2}", time / 4.0),
-            3 => format!("at {at:.2} crash n{node} for={time:.2}"),
+            3 => format!("at {at:.2} crash n{controller} for={time:.2}"),
             4 => format!("at {at:.2} state down for={time:.2}"),
-            5 => format!("at {at:.2} state refuses n{node} for={time:.2}"),
+            5 => format!("at {at:.2} state refuses n{controller} for={time:.2}"),
             6 => format!("at {at:.2} state lossy share=0.2 for={time:.2}"),
             7 => format!("at {at:.2} cloud down for={time:.2}"),
             8 => format!("at {at:.2} hang {} for={time:.2}", dice.random_range(1..4)),
@@ -127,7 +127,7 @@
                 time * 2.0
             ),
             11 => format!("at {at:.2} copies share=0.4 late=45 for={time:.2}"),
-            13 => format!("at {at:.2} freeze n{node} for={time:.2}"),
+            13 => format!("at {at:.2} freeze n{controller} for={time:.2}"),
             14 => format!("at {at:.2} freeze leader for={time:.2}"),
             15 => format!("at {at:.2} state late share=0.3 late=20 for={time:.2}"),
             16 => format!(
@@ -198,7 +198,7 @@
         },
     };
     let alone = seeds.len() == 1;
-    stand_ins::start_logging();
+    simulator::start_logging();
     let playing: Vec<_> = seeds
         .into_iter()
         .map(|seed| {
@@ -206,7 +206,7 @@
             if alone {
                 println!("{text}");
             }
-            (seed, thread::spawn(move || Script::parse(&text).play()))
+            (seed, thread::spawn(move || Scenario::parse(&text).play()))
         })
         .collect();
     let mut failed = Vec::new();
--- a/tests/checkers.rs
+++ b/tests/checkers.rs
@@ -1,10 +1,10 @@
-//! The stand-ins' rule checkers are proven to fire: each rule is fed a history
+//! The simulator' rule checkers are proven to fire: each rule is fed a history
 //! that breaks it, and one beside it that does not.
 
 use std::{collections::BTreeMap, time::Duration};
 
+use simulator::rules::{Event, Place, Room, Rules};
 use stallcove::storage::*;
-use stand_ins::rules::{Event, Place, Room, Rules};
 
 fn spec(spot: bool, spread: bool, one_zone: bool) -> Box<JobSpec> {
     Box::new(JobSpec {
@@ -30,7 +30,7 @@
         save: Duration::ZERO,
         deadline: None,
         accepted_ms: 0,
-        home: None,
+        assigned_zone: None,
     })
 }
 
