--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -6,27 +6,27 @@
 use serde_json::Value;
 use stallcove::{
     coordination::ports::*,
-    protocol::peers,
+    protocol::peer_frames,
     storage::{records::*, *},
 };
 
-/// An earlier version: what it wrote, and the dialect that it names.
+/// An earlier version: what it wrote, and the protocol version that it names.
 struct Version {
     data: &'static str,
-    dialect: Dialect,
+    protocol_version: ProtocolVersion,
     /// The last attempt of the gang's task that is placed.
     attempt: Attempt,
 }
 
 const BEFORE_GANGS: Version = Version {
     data: include_str!("data/before-gangs.txt"),
-    dialect: Dialect::CANCELLATIONS,
+    protocol_version: ProtocolVersion::CANCELLATIONS,
     attempt: Attempt(1),
 };
 
 const GANGS: Version = Version {
     data: include_str!("data/gangs.txt"),
-    dialect: Dialect::GANGS,
+    protocol_version: ProtocolVersion::GANGS,
     attempt: Attempt(4),
 };
 
@@ -44,23 +44,23 @@
         .collect()
 }
 
-fn status(dialect: Dialect) -> Status {
-    Status {
-        node: NodeName::new("n-1"),
+fn status(protocol_version: ProtocolVersion) -> StatusMessage {
+    StatusMessage {
+        controller: ControllerName::new("n-1"),
         incarnation: Incarnation(7),
-        dialect,
-        seen: Revision(412),
+        protocol_version,
+        highest_revision: Revision(412),
         state_reachable: true,
         full: true,
-        held: vec![HeldMachine {
+        owned: vec![OwnedMachine {
             machine: MachineId::new("vm-000231"),
-            silent: Duration::from_millis(1500),
+            since_heartbeat: Duration::from_millis(1500),
             unreachable: false,
-            suspect: true,
+            quarantined: true,
             leaving: false,
-            deaf: true,
+            command_path_lost: true,
             address: Some("10.1.0.232:9000".into()),
-            session: Session(2),
+            epoch: AgentEpoch(2),
             sequence: 88,
             images: Arc::new(vec![ImageName::new("img-07")]),
             speed: 0.9,
@@ -70,12 +70,12 @@
                 memory: 8.0,
             },
         }],
-        sightings: vec![Sighting {
+        indirect_heartbeats: vec![IndirectHeartbeat {
             machine: MachineId::new("vm-000232"),
             kind: TypeName::new("g8"),
             zone: ZoneName::new("a"),
             spot: true,
-            session: Session(1),
+            epoch: AgentEpoch(1),
             sequence: 3,
             age: Duration::from_millis(250),
         }],
@@ -101,37 +101,53 @@
         jobs: Some(vec![job()]),
     };
     let calls = [
-        ("call status", PeerCall::Status(status(version.dialect))),
-        ("call offers", PeerCall::Offers(vec![offer])),
+        (
+            "call status",
+            PeerRequest::Status(status(version.protocol_version)),
+        ),
+        ("call offers", PeerRequest::Offers(vec![offer])),
         (
             "call preempt",
-            PeerCall::Preempt(vec![TaskId::new(job(), 3)]),
+            PeerRequest::Preempt(vec![TaskId::new(job(), 3)]),
         ),
-        ("call probe", PeerCall::Probe("10.1.0.232:9000".into())),
+        ("call probe", PeerRequest::Probe("10.1.0.232:9000".into())),
         (
             "call cancelled-since",
-            PeerCall::CancelledSince(Revision(412)),
+            PeerRequest::CancelledSince(Revision(412)),
         ),
     ];
     let answers = [
-        ("answer status", PeerAnswer::Status(status(version.dialect))),
-        ("answer taken", PeerAnswer::Taken),
-        ("answer probed", PeerAnswer::Probed(true)),
+        (
+            "answer status",
+            PeerResponse::Status(status(version.protocol_version)),
+        ),
+        ("answer taken", PeerResponse::Accepted),
+        ("answer probed", PeerResponse::ProbeResult(true)),
         (
             "answer cancelled-since",
-            PeerAnswer::CancelledSince(cancellations),
+            PeerResponse::CancelledSince(cancellations),
         ),
-        ("answer unknown", PeerAnswer::Unknown),
+        ("answer unknown", PeerResponse::Unknown),
     ];
     let frames = frames(version.data);
     assert_eq!(frames.len(), calls.len() + answers.len());
     for (name, call) in calls {
-        assert_eq!(peers::read_call(&frames[name]).expect(name), call);
-        assert_eq!(peers::write_call(call).expect(name), frames[name], "{name}");
+        assert_eq!(
+            peer_frames::decode_request(&frames[name]).expect(name),
+            call
+        );
+        assert_eq!(
+            peer_frames::encode_request(call).expect(name),
+            frames[name],
+            "{name}"
+        );
     }
     for (name, answer) in answers {
-        assert_eq!(peers::read_answer(&frames[name]).expect(name), answer);
-        let written = peers::write_answer(answer).expect(name);
+        assert_eq!(
+            peer_frames::decode_response(&frames[name]).expect(name),
+            answer
+        );
+        let written = peer_frames::encode_response(answer).expect(name);
         assert_eq!(written, frames[name], "{name}");
     }
 }
@@ -160,16 +176,16 @@
         check_record(key, &value);
         cache.set(key, value, Revision(records));
     }
-    let names_format = version.dialect >= Dialect::GANGS;
+    let names_format = version.protocol_version >= ProtocolVersion::GANGS;
     assert_eq!(records, 11 + u64::from(names_format));
     let job = &cache.jobs[&JobId::new("job-000412")];
     assert_eq!((job.placed, job.done, job.waiting()), (1, 2, 13));
     let placement = job.placement(3).expect("a placement");
     assert_eq!(placement.attempt, version.attempt);
     assert!(cache.catalog.is_some() && cache.leader.is_some());
-    assert_eq!(cache.format.is_some(), names_format);
-    assert_eq!((cache.blocks.len(), cache.rentals.len()), (1, 1));
-    assert!(cache.fate(&JobId::new("job-000411")).is_some());
+    assert_eq!(cache.common_version.is_some(), names_format);
+    assert_eq!((cache.shards.len(), cache.machine_groups.len()), (1, 1));
+    assert!(cache.outcome(&JobId::new("job-000411")).is_some());
 }
 
 fn check_record(key: &str, value: &Value) {
@@ -178,14 +194,14 @@
         "run" => same::<RunRecord>(key, value),
         "fate" => same::<OutcomeRecord>(key, value),
         "drain" => same::<u32>(key, value),
-        "seat" => same::<SeatRecord>(key, value),
-        "block" => same::<BlockRecord>(key, value),
-        "machine" => same::<RentalRecord>(key, value),
-        "rent" => same::<RentRecord>(key, value),
-        "node" => same::<NodeRecord>(key, value),
+        "seat" => same::<AllocationRecord>(key, value),
+        "block" => same::<ShardRecord>(key, value),
+        "machine" => same::<MachineGroupRecord>(key, value),
+        "rent" => same::<ProvisionRecord>(key, value),
+        "node" => same::<ControllerRecord>(key, value),
         "leader" => same::<LeaderRecord>(key, value),
         "catalog" => same::<CatalogRecord>(key, value),
-        "format" => same::<FormatRecord>(key, value),
+        "format" => same::<CommonVersionRecord>(key, value),
         other => panic!("{other}"),
     }
 }
@@ -197,9 +213,9 @@
     let line = GANGS.data.lines().find(|line| line.contains("spec/"));
     let text = line.expect("a spec").rsplit_once(" {").expect("JSON").1;
     let mut spec: JobSpec = serde_json::from_str(&format!("{{{text}")).expect("a spec");
-    assert_eq!(spec.home, None);
+    assert_eq!(spec.assigned_zone, None);
     let plain = serde_json::to_value(&spec).expect("JSON");
-    spec.home = Some(ZoneName::new("a"));
+    spec.assigned_zone = Some(ZoneName::new("a"));
     let mut confined = serde_json::to_value(&spec).expect("JSON");
     let fields = confined.as_object_mut().expect("an object");
     assert_eq!(fields.remove("home"), Some(Value::from("a")));
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -3,21 +3,21 @@
 
 use std::{fs, path::Path, time::Instant};
 
-use stand_ins::script::Script;
+use simulator::scenario::Scenario;
 
 /// The scenarios that CI plays end within this time.
 const MOST_SECONDS: u64 = 100;
 
 #[test]
 fn limits_hold_on_real_sockets() {
-    stand_ins::start_logging();
+    simulator::start_logging();
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/loopback");
     let asked = std::env::var("LOOPBACK").ok();
     let is_long = asked.is_some();
     let path = asked.map_or_else(|| folder.join("quota-bursts.txt"), Into::into);
     let text = fs::read_to_string(path).expect("a scenario");
     let started = Instant::now();
-    let wrong = Script::parse(&text).play_on_loopback();
+    let wrong = Scenario::parse(&text).play_on_loopback();
     assert!(wrong.is_empty(), "{wrong:#?}");
     assert!(is_long || started.elapsed().as_secs() < MOST_SECONDS);
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Plays every scenario under `tests/scenarios/` against the stand-ins, which
+//! Plays every scenario under `tests/scenarios/` against the simulator, which
 //! check PROTOCOL's rules in each.
 //!
 //! `SCENARIO_FIGURES=file` writes what each scenario measured to that file, one line a
@@ -7,17 +7,20 @@
 
 use std::{fs, path::Path, thread};
 
-use stand_ins::script::Script;
+use simulator::scenario::Scenario;
 
 #[test]
 fn every_scenario_holds() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
     let only = std::env::var("SCENARIO").ok();
-    stand_ins::start_logging();
+    simulator::start_logging();
     let mut files: Vec<_> = fs::read_dir(folder)
         .expect("the scenarios' folder")
         .map(|entry| entry.expect("an entry").path())
-        .filter(|path| path.extension().is_some_and(|ending| ending == "txt"))
+        .filter(|path| {
+            path.extension()
+                .is_some_and(|pending_cleanup| pending_cleanup == "txt")
+        })
         .filter(|path| {
             let name = path
                 .file_stem()
@@ -38,7 +41,7 @@
                 .to_string_lossy()
                 .into_owned();
             let text = fs::read_to_string(&path).expect("a scenario");
-            let played = thread::spawn(move || Script::parse(&text).measure());
+            let played = thread::spawn(move || Scenario::parse(&text).measure());
             (name, played)
         })
         .collect();
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stallcove::{
-    coordination::{Tuning, ports::Dialect},
+    coordination::{Tuning, ports::ProtocolVersion},
     protocol::{operator, settings::Settings},
     storage::{Incarnation, Quota},
 };
@@ -25,7 +25,7 @@
     let config = Settings::parse(EXAMPLE)
         .expect("valid")
         .config(Incarnation(1), Tuning::default());
-    assert_eq!(config.entitled(), Duration::from_secs(27));
+    assert_eq!(config.lease_renewal_window(), Duration::from_secs(27));
     assert_eq!(config.teams[0].limit.cpus, 8.0);
 }
 
@@ -191,11 +191,11 @@
 fn quota_transfers_are_turned_on_by_the_shipped_file() {
     let off = operator::parse("").expect("valid");
     assert!(!off.quota_transfers);
-    assert_eq!(off.dialect(), Dialect::OURS);
+    assert_eq!(off.protocol_version(), ProtocolVersion::CURRENT);
     let text = include_str!("../deploy/quota-transfers.textproto");
     let on = operator::parse(text).expect("valid");
     assert!(on.quota_transfers);
-    assert_eq!(on.dialect(), Dialect::QUOTA_TRANSFERS);
+    assert_eq!(on.protocol_version(), ProtocolVersion::QUOTA_TRANSFERS);
     assert!(operator::parse("quota { transfers: maybe }").is_err());
     assert!(operator::parse("quota { transfer: true }").is_err());
 }
--- a/tests/state_cache.rs
+++ b/tests/state_cache.rs
@@ -23,8 +23,8 @@
 fn gang(run: Value) -> StateCache {
     let mut cache = StateCache::default();
     let machines = json!({"vm-1": null, "vm-2": null});
-    let rental = json!({"t": "x", "z": "z", "s": false, "at": 0, "m": machines});
-    cache.set("machine/r-1", rental, Revision(1));
+    let machine_group = json!({"t": "x", "z": "z", "s": false, "at": 0, "m": machines});
+    cache.set("machine/r-1", machine_group, Revision(1));
     cache.set("spec/job-1", spec(3), Revision(2));
     cache.set("run/job-1/0", run, Revision(3));
     cache
@@ -73,7 +73,7 @@
     cache.set("drain/job-1", json!(1), Revision(9));
     cache.advance(Revision(9));
     assert!(cache.is_cancelled(&id(1)));
-    assert_eq!(cache.told_cancelled().count(), 0);
+    assert_eq!(cache.peer_cancelled().count(), 0);
     assert_eq!(cache.cancelled_since(Revision(8)), vec![id(1)]);
     assert!(cache.cancelled_since(Revision(9)).is_empty());
     // Words that are older than what we have read say nothing.
