--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -26,9 +26,9 @@
     storage::ControllerName,
     transport::{
         Call, Network,
-        clients::{HttpAgentClient, HttpCloudClient, HttpKeyValueStore, TcpPeerClient},
         http::HttpNetwork,
         network::{Method, Target},
+        network_clients::{HttpAgentClient, HttpCloudClient, HttpKeyValueStore, TcpPeerClient},
         peer_connections, server,
         sockets::Sockets,
     },
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -7,10 +7,10 @@
 
 use axum::Router;
 use stallcove::{
-    coordination::{Config, Controller, ports::ProtocolVersion},
+    coordination::{Config, Controller, clients::ProtocolVersion},
     storage::*,
     transport::{
-        clients::{HttpAgentClient, HttpCloudClient, HttpKeyValueStore, TcpPeerClient},
+        network_clients::{HttpAgentClient, HttpCloudClient, HttpKeyValueStore, TcpPeerClient},
         server,
         sockets::Sockets,
     },
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -6,7 +6,7 @@
 use futures::future::{BoxFuture, FutureExt};
 use serde_json::Value;
 use stallcove::{
-    coordination::ports::{PeerRequest, ProtocolVersion},
+    coordination::clients::{PeerRequest, ProtocolVersion},
     protocol::peer_frames,
     storage::jitter,
     transport::{Call, Network, Reply, SendError, network::Method, peer_connections},
--- a/crates/simulator/src/versions.rs
+++ b/crates/simulator/src/versions.rs
@@ -1,6 +1,6 @@
 //! Versions of the program that serve side by side while an upgrade rolls.
 
-use stallcove::coordination::{Tuning, ports::ProtocolVersion};
+use stallcove::coordination::{Tuning, clients::ProtocolVersion};
 
 /// What a controller of the simulated world plays. An earlier version is played by this
 /// one, which tells the protocol version of the earlier one and keeps to what that one knew.
--- a/src/coordination/agent_state.rs
+++ b/src/coordination/agent_state.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    coordination::ports::{Command, Heartbeat, TaskState},
+    coordination::clients::{Command, Heartbeat, TaskState},
     storage::{
         AgentEpoch, Attempt, ImageName, JobId, Resources, TaskId, Token, state_cache::MachineLoad,
     },
--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    coordination::{policy::scale_in::PaidPeriods, ports::ProtocolVersion},
+    coordination::{clients::ProtocolVersion, policy::scale_in::PaidPeriods},
     storage::{ClassName, ControllerName, Incarnation, StateLimits, Team, TeamName, ZoneName},
 };
 
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -15,10 +15,10 @@
 
 use crate::{
     coordination::{
+        clients::{AgentClient, CloudClient, IndirectHeartbeat, PeerClient, ProtocolVersion},
         config::Config,
         leader::LeaderState,
         owner::OwnerState,
-        ports::{AgentClient, CloudClient, IndirectHeartbeat, PeerClient, ProtocolVersion},
         quota_exchange::{QuotaCounts, QuotaExchange},
         run_time_estimator::RunTimeEstimator,
         startup::Startup,
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -5,9 +5,9 @@
 use crate::{
     coordination::{
         agent_state::{AgentState, MessageSource},
+        clients::{Command, Heartbeat, HeartbeatResponse, TaskState},
         controller::{Controller, lock},
         owner::OwnerState,
-        ports::{Command, Heartbeat, HeartbeatResponse, TaskState},
     },
     storage::{Attempt, JobSpec, MachineId, StateCache, TaskId, Token},
 };
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     coordination::{
-        controller::Controller, policy::zone_constraint::ZoneScope, ports::ProtocolVersion,
+        clients::ProtocolVersion, controller::Controller, policy::zone_constraint::ZoneScope,
     },
     storage::{
         CommitError, JobId, JobKind, JobOutcome, JobSpec, Quota, Revision, Transaction, keys,
--- a/src/coordination/leader/fleet/failure_detector.rs
+++ b/src/coordination/leader/fleet/failure_detector.rs
@@ -10,12 +10,12 @@
 
 use crate::{
     coordination::{
+        clients::{PeerRequest, PeerResponse},
         controller::{Controller, lock},
         leader::{
             LeaderState,
             fleet::{PendingRelease, ReleaseReason},
         },
-        ports::{PeerRequest, PeerResponse},
     },
     storage::{ControllerName, MachineId, ShardId, StateCache, TaskId, ZoneName},
 };
--- a/src/coordination/leader/fleet/inventory.rs
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -6,9 +6,9 @@
 
 use crate::{
     coordination::{
+        clients::{IndirectHeartbeat, ListedMachine, MachineStage},
         controller::{Controller, lock},
         leader::fleet::{FleetState, PendingRelease, ReleaseReason},
-        ports::{IndirectHeartbeat, ListedMachine, MachineStage},
     },
     storage::{
         ProvisionId, Revision, Transaction, TypeName, ZoneName, keys,
--- a/src/coordination/leader/fleet/provisioning.rs
+++ b/src/coordination/leader/fleet/provisioning.rs
@@ -7,8 +7,8 @@
 use super::market::CapacityRefusal;
 use crate::{
     coordination::{
+        clients::{CloudError, ProvisionRequest},
         controller::{Controller, lock},
-        ports::{CloudError, ProvisionRequest},
     },
     storage::{
         MachineId, ProvisionId, Revision, Transaction, jitter, keys,
--- a/src/coordination/leader/fleet/release.rs
+++ b/src/coordination/leader/fleet/release.rs
@@ -10,9 +10,9 @@
 
 use crate::{
     coordination::{
+        clients::PeerRequest,
         controller::{Controller, lock},
         policy::placement,
-        ports::PeerRequest,
     },
     storage::{
         ControllerName, JobKind, MachineId, ProvisionId, Resources, Revision, StateCache, TaskId,
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -18,8 +18,8 @@
 
 use crate::{
     coordination::{
+        clients::{IndirectHeartbeat, OwnedMachine, PeerRequest, ProtocolVersion, StatusMessage},
         controller::{Controller, lock},
-        ports::{IndirectHeartbeat, OwnedMachine, PeerRequest, ProtocolVersion, StatusMessage},
     },
     storage::{
         CommitError, ControllerName, Incarnation, JobId, JobOutcome, MachineId, Quota, Revision,
--- a/src/coordination/leader/quota_targets.rs
+++ b/src/coordination/leader/quota_targets.rs
@@ -8,8 +8,8 @@
 use super::shards::Targets;
 use crate::{
     coordination::{
+        clients::{PeerRequest, QuotaTargets},
         controller::{Controller, lock},
-        ports::{PeerRequest, QuotaTargets},
     },
     storage::StateCache,
 };
--- a/src/coordination/leader/routing/mod.rs
+++ b/src/coordination/leader/routing/mod.rs
@@ -22,11 +22,11 @@
 
 use crate::{
     coordination::{
+        clients::Offer,
         leader::routing::{
             queue_order::{QueueRank, raised_by_age},
             quota_use::{QuotaUse, left},
         },
-        ports::Offer,
     },
     storage::{
         ClassName, ControllerName, JobId, JobKind, JobSpec, MachineId, Priority, Quota, StateCache,
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::{
+    clients::ProtocolVersion,
     controller::{Controller, lock},
-    ports::ProtocolVersion,
 };
 use crate::storage::{
     client::LeaseId,
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -2,6 +2,7 @@
 //! and the policy as pure functions.
 
 pub mod agent_state;
+pub mod clients;
 pub mod config;
 pub mod controller;
 pub mod heartbeats;
@@ -11,7 +12,6 @@
 pub mod owner;
 pub mod peer_exchange;
 pub mod policy;
-pub mod ports;
 mod quota_exchange;
 pub mod run_time_estimator;
 mod startup;
--- a/src/coordination/owner/commands.rs
+++ b/src/coordination/owner/commands.rs
@@ -7,8 +7,8 @@
 use crate::{
     coordination::{
         agent_state::MessageSource,
+        clients::Command,
         controller::{Controller, lock},
-        ports::Command,
     },
     storage::{AgentEpoch, MachineId, Token},
 };
--- a/src/coordination/owner/commits.rs
+++ b/src/coordination/owner/commits.rs
@@ -10,8 +10,8 @@
 };
 use crate::{
     coordination::{
+        clients::Command,
         controller::{Controller, lock},
-        ports::Command,
     },
     storage::{
         AgentEpoch, CommitError, JobOutcome, MachineId, Priority, Revision, StateCache,
--- a/src/coordination/owner/mod.rs
+++ b/src/coordination/owner/mod.rs
@@ -23,8 +23,8 @@
 use crate::{
     coordination::{
         agent_state::AgentState,
+        clients::{Exit, Offer, OwnedMachine, PeerRequest},
         controller::{Controller, lock},
-        ports::{Exit, Offer, OwnedMachine, PeerRequest},
     },
     storage::{
         Attempt, JobId, MachineId, Quota, Revision, ShardId, StateCache, TaskId, TeamName, Token,
--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -18,9 +18,9 @@
 use crate::{
     coordination::{
         agent_state::AgentState,
+        clients::Command,
         controller::{Controller, lock},
         policy::placement,
-        ports::Command,
     },
     storage::{
         AMOUNT_SLACK, JobId, JobKind, JobSpec, MachineId, Quota, ShardId, StateCache, TaskId,
--- a/src/coordination/owner/planned_changes.rs
+++ b/src/coordination/owner/planned_changes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::{
-    coordination::ports::{Command, Exit},
+    coordination::clients::{Command, Exit},
     storage::{
         AgentEpoch, JobId, MachineId, Revision, ShardId, TaskId, keys, records::RunRecord,
         state_cache,
--- a/src/coordination/owner/results.rs
+++ b/src/coordination/owner/results.rs
@@ -8,8 +8,8 @@
 use crate::{
     coordination::{
         agent_state::AgentState,
+        clients::{Exit, TaskState},
         controller::{Controller, lock},
-        ports::{Exit, TaskState},
     },
     storage::{Attempt, MachineId, StateCache, TaskId, records::Placement, state_cache},
 };
--- a/src/coordination/owner/stops.rs
+++ b/src/coordination/owner/stops.rs
@@ -10,9 +10,9 @@
 use super::OwnerState;
 use crate::{
     coordination::{
+        clients::{Command, TaskState},
         controller::Controller,
         heartbeats::grace,
-        ports::{Command, TaskState},
     },
     storage::{ControllerName, JobId, JobKind, MachineId, StateCache, TaskId, records::Placement},
 };
--- a/src/coordination/peer_exchange.rs
+++ b/src/coordination/peer_exchange.rs
@@ -7,11 +7,11 @@
 
 use crate::{
     coordination::{
-        controller::{Controller, lock},
-        ports::{
+        clients::{
             Cancellations, Heartbeat, IndirectHeartbeat, PeerRequest, PeerResponse,
             ProtocolVersion, StatusMessage,
         },
+        controller::{Controller, lock},
     },
     storage::{ControllerName, Revision},
 };
--- a/src/coordination/quota_exchange.rs
+++ b/src/coordination/quota_exchange.rs
@@ -18,11 +18,11 @@
 use tokio::{sync::oneshot, time::Instant};
 
 use super::{
-    config::Config,
-    controller::{Controller, lock},
-    ports::{
+    clients::{
         PeerRequest, PeerResponse, ProtocolVersion, QuotaRequest, QuotaResponse, QuotaTargets,
     },
+    config::Config,
+    controller::{Controller, lock},
 };
 use crate::storage::{
     AMOUNT_SLACK, CommitError, ControllerName, Quota, Revision, StateCache, TeamName, Transaction,
--- a/src/main.rs
+++ b/src/main.rs
@@ -9,8 +9,8 @@
     storage::{ControllerName, Incarnation, Team},
     transport::{
         Network,
-        clients::{HttpAgentClient, HttpCloudClient, HttpKeyValueStore, TcpPeerClient},
         http::HttpNetwork,
+        network_clients::{HttpAgentClient, HttpCloudClient, HttpKeyValueStore, TcpPeerClient},
         peer_connections, server,
         sockets::{InUse, Sockets},
     },
--- a/src/protocol/agents.rs
+++ b/src/protocol/agents.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    coordination::ports::{Command, Exit, Heartbeat, TaskState, TaskStatus},
+    coordination::clients::{Command, Exit, Heartbeat, TaskState, TaskStatus},
     protocol::seconds,
     storage::{AgentEpoch, Attempt, MachineId, TaskId, Token, TypeName, ZoneName},
 };
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    coordination::ports::{ListedMachine, MachineStage},
+    coordination::clients::{ListedMachine, MachineStage},
     protocol::seconds,
     storage::{MachineId, MachineType, Resources, TypeName, ZoneName},
 };
--- a/src/protocol/peer_frames.rs
+++ b/src/protocol/peer_frames.rs
@@ -7,7 +7,7 @@
 use rkyv::{Archive, Deserialize, Serialize, rancor::Error};
 
 use crate::{
-    coordination::ports::{
+    coordination::clients::{
         Cancellations, IndirectHeartbeat, Offer, OwnedMachine, PeerRequest, PeerResponse,
         ProtocolVersion, QuotaRequest, QuotaResponse, QuotaTargets, StatusMessage,
     },
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -2,9 +2,9 @@
 //! admission.
 
 pub mod admission;
-pub mod clients;
 pub mod http;
 pub mod network;
+pub mod network_clients;
 pub mod peer_connections;
 pub mod server;
 pub mod sockets;
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -1,4 +1,4 @@
-//! What the ports need of a network: the real one is [`super::http`]; tests put
+//! What the clients need of a network: the real one is [`super::http`]; tests put
 //! a simulated one in its place.
 
 use std::time::Duration;
--- a/src/transport/clients.rs
+++ b/src/transport/network_clients.rs
@@ -1,4 +1,4 @@
-//! The coordination layer's ports, over a [`Network`] and the wire's words.
+//! The coordination layer's clients, over a [`Network`] and the wire's words.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -7,7 +7,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 use crate::{
-    coordination::ports::{
+    coordination::clients::{
         AgentClient, CloudClient, CloudError, Command, CommandResponse, Heartbeat, ListedMachine,
         NoAnswer, PeerClient, PeerRequest, PeerResponse, ProvisionRequest,
     },
--- a/src/transport/peer_connections.rs
+++ b/src/transport/peer_connections.rs
@@ -24,7 +24,7 @@
     sockets::{Sockets, Taken, Use},
 };
 use crate::{
-    coordination::{Controller, ports::PeerResponse},
+    coordination::{Controller, clients::PeerResponse},
     protocol::peer_frames::{self, FRAME_LIMIT},
 };
 
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -23,8 +23,8 @@
 use crate::{
     coordination::{
         Controller,
+        clients::HeartbeatResponse,
         jobs::{JobError, JobState, Submitted},
-        ports::HeartbeatResponse,
     },
     protocol::{
         BODY_LIMIT, agents,
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 use stallcove::{
-    coordination::ports::*,
+    coordination::clients::*,
     protocol::peer_frames,
     storage::{records::*, *},
 };
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stallcove::{
-    coordination::{Tuning, ports::ProtocolVersion},
+    coordination::{Tuning, clients::ProtocolVersion},
     protocol::{operator, settings::Settings},
     storage::{Incarnation, Quota},
 };
