--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -28,8 +28,7 @@
         Call, Network,
         http::HttpNetwork,
         network::{Method, Target},
-        network_clients::{HttpAgentClient, HttpCloudClient, HttpKeyValueStore, TcpPeerClient},
-        peer_connections, server,
+        network_clients, peer_connections, server,
         sockets::Sockets,
     },
 };
@@ -221,19 +220,14 @@
     let net: Arc<dyn Network> = Arc::new(HttpNetwork::new(sockets.clone()));
     let controller = Controller::new(
         config,
-        Box::new(HttpKeyValueStore {
-            net: net.clone(),
-            address: addresses.state.to_string(),
-        }),
-        Box::new(HttpAgentClient { net: net.clone() }),
-        Box::new(HttpCloudClient {
-            net: net.clone(),
-            address: addresses.cloud.to_string(),
-        }),
-        Box::new(TcpPeerClient {
+        network_clients::clients(
             net,
-            addresses: addresses.peers,
-        }),
+            network_clients::Addresses {
+                state: addresses.state.to_string(),
+                cloud: addresses.cloud.to_string(),
+                peers: addresses.peers,
+            },
+        ),
         stop.clone(),
     );
     let _ = started.send((controller.clone(), runtime.handle().clone()));
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -10,7 +10,7 @@
     coordination::{Config, Controller, clients::ProtocolVersion},
     storage::*,
     transport::{
-        network_clients::{HttpAgentClient, HttpCloudClient, HttpKeyValueStore, TcpPeerClient},
+        network_clients::{self, Addresses},
         server,
         sockets::Sockets,
     },
@@ -124,16 +124,14 @@
         let stop = CancellationToken::new();
         let controller = Controller::new(
             config,
-            Box::new(HttpKeyValueStore {
-                net: net.clone(),
-                address: "state".into(),
-            }),
-            Box::new(HttpAgentClient { net: net.clone() }),
-            Box::new(HttpCloudClient {
-                net: net.clone(),
-                address: "cloud".into(),
-            }),
-            Box::new(TcpPeerClient { net, addresses }),
+            network_clients::clients(
+                net,
+                Addresses {
+                    state: "state".into(),
+                    cloud: "cloud".into(),
+                    peers: addresses,
+                },
+            ),
             stop.clone(),
         );
         let mut duties = JoinSet::new();
@@ -227,7 +225,7 @@
             .iter()
             .filter_map(|(name, slot)| Some((name, slot.running.as_ref()?)))
             .find(|(name, running)| {
-                let cache = running.controller.store.cache();
+                let cache = running.controller.context.store.cache();
                 cache
                     .leader
                     .as_ref()
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -1,10 +1,10 @@
 //! Submitting, asking about and cancelling jobs.
 
-use std::time::Duration;
+use std::{sync::Arc, time::Duration};
 
 use crate::{
     coordination::{
-        clients::ProtocolVersion, controller::Controller, policy::zone_constraint::ZoneScope,
+        clients::ProtocolVersion, context::Context, policy::zone_constraint::ZoneScope,
     },
     storage::{
         CommitError, JobId, JobKind, JobOutcome, JobSpec, Quota, Revision, Transaction, keys,
@@ -66,18 +66,27 @@
     Known(JobStatus),
 }
 
-impl Controller {
-    pub async fn submit_job(&self, id: JobId, mut spec: JobSpec) -> Result<Submitted, JobError> {
-        if let Some(outcome) = self.store.cache().outcome(&id) {
+/// Users' requests about jobs, answered by any controller.
+pub struct JobService {
+    context: Arc<Context>,
+}
+
+impl JobService {
+    pub(super) fn new(context: Arc<Context>) -> Self {
+        Self { context }
+    }
+
+    pub async fn submit(&self, id: JobId, mut spec: JobSpec) -> Result<Submitted, JobError> {
+        if let Some(outcome) = self.context.store.cache().outcome(&id) {
             return Ok(Submitted::Known(outcome.into()));
         }
-        let known = self.store.cache().jobs.contains_key(&id);
+        let known = self.context.store.cache().jobs.contains_key(&id);
         if known {
-            return self.job_status(&id).await.map(Submitted::Known);
+            return self.status(&id).await.map(Submitted::Known);
         }
         if let Err(reason) = self.check_feasible(&spec)? {
             // A job that was accepted is never refused, whatever is judged now.
-            return match self.job_status(&id).await {
+            return match self.status(&id).await {
                 Ok(status) => Ok(Submitted::Known(status)),
                 Err(JobError::Unknown) => Err(reason.into()),
                 Err(error) => Err(error),
@@ -85,28 +94,36 @@
         }
         // Only one that all controllers can serve is promised; in a rolled upgrade the
         // user is told to come again.
-        if !self.all_support(self.required_protocol_version(&spec)) {
+        if !self
+            .context
+            .all_support(self.required_protocol_version(&spec))
+        {
             return Err(JobError::Unavailable);
         }
-        spec.accepted_ms = self.config.now_ms();
+        spec.accepted_ms = self.context.config.now_ms();
         let transaction = Transaction::default()
             .require(keys::spec(&id), Revision(0))
             .require(keys::outcome(&id), Revision(0))
             .set(keys::spec(&id), &spec);
-        match self.store.commit(&transaction, RequestPriority::User).await {
+        match self
+            .context
+            .store
+            .commit(&transaction, RequestPriority::User)
+            .await
+        {
             Ok(_) => {
                 tracing::debug!(job = %id, class = %spec.class, tasks = spec.tasks, "job accepted");
-                self.leader_wakeup.notify_one();
+                self.context.leader_wakeup.notify_one();
                 Ok(Submitted::Accepted)
             }
-            Err(CommitError::Conflict(_)) => match self.job_status(&id).await {
+            Err(CommitError::Conflict(_)) => match self.status(&id).await {
                 Ok(status) => Ok(Submitted::Known(status)),
                 Err(JobError::Unknown) => Err(JobError::Unavailable),
                 Err(error) => Err(error),
             },
             // No answer: it may be committed. If it cannot be read back it may
             // yet be, so that only the user's retry tells.
-            Err(error) if error.is_unknown() => match self.job_status(&id).await {
+            Err(error) if error.is_unknown() => match self.status(&id).await {
                 Ok(status) => Ok(Submitted::Known(status)),
                 Err(_) => Err(JobError::Unavailable),
             },
@@ -116,7 +133,7 @@
 
     /// What all controllers must be able to read to serve this job.
     fn required_protocol_version(&self, spec: &JobSpec) -> ProtocolVersion {
-        match ZoneScope::of(spec, self.config.state.txn_ops) {
+        match ZoneScope::of(spec, self.context.config.state.txn_ops) {
             ZoneScope::PerRecord => ProtocolVersion::LARGE_ZONE_BOUND,
             ZoneScope::WholeJob if spec.kind == JobKind::Gang => ProtocolVersion::GANGS,
             ZoneScope::WholeJob => ProtocolVersion::default(),
@@ -125,14 +142,14 @@
 
     /// Whether the job can ever run; an error when that cannot be told yet.
     fn check_feasible(&self, spec: &JobSpec) -> Result<Result<(), Infeasible>, JobError> {
-        if !self.store.is_loaded() {
+        if !self.context.store.is_loaded() {
             return Err(JobError::Unavailable);
         }
-        let cache = self.store.cache();
+        let cache = self.context.store.cache();
         let Some(catalog) = &cache.catalog else {
             return Err(JobError::Unavailable);
         };
-        let Some(team) = self.config.team(&spec.team) else {
+        let Some(team) = self.context.config.team(&spec.team) else {
             return Ok(Err(Infeasible::Team));
         };
         let fits = catalog.value.types.iter().any(|kind| {
@@ -155,15 +172,15 @@
     }
 
     /// A job's status as of now: final ones from memory, others by a fresh read.
-    pub async fn job_status(&self, id: &JobId) -> Result<JobStatus, JobError> {
-        if let Some(outcome) = self.store.cache().outcome(id) {
+    pub async fn status(&self, id: &JobId) -> Result<JobStatus, JobError> {
+        if let Some(outcome) = self.context.store.cache().outcome(id) {
             return Ok(outcome.into());
         }
-        if !self.store.read_barrier().await {
+        if !self.context.store.read_barrier().await {
             return Err(JobError::Unavailable);
         }
         {
-            let cache = self.store.cache();
+            let cache = self.context.store.cache();
             if let Some(outcome) = cache.outcome(id) {
                 return Ok(outcome.into());
             }
@@ -176,21 +193,21 @@
         }
         // Over long ago, or never accepted: its outcome was written before its
         // other keys went.
-        match self.store.look_up_outcome(id).await {
+        match self.context.store.look_up_outcome(id).await {
             Ok(Some(outcome)) => Ok(outcome.into()),
             Ok(None) => Err(JobError::Unknown),
             Err(_) => Err(JobError::Unavailable),
         }
     }
 
-    pub async fn cancel_job(&self, id: &JobId) -> Result<JobStatus, JobError> {
+    pub async fn cancel(&self, id: &JobId) -> Result<JobStatus, JobError> {
         for _ in 0..3 {
-            let status = self.job_status(id).await?;
+            let status = self.status(id).await?;
             if matches!(status.state, JobState::Done | JobState::Cancelled) {
                 return Ok(status);
             }
             let Some(revision) = ({
-                let cache = self.store.cache();
+                let cache = self.context.store.cache();
                 cache
                     .jobs
                     .get(id)
@@ -208,10 +225,15 @@
                 .require(keys::outcome(id), Revision(0))
                 .set(keys::outcome(id), &outcome)
                 .set(keys::cleanup(id), &1);
-            match self.store.commit(&transaction, RequestPriority::User).await {
+            match self
+                .context
+                .store
+                .commit(&transaction, RequestPriority::User)
+                .await
+            {
                 Ok(_) => {
                     tracing::debug!(job = %id, "job cancelled");
-                    self.owner_wakeup.notify_one();
+                    self.context.owner_wakeup.notify_one();
                     return Ok(outcome.into());
                 }
                 Err(CommitError::Conflict(_)) => {}
--- a/src/coordination/leader/fleet/autoscaler.rs
+++ b/src/coordination/leader/fleet/autoscaler.rs
@@ -10,9 +10,8 @@
 use super::market::{Demand, Market, booting_candidates, empty_candidate, used_machines};
 use crate::{
     coordination::{
-        controller::Controller,
         leader::{
-            LeaderState,
+            Leader, LeaderState,
             fleet::FleetState,
             pool::{Pool, ProvisionPlan, Suited},
             routing::Unplaced,
@@ -35,7 +34,7 @@
 /// Machines for which replicas' room elsewhere is looked for in one round.
 const MAX_RELOCATION_CHECKS: usize = 24;
 
-impl Controller {
+impl Leader {
     /// The band's round, and the remedial rule between rounds.
     pub(super) fn evaluate_scaling(
         &self,
@@ -43,8 +42,8 @@
         state: &mut LeaderState,
         now: Instant,
     ) -> Vec<ProvisionPlan> {
-        let tuning = &self.config.tuning;
-        let wall = (self.config.wall)();
+        let tuning = &self.context.config.tuning;
+        let wall = (self.context.config.wall)();
         let up: BTreeSet<MachineId> = cache
             .machines
             .keys()
@@ -73,7 +72,8 @@
                 suited.into_iter().next().map(|suited| suited.pool)
             },
         );
-        let mut booting = booting_candidates(cache, self.config.now_ms(), |id| up.contains(id));
+        let mut booting =
+            booting_candidates(cache, self.context.config.now_ms(), |id| up.contains(id));
         // Provision requests on their way count as well.
         for entry in cache.provision_requests.values() {
             if let Some(kind) = cache.machine_type(&entry.value.kind) {
@@ -94,7 +94,7 @@
         let mut wanted: Vec<(Pool, u32)> = Vec::new();
         if round_due {
             fleet.last_round = Some(now);
-            let machines = used_machines(cache, tuning.paid, self.config.now_ms(), |id| {
+            let machines = used_machines(cache, tuning.paid, self.context.config.now_ms(), |id| {
                 up.contains(id)
             });
             wanted = self.evaluate_band(&market, fleet, miss_rate, (unplaced, &need), machines);
@@ -157,7 +157,7 @@
         machines: Vec<(scale_in::MachineUtilisation<MachineId>, bool)>,
     ) -> Vec<(Pool, u32)> {
         let cache = market.cache;
-        let tuning = &self.config.tuning;
+        let tuning = &self.context.config.tuning;
         let mut queue: BTreeMap<Pool, f64> = BTreeMap::new();
         let mut overdue = Vec::new();
         let mut waiting = 0;
--- a/src/coordination/leader/fleet/failure_detector.rs
+++ b/src/coordination/leader/fleet/failure_detector.rs
@@ -11,9 +11,9 @@
 use crate::{
     coordination::{
         clients::{PeerRequest, PeerResponse},
-        controller::{Controller, lock},
+        context::lock,
         leader::{
-            LeaderState,
+            Leader, LeaderState,
             fleet::{PendingRelease, ReleaseReason},
         },
     },
@@ -76,7 +76,7 @@
 /// hang from a network partition, without further probes.
 const PARTITION_EVIDENCE: usize = 2 * NEIGHBOURS;
 
-impl Controller {
+impl Leader {
     /// Every controller probes a machine that is unresponsive to its owner: only
     /// one that nobody reaches is returned. If most of its neighbours do not
     /// answer either, that is a network partition which the others have not shown yet, since
@@ -89,18 +89,18 @@
         } = quarantined;
         let probes = neighbours
             .iter()
-            .map(|address| self.agent_client.inspect(address));
-        let others = self.config.peers.iter().map(|(peer, _)| {
+            .map(|address| self.context.agent_client.inspect(address));
+        let others = self.context.config.peers.iter().map(|(peer, _)| {
             let call = PeerRequest::Probe(address.clone());
             async move {
                 matches!(
-                    self.peers.call(peer, call).await,
+                    self.context.peers.call(peer, call).await,
                     Ok(PeerResponse::ProbeResult(true))
                 )
             }
         });
         let (own, others, probes) = futures::future::join3(
-            self.agent_client.inspect(&address),
+            self.context.agent_client.inspect(&address),
             futures::future::join_all(others),
             futures::future::join_all(probes),
         )
@@ -108,7 +108,7 @@
         let unreachable_count = probes.iter().filter(|probe| probe.is_err()).count();
         let is_partition = unreachable_count * 2 > neighbours.len();
         let now = Instant::now();
-        let mut state = lock(&self.leader);
+        let mut state = lock(&self.state);
         if own.is_ok() || others.contains(&true) || is_partition {
             tracing::debug!(%machine, is_partition, "unresponsive to its owner, but not terminated");
             state.fleet.verifying.insert(machine, now + VERIFIED_TTL);
@@ -134,9 +134,9 @@
         state: &mut LeaderState,
         now: Instant,
     ) -> Vec<UnresponsiveMachine> {
-        let paid = self.config.tuning.paid;
-        let limit = self.config.unresponsive_after();
-        let now_ms = self.config.now_ms();
+        let paid = self.context.config.tuning.paid;
+        let limit = self.context.config.unresponsive_after();
+        let now_ms = self.context.config.now_ms();
         let mut unresponsive = Vec::new();
         let mut command_path_lost = Vec::new();
         let mut refusing = BTreeSet::new();
@@ -173,10 +173,11 @@
                 if let Some((held, since_heartbeat)) = state.owned_machine(controller, id) {
                     // Only one that its owner has not heard lately is looked
                     // for elsewhere: that is work for each machine.
-                    let indirectly_heard = (since_heartbeat > self.config.heartbeat_interval)
+                    let indirectly_heard = (since_heartbeat
+                        > self.context.config.heartbeat_interval)
                         .then(|| state.indirectly_heard_by(controller, id))
                         .flatten()
-                        .filter(|(_, age)| *age < self.config.indirect_heartbeat_max_age());
+                        .filter(|(_, age)| *age < self.context.config.indirect_heartbeat_max_age());
                     match indirectly_heard {
                         Some((other, _)) if since_heartbeat > limit.mul_f64(0.7) => {
                             match state.fleet.indirect_probes.get(id) {
@@ -187,7 +188,7 @@
                                 Some(probe)
                                     if probe.by.is_none()
                                         && now.duration_since(probe.since)
-                                            > self.config.command_path_timeout() =>
+                                            > self.context.config.command_path_timeout() =>
                                 {
                                     command_path_lost.push(id.clone());
                                 }
@@ -265,7 +266,7 @@
                     .map(|id| (id, ReleaseReason::CommandPathLost)),
             );
         }
-        let patience = self.config.agent_lease + self.config.heartbeat_interval;
+        let patience = self.context.config.agent_lease + self.context.config.heartbeat_interval;
         state.fleet.verifying.retain(|_, until| *until > now);
         let mut to_verify = Vec::new();
         for (id, address, since_heartbeat, spot) in unresponsive {
@@ -276,7 +277,7 @@
             if (spot || !many || since_heartbeat > patience)
                 && !known
                 && !state.fleet.verifying.contains_key(&id)
-                && state.fleet.verifying.len() < self.config.max_concurrent_probes()
+                && state.fleet.verifying.len() < self.context.config.max_concurrent_probes()
             {
                 state.fleet.verifying.insert(id.clone(), now + VERIFIED_TTL);
                 let zone = cache.machines.get(&id).map(|record| &record.zone);
@@ -404,20 +405,21 @@
             }
             probe.asked = now;
             asked += 1;
-            let controller = self.clone();
+            let leader = self.clone();
             tokio::spawn(async move {
-                let reached = if other == controller.config.name {
-                    controller.agent_client.inspect(&address).await.is_ok()
+                let reached = if other == leader.context.config.name {
+                    leader.context.agent_client.inspect(&address).await.is_ok()
                 } else {
                     matches!(
-                        controller
+                        leader
+                            .context
                             .peers
                             .call(&other, PeerRequest::Probe(address))
                             .await,
                         Ok(PeerResponse::ProbeResult(true))
                     )
                 };
-                let mut state = lock(&controller.leader);
+                let mut state = lock(&leader.state);
                 if let Some(probe) = state.fleet.indirect_probes.get_mut(&machine)
                     && (reached || probe.by.is_none())
                 {
@@ -513,8 +515,8 @@
     pub(super) async fn evict_quarantined(&self) {
         let mut preemptions: BTreeMap<ControllerName, Vec<TaskId>> = BTreeMap::new();
         {
-            let cache = self.store.cache();
-            let state = lock(&self.leader);
+            let cache = self.context.store.cache();
+            let state = lock(&self.state);
             for (id, item) in &state.releasing {
                 if item.reason != ReleaseReason::Quarantined
                     || item.since.elapsed() < QUARANTINE_EVICTION_DELAY
--- a/src/coordination/leader/fleet/inventory.rs
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -7,8 +7,11 @@
 use crate::{
     coordination::{
         clients::{IndirectHeartbeat, ListedMachine, MachineStage},
-        controller::{Controller, lock},
-        leader::fleet::{FleetState, PendingRelease, ReleaseReason},
+        context::lock,
+        leader::{
+            Leader,
+            fleet::{FleetState, PendingRelease, ReleaseReason},
+        },
     },
     storage::{
         ProvisionId, Revision, Transaction, TypeName, ZoneName, keys,
@@ -17,11 +20,11 @@
     },
 };
 
-impl Controller {
+impl Leader {
     pub(super) async fn poll_catalog(&self, budget: &RateLimiter) {
         {
-            let state = lock(&self.leader);
-            let known = self.store.cache().catalog.is_some();
+            let state = lock(&self.state);
+            let known = self.context.store.cache().catalog.is_some();
             let every = Duration::from_secs(if known { 30 } else { 1 });
             if state
                 .fleet
@@ -31,9 +34,9 @@
                 return;
             }
         }
-        lock(&self.leader).fleet.last_catalog = Some(Instant::now());
+        lock(&self.state).fleet.last_catalog = Some(Instant::now());
         budget.acquire(1.0, RequestPriority::Fencing).await;
-        let types = match self.cloud.catalog().await {
+        let types = match self.context.cloud.catalog().await {
             Ok(types) => types,
             Err(error) => {
                 tracing::info!(%error, "the cloud's catalog cannot be read");
@@ -42,7 +45,7 @@
         };
         let record = CatalogRecord { types };
         let revision = {
-            let cache = self.store.cache();
+            let cache = self.context.store.cache();
             match &cache.catalog {
                 Some(entry) if entry.value == record => return,
                 Some(entry) => entry.revision,
@@ -59,9 +62,9 @@
 
     pub(super) fn poll_inventory(self: &Arc<Self>, budget: &Arc<RateLimiter>) {
         {
-            let mut state = lock(&self.leader);
+            let mut state = lock(&self.state);
             // It is behind by the lag anyway, and each page costs time.
-            let every = (self.config.list_lag / 2).max(Duration::from_secs(5));
+            let every = (self.context.config.list_lag / 2).max(Duration::from_secs(5));
             if state
                 .fleet
                 .last_inventory
@@ -71,12 +74,12 @@
             }
             state.fleet.last_inventory = Some(Instant::now());
         }
-        let controller = self.clone();
+        let leader = self.clone();
         let budget = budget.clone();
         tokio::spawn(async move {
             budget.acquire(1.0, RequestPriority::Background).await;
-            match controller.cloud.list_machines().await {
-                Ok(list) => controller.reconcile_inventory(list).await,
+            match leader.context.cloud.list_machines().await {
+                Ok(list) => leader.reconcile_inventory(list).await,
                 Err(error) => tracing::debug!(%error, "the machine list cannot be read"),
             }
         });
@@ -86,13 +89,13 @@
     /// in the cache: provisioned by a request that was executed late, perhaps.
     pub(super) async fn reconcile_inventory(&self, list: Vec<ListedMachine>) {
         let adopt: Vec<MachineGroupRecord> = {
-            let cache = self.store.cache();
-            let mut state = lock(&self.leader);
+            let cache = self.context.store.cache();
+            let mut state = lock(&self.state);
             let now = Instant::now();
-            let lag = self.config.list_lag;
+            let lag = self.context.config.list_lag;
             state
                 .fleet
-                .forget_released(self.config.machines_tracked, now);
+                .forget_released(self.context.config.machines_tracked, now);
             let mut adopt = Vec::new();
             let mut still = BTreeMap::new();
             state.fleet.listed = list.iter().map(|machine| machine.id.clone()).collect();
@@ -142,7 +145,7 @@
                     adopt.push((seen.machine, seen.kind, seen.zone, seen.spot));
                 }
             }
-            let at = self.config.now_ms();
+            let at = self.context.config.now_ms();
             let mut groups: BTreeMap<(TypeName, ZoneName, bool), MachineGroupRecord> =
                 BTreeMap::new();
             for (id, kind, zone, spot) in adopt {
@@ -163,11 +166,11 @@
         for group in adopt {
             tracing::info!(machines = ?group.machines.keys(), "adopting unknown machines");
             let name = {
-                let mut state = lock(&self.leader);
+                let mut state = lock(&self.state);
                 state.fleet.provision_count += 1;
                 ProvisionId::new(format!(
                     "x-{:016x}-{}",
-                    self.config.incarnation.0, state.fleet.provision_count
+                    self.context.config.incarnation.0, state.fleet.provision_count
                 ))
             };
             let key = keys::machine_group(&name);
--- a/src/coordination/leader/fleet/mod.rs
+++ b/src/coordination/leader/fleet/mod.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    coordination::controller::{Controller, lock},
+    coordination::{context::lock, leader::Leader},
     storage::{
         ControllerName, MachineId, ProvisionId, Revision, Transaction, keys,
         rate_limiter::{RateLimiter, RequestPriority},
@@ -95,15 +95,17 @@
 
 const PROVISION_REQUESTS_PER_COMMIT: usize = 8;
 
-impl Controller {
+impl Leader {
     /// Duty: the leader's slower loop.
     pub(in super::super) async fn run_fleet_manager(self: &Arc<Self>) {
-        let budget = Arc::new(RateLimiter::new((self.config.cloud_rps * 0.8).max(0.5)));
-        while self.pause(Duration::from_millis(400)).await {
-            if !self.store.is_loaded()
-                || !self.store.is_reachable()
-                || self.leadership().is_none()
-                || lock(&self.leader).has_commit_in_doubt
+        let budget = Arc::new(RateLimiter::new(
+            (self.context.config.cloud_rps * 0.8).max(0.5),
+        ));
+        while self.context.pause(Duration::from_millis(400)).await {
+            if !self.context.store.is_loaded()
+                || !self.context.store.is_reachable()
+                || self.context.leadership().is_none()
+                || lock(&self.state).has_commit_in_doubt
             {
                 continue;
             }
@@ -121,33 +123,38 @@
     /// Decides what to provision, mark, return and move, and writes the provision requests down.
     async fn evaluate_fleet(self: &Arc<Self>) {
         let (provision_requests, unresponsive) = {
-            let cache = self.store.cache();
+            let cache = self.context.store.cache();
             if cache.catalog.is_none() {
                 return;
             }
-            let mut state = lock(&self.leader);
+            let mut state = lock(&self.state);
             let now = Instant::now();
             let unresponsive = self.detect_failures(&cache, &mut state, now);
             self.rebalance(&cache, &mut state, now);
             (self.evaluate_scaling(&cache, &mut state, now), unresponsive)
         };
         for quarantined in unresponsive {
-            let controller = self.clone();
-            tokio::spawn(async move { controller.verify_unresponsive(quarantined).await });
+            let leader = self.clone();
+            tokio::spawn(async move { leader.verify_unresponsive(quarantined).await });
         }
         // Recorded before they are sent; several in one commit.
-        let parts =
-            provision_requests.chunks(self.config.state.txn_ops.min(PROVISION_REQUESTS_PER_COMMIT));
+        let parts = provision_requests.chunks(
+            self.context
+                .config
+                .state
+                .txn_ops
+                .min(PROVISION_REQUESTS_PER_COMMIT),
+        );
         for part in parts {
             let mut transaction = Transaction::default();
             for group in part {
                 let name = {
-                    let mut state = lock(&self.leader);
+                    let mut state = lock(&self.state);
                     state.fleet.provision_count += 1;
                     // The incarnation is drawn at random for each process.
                     ProvisionId::new(format!(
                         "r-{:016x}-{}",
-                        self.config.incarnation.0, state.fleet.provision_count
+                        self.context.config.incarnation.0, state.fleet.provision_count
                     ))
                 };
                 let record = ProvisionRecord {
@@ -155,7 +162,7 @@
                     zone: group.zone.clone(),
                     spot: group.pool.spot,
                     count: group.count,
-                    at_ms: self.config.now_ms(),
+                    at_ms: self.context.config.now_ms(),
                 };
                 let key = keys::provision_request(&name);
                 transaction = transaction
--- a/src/coordination/leader/fleet/provisioning.rs
+++ b/src/coordination/leader/fleet/provisioning.rs
@@ -8,7 +8,8 @@
 use crate::{
     coordination::{
         clients::{CloudError, ProvisionRequest},
-        controller::{Controller, lock},
+        context::lock,
+        leader::Leader,
     },
     storage::{
         MachineId, ProvisionId, Revision, Transaction, jitter, keys,
@@ -22,13 +23,13 @@
 /// Machines' addresses are written together, this often.
 const ADDRESSES: Duration = Duration::from_millis(2500);
 
-impl Controller {
+impl Leader {
     /// Sends the provision requests that are written down, each under its own name until it
     /// is answered; also those that an earlier leader left.
     pub(super) fn send_provision_requests(self: &Arc<Self>, budget: &Arc<RateLimiter>) {
         let due: Vec<(ProvisionId, ProvisionRecord)> = {
-            let cache = self.store.cache();
-            let mut state = lock(&self.leader);
+            let cache = self.context.store.cache();
+            let mut state = lock(&self.state);
             let now = Instant::now();
             let fleet = &mut state.fleet;
             fleet
@@ -50,7 +51,7 @@
             due
         };
         for (name, record) in due {
-            let controller = self.clone();
+            let leader = self.clone();
             let budget = budget.clone();
             tokio::spawn(async move {
                 budget.acquire(1.0, RequestPriority::Fencing).await;
@@ -60,11 +61,11 @@
                     spot: record.spot,
                     count: record.count,
                 };
-                let answer = controller.cloud.provision(&name, &wanted).await;
-                controller
+                let answer = leader.context.cloud.provision(&name, &wanted).await;
+                leader
                     .handle_provision_response(&name, &record, answer)
                     .await;
-                lock(&controller.leader).fleet.in_flight.remove(&name);
+                lock(&leader.state).fleet.in_flight.remove(&name);
             });
         }
     }
@@ -76,8 +77,8 @@
         answer: Result<Vec<MachineId>, CloudError>,
     ) {
         let place = (record.kind.clone(), record.zone.clone(), record.spot);
-        let refuse = |controller: &Controller, missing: u32| {
-            let mut state = lock(&controller.leader);
+        let refuse = |missing: u32| {
+            let mut state = lock(&self.state);
             let fleet = &mut state.fleet;
             let refusal = CapacityRefusal::after(fleet.refused.get(&place), Instant::now());
             fleet.refused.insert(place.clone(), refusal);
@@ -86,7 +87,7 @@
             fleet.last_remedial = None;
         };
         let revision = {
-            let cache = self.store.cache();
+            let cache = self.context.store.cache();
             match cache.provision_requests.get(name) {
                 Some(entry) => entry.revision,
                 None => return,
@@ -97,9 +98,9 @@
                 tracing::info!(%name, kind = %record.kind, zone = %record.zone,
                     spot = record.spot, asked = record.count, got = machines.len(), "machines provisioned");
                 if machines.len() < record.count as usize {
-                    refuse(self, record.count - machines.len() as u32);
+                    refuse(record.count - machines.len() as u32);
                 } else {
-                    lock(&self.leader).fleet.refused.remove(&place);
+                    lock(&self.state).fleet.refused.remove(&place);
                 }
                 let mut transaction = Transaction::default()
                     .require(keys::provision_request(name), revision)
@@ -126,7 +127,7 @@
             Err(CloudError::NoCapacity) => {
                 tracing::info!(%name, kind = %record.kind, zone = %record.zone,
                     spot = record.spot, "no capacity");
-                refuse(self, record.count);
+                refuse(record.count);
                 let transaction = Transaction::default()
                     .require(keys::provision_request(name), revision)
                     .remove(keys::provision_request(name));
@@ -137,7 +138,7 @@
             Err(error) => {
                 tracing::info!(%name, %error, "provision request to be retried");
                 let pause = jitter::millis(1500, 3000);
-                lock(&self.leader)
+                lock(&self.state)
                     .fleet
                     .next_try
                     .insert(name.clone(), Instant::now() + pause);
@@ -150,8 +151,8 @@
     /// these are written together.
     pub(super) async fn write_addresses(&self) {
         let transaction = {
-            let cache = self.store.cache();
-            let mut state = lock(&self.leader);
+            let cache = self.context.store.cache();
+            let mut state = lock(&self.state);
             if state
                 .fleet
                 .last_addresses
@@ -167,7 +168,7 @@
                 if record.address.as_ref() == Some(address) {
                     continue;
                 }
-                let full = changed.len() >= self.config.state.txn_ops / 2;
+                let full = changed.len() >= self.context.config.state.txn_ops / 2;
                 if full && !changed.contains_key(&record.machine_group) {
                     continue;
                 }
--- a/src/coordination/leader/fleet/release.rs
+++ b/src/coordination/leader/fleet/release.rs
@@ -9,11 +9,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    coordination::{
-        clients::PeerRequest,
-        controller::{Controller, lock},
-        policy::placement,
-    },
+    coordination::{clients::PeerRequest, context::lock, leader::Leader, policy::placement},
     storage::{
         ControllerName, JobKind, MachineId, ProvisionId, Resources, Revision, StateCache, TaskId,
         Transaction, jitter, keys,
@@ -31,7 +27,7 @@
 /// Names in one call of the cloud.
 const MAX_MACHINES_PER_RELEASE: usize = 100;
 
-impl Controller {
+impl Leader {
     /// Whether the replicas on a machine would fit on the others.
     pub(super) fn can_relocate_replicas(
         &self,
@@ -49,8 +45,8 @@
         let mut candidates = super::super::routing::candidate_machines(
             cache,
             &usable,
-            self.config.now_ms(),
-            self.config.tuning.paid,
+            self.context.config.now_ms(),
+            self.context.config.tuning.paid,
         )
         .candidates;
         for placed in cache
@@ -65,7 +61,7 @@
             if spec.kind != JobKind::Service {
                 continue;
             }
-            let now = (self.config.wall)();
+            let now = (self.context.config.wall)();
             if spec.spread && spec.tasks > 1 || spec.one_zone || spec.age(now) < MIN_AGE_TO_MOVE {
                 return false;
             }
@@ -81,8 +77,8 @@
     pub(super) async fn move_replicas(&self) {
         let mut preemptions: BTreeMap<ControllerName, Vec<TaskId>> = BTreeMap::new();
         {
-            let cache = self.store.cache();
-            let mut state = lock(&self.leader);
+            let cache = self.context.store.cache();
+            let mut state = lock(&self.state);
             if !state.unplaced.is_empty() {
                 return;
             }
@@ -136,11 +132,12 @@
     ) {
         self.add_mates(&mut preemptions);
         for (controller, tasks) in preemptions {
-            if controller == self.config.name {
-                self.accept_preemptions(tasks);
+            if controller == self.context.config.name {
+                self.owner.accept_preemptions(tasks);
             } else {
                 // Unanswered: asked for again as long as it is wanted.
                 let _ = self
+                    .context
                     .peers
                     .call(&controller, PeerRequest::Preempt(tasks))
                     .await;
@@ -150,7 +147,7 @@
 
     /// A gang saves only if all of it is told to stop within `gang_peer_s`.
     fn add_mates(&self, preemptions: &mut BTreeMap<ControllerName, Vec<TaskId>>) {
-        let cache = self.store.cache();
+        let cache = self.context.store.cache();
         let stopped: Vec<TaskId> = preemptions.values().flatten().cloned().collect();
         for task in stopped {
             let Some(job) = cache.jobs.get(&task.job) else {
@@ -175,8 +172,8 @@
 
     pub(super) fn send_releases(self: &Arc<Self>, budget: &Arc<RateLimiter>) {
         let due: Vec<MachineId> = {
-            let cache = self.store.cache();
-            let mut state = lock(&self.leader);
+            let cache = self.context.store.cache();
+            let mut state = lock(&self.state);
             let due: Vec<MachineId> = state
                 .releasing
                 .iter()
@@ -206,19 +203,19 @@
         if due.is_empty() {
             return;
         }
-        let controller = self.clone();
+        let leader = self.clone();
         let budget = budget.clone();
         tokio::spawn(async move {
             budget.acquire(1.0, RequestPriority::Fencing).await;
-            let answer = controller.cloud.release(&due).await;
+            let answer = leader.context.cloud.release(&due).await;
             match answer {
-                Ok(()) => controller.record_terminated(&due).await,
+                Ok(()) => leader.record_terminated(&due).await,
                 Err(error) => {
                     tracing::info!(%error, machines = due.len(), "release to be retried");
-                    controller.pause(jitter::millis(800, 1600)).await;
+                    leader.context.pause(jitter::millis(800, 1600)).await;
                 }
             }
-            let mut state = lock(&controller.leader);
+            let mut state = lock(&leader.state);
             for id in &due {
                 if let Some(item) = state.releasing.get_mut(id) {
                     item.in_flight = false;
@@ -230,7 +227,7 @@
     /// Their return was answered: they and all on them are gone.
     pub(super) async fn record_terminated(&self, machines: &[MachineId]) {
         let parts = {
-            let cache = self.store.cache();
+            let cache = self.context.store.cache();
             let mut groups: BTreeMap<&ProvisionId, MachineGroupRecord> = BTreeMap::new();
             for id in machines {
                 if let Some(record) = cache.machines.get(id)
@@ -245,7 +242,7 @@
             }
             let groups: Vec<(&ProvisionId, MachineGroupRecord)> = groups.into_iter().collect();
             let parts = groups
-                .chunks((self.config.state.txn_ops / 2).max(1))
+                .chunks((self.context.config.state.txn_ops / 2).max(1))
                 .map(|part| {
                     let mut transaction = Transaction::default();
                     for (name, group) in part {
@@ -266,7 +263,7 @@
             parts.collect::<Vec<_>>()
         };
         {
-            let mut state = lock(&self.leader);
+            let mut state = lock(&self.state);
             let now = Instant::now();
             state
                 .fleet
@@ -281,10 +278,10 @@
             {
                 // They are returned again, which changes nothing, until the
                 // records say so.
-                self.store.read_barrier().await;
+                self.context.store.read_barrier().await;
             }
         }
         tracing::info!(?machines, "machines released");
-        self.leader_wakeup.notify_one();
+        self.context.leader_wakeup.notify_one();
     }
 }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -10,7 +10,7 @@
 
 use std::{
     collections::{BTreeMap, BTreeSet},
-    sync::Arc,
+    sync::{Arc, Mutex},
     time::Duration,
 };
 
@@ -19,7 +19,10 @@
 use crate::{
     coordination::{
         clients::{IndirectHeartbeat, OwnedMachine, PeerRequest, ProtocolVersion, StatusMessage},
-        controller::{Controller, lock},
+        context::{Context, lock},
+        owner::ShardOwner,
+        peer_liveness::PeerLiveness,
+        quota_exchange::QuotaExchange,
     },
     storage::{
         CommitError, ControllerName, Incarnation, JobId, JobOutcome, MachineId, Quota, Revision,
@@ -58,7 +61,7 @@
 }
 
 #[derive(Default)]
-pub struct LeaderState {
+struct LeaderState {
     lease: Option<LeaseId>,
     since: Option<Instant>,
     statuses: BTreeMap<ControllerName, PeerStatus>,
@@ -85,17 +88,17 @@
     moving: BTreeMap<ShardId, (ControllerName, Instant)>,
     /// When changes of machines' use within their shards were last written.
     last_use_write: Option<Instant>,
-    pub(super) releasing: BTreeMap<MachineId, fleet::PendingRelease>,
+    releasing: BTreeMap<MachineId, fleet::PendingRelease>,
     owner_unreachable: BTreeMap<MachineId, ControllerName>,
     miss_rate: miss_rate::MissRateWindow,
-    pub(super) fleet: fleet::FleetState,
+    fleet: fleet::FleetState,
     /// The outcome of a commit is unknown: our record is written anew, which
     /// voids it, before anything else is decided.
     has_commit_in_doubt: bool,
 }
 
 impl LeaderState {
-    pub(super) fn reset(&mut self, _revision: Revision, lease: LeaseId) {
+    fn reset(&mut self, lease: LeaseId) {
         let statuses = std::mem::take(&mut self.statuses);
         // A process may lead a second time. Names of provision requests contain its incarnation
         // and this number, and must never be used again: the cloud would answer
@@ -113,7 +116,7 @@
     /// The lease that our claim is attached to once it is next written anew. Without
     /// it a leader that was elected unawares could never write its record anew,
     /// and so could not act after its first commit without an answer.
-    pub(super) fn adopt_lease(&mut self, lease: LeaseId) {
+    fn adopt_lease(&mut self, lease: LeaseId) {
         if self.lease != Some(lease) {
             self.lease = Some(lease);
             self.since.get_or_insert_with(Instant::now);
@@ -121,7 +124,7 @@
         }
     }
 
-    pub(super) fn record_status(&mut self, status: StatusMessage, at: Instant) {
+    fn record_status(&mut self, status: StatusMessage, at: Instant) {
         let known = self
             .statuses
             .get(&status.controller)
@@ -159,7 +162,7 @@
     }
 
     /// Whether an owner has heard this machine's agent, so that it is up.
-    pub(super) fn is_up(&self, cache: &StateCache, machine: &MachineId) -> bool {
+    fn is_up(&self, cache: &StateCache, machine: &MachineId) -> bool {
         cache
             .machines
             .get(machine)
@@ -217,21 +220,65 @@
     in_flight
 }
 
-impl Controller {
+/// The duty that leads the cluster, while this process is its leader.
+pub(super) struct Leader {
+    context: Arc<Context>,
+    /// The shard owner of this very process, which needs no message.
+    owner: Arc<ShardOwner>,
+    quota: Arc<QuotaExchange>,
+    liveness: Arc<PeerLiveness>,
+    state: Mutex<LeaderState>,
+}
+
+impl Leader {
+    /// Not elected yet.
+    pub(super) fn new(
+        context: Arc<Context>,
+        owner: Arc<ShardOwner>,
+        quota: Arc<QuotaExchange>,
+        liveness: Arc<PeerLiveness>,
+    ) -> Self {
+        Self {
+            context,
+            owner,
+            quota,
+            liveness,
+            state: Mutex::default(),
+        }
+    }
+
+    /// This process was elected; its claim is attached to this lease.
+    pub(super) fn reset(&self, lease: LeaseId) {
+        lock(&self.state).reset(lease);
+    }
+
+    /// The lease of a process that leads, however it learned of its election.
+    pub(super) fn adopt_lease(&self, lease: LeaseId) {
+        lock(&self.state).adopt_lease(lease);
+    }
+
+    /// Keeps a controller's full status.
+    pub(super) fn record_status(&self, status: StatusMessage, at: Instant) {
+        lock(&self.state).record_status(status, at);
+    }
+
     /// Duty: the leader's quick loop. On a controller that does not lead it waits.
-    pub(super) async fn run_leader(self: &Arc<Self>) {
-        let mut changes = self.store.changes();
-        while !self.stop.is_cancelled() {
+    pub(super) async fn run(self: &Arc<Self>) {
+        let mut changes = self.context.store.changes();
+        while !self.context.shutdown.is_cancelled() {
             tokio::select! {
                 biased;
-                _ = self.stop.cancelled() => return,
+                _ = self.context.shutdown.cancelled() => return,
                 _ = changes.changed() => {}
-                _ = self.leader_wakeup.notified() => {}
+                _ = self.context.leader_wakeup.notified() => {}
                 _ = tokio::time::sleep(Duration::from_millis(500)) => {}
             }
             changes.mark_unchanged();
             let started = Instant::now();
-            if self.store.is_loaded() && self.store.is_reachable() && self.leadership().is_some() {
+            if self.context.store.is_loaded()
+                && self.context.store.is_reachable()
+                && self.context.leadership().is_some()
+            {
                 self.run_leader_pass().await;
             }
             // A controller that is short of processor time makes fewer passes.
@@ -243,16 +290,26 @@
     }
 
     async fn run_leader_pass(self: &Arc<Self>) {
-        if lock(&self.leader).has_commit_in_doubt && !self.resolve_leader_commit_in_doubt().await {
+        if lock(&self.state).has_commit_in_doubt && !self.resolve_leader_commit_in_doubt().await {
             return;
         }
         // Routing never waits for the state service's limit of changes: what has to
         // be written waits for a pass in which it may be.
-        if self.store.commit_wait(RequestPriority::Fencing).is_none() {
+        if self
+            .context
+            .store
+            .commit_wait(RequestPriority::Fencing)
+            .is_none()
+        {
             self.write_format().await;
             self.plan_shards().await;
         }
-        if self.store.commit_wait(RequestPriority::Placement).is_none() {
+        if self
+            .context
+            .store
+            .commit_wait(RequestPriority::Placement)
+            .is_none()
+        {
             self.clean_up().await;
         }
         self.route().await;
@@ -264,15 +321,15 @@
         transaction: Transaction,
         priority: RequestPriority,
     ) -> Result<Revision, CommitError> {
-        let Some(revision) = self.leadership() else {
+        let Some(revision) = self.context.leadership() else {
             return Err(CommitError::Conflict(vec![keys::LEADER.into()]));
         };
         let transaction = transaction.require(keys::LEADER.into(), revision);
-        let result = self.store.commit(&transaction, priority).await;
+        let result = self.context.store.commit(&transaction, priority).await;
         if let Err(error) = &result {
             tracing::debug!(%error, "leader's commit failed");
             if error.is_unknown() {
-                lock(&self.leader).has_commit_in_doubt = true;
+                lock(&self.state).has_commit_in_doubt = true;
             }
         }
         result
@@ -281,26 +338,27 @@
     /// Writes our record anew: commits of ours that may still be on their way
     /// are conditional on the old one.
     async fn resolve_leader_commit_in_doubt(&self) -> bool {
-        let Some(lease) = lock(&self.leader).lease else {
+        let Some(lease) = lock(&self.state).lease else {
             return false;
         };
-        let Some(revision) = self.leadership() else {
+        let Some(revision) = self.context.leadership() else {
             return false;
         };
         let record = LeaderRecord {
-            controller: self.config.name.clone(),
-            incarnation: self.config.incarnation,
+            controller: self.context.config.name.clone(),
+            incarnation: self.context.config.incarnation,
         };
         let transaction = Transaction::default()
             .require(keys::LEADER.into(), revision)
             .set_with(keys::LEADER.into(), &record, Some(lease));
         let done = self
+            .context
             .store
             .commit(&transaction, RequestPriority::Fencing)
             .await
             .is_ok();
-        if done && self.store.read_barrier().await {
-            lock(&self.leader).has_commit_in_doubt = false;
+        if done && self.context.store.read_barrier().await {
+            lock(&self.state).has_commit_in_doubt = false;
             return true;
         }
         false
@@ -308,12 +366,16 @@
 
     /// Writes down what all controllers can read, as soon as each has said so.
     async fn write_format(&self) {
-        let common = self.common_protocol_version().unwrap_or_default();
+        let common = {
+            let cache = self.context.store.cache();
+            self.liveness.common_protocol_version(&self.context, &cache)
+        };
+        let common = common.unwrap_or_default();
         if common == ProtocolVersion::default() {
             return;
         }
         let revision = {
-            let cache = self.store.cache();
+            let cache = self.context.store.cache();
             match &cache.common_version {
                 Some(entry) if entry.value.protocol_version >= common.0 => return,
                 Some(entry) => entry.revision,
@@ -341,11 +403,11 @@
     async fn plan_shards(self: &Arc<Self>) {
         let transfers = self.controllers_transfer();
         let (changed, transaction) = {
-            let cache = self.store.cache();
+            let cache = self.context.store.cache();
             if !self.has_applied_election(&cache) {
                 return;
             }
-            let mut state = lock(&self.leader);
+            let mut state = lock(&self.state);
             state.moving.retain(|id, (to, at)| {
                 at.elapsed() < Duration::from_secs(20)
                     && cache
@@ -370,14 +432,14 @@
                 avoided_owners: state.fleet.avoided_owners.keys().cloned().collect(),
                 deficit: std::mem::take(&mut state.deficit),
                 reserved: state.reserved.clone(),
-                max_changes: self.config.state.txn_ops.min(OPS_PER_COMMIT),
+                max_changes: self.context.config.state.txn_ops.min(OPS_PER_COMMIT),
                 controllers_transfer: transfers,
                 free: state.free.clone(),
                 in_flight: quota_in_flight(&cache, &state.offered),
                 demand: state.demand.clone(),
             };
             drop(state);
-            let changed = shards::plan(&cache, &self.config.teams, &inputs);
+            let changed = shards::plan(&cache, &self.context.config.teams, &inputs);
             let transaction = changed.transaction(&cache);
             (changed, transaction)
         };
@@ -400,11 +462,11 @@
                     );
                 }
                 // The next pass wants the cache to have caught up.
-                self.store.read_barrier().await;
-                self.leader_wakeup.notify_one();
+                self.context.store.read_barrier().await;
+                self.context.leader_wakeup.notify_one();
             }
             Err(_) => {
-                self.store.read_barrier().await;
+                self.context.store.read_barrier().await;
             }
         }
     }
@@ -414,8 +476,8 @@
     /// written one by one that took so much of the leader's part of the state service's
     /// changes that the machines it held itself were not served.
     fn is_deferred(&self, changed: &shards::ShardPlanChanges) -> bool {
-        let can_wait = changed.can_wait(&self.store.cache());
-        let mut state = lock(&self.leader);
+        let can_wait = changed.can_wait(&self.context.store.cache());
+        let mut state = lock(&self.state);
         let is_due = state
             .last_use_write
             .is_none_or(|at| at.elapsed() >= USE_WRITE_INTERVAL);
@@ -433,12 +495,12 @@
     async fn clean_up(&self) {
         let mut parts: Vec<Transaction> = Vec::new();
         {
-            let cache = self.store.cache();
+            let cache = self.context.store.cache();
             let caught_up = cache
                 .machine_groups
                 .values()
                 .all(|entry| entry.revision <= cache.revision);
-            let most = self.config.state.txn_ops;
+            let most = self.context.config.state.txn_ops;
             for id in &cache.pending_cleanup {
                 if parts.len() >= MAX_CLEANUP_TRANSACTIONS / 2 {
                     break;
@@ -484,7 +546,7 @@
                 }
             }
             if caught_up {
-                let mut state = lock(&self.leader);
+                let mut state = lock(&self.state);
                 self.unplace_lost_tasks(&cache, &mut state.lost_since, &mut parts);
             }
         }
@@ -493,9 +555,10 @@
         while let Some(mut group) = parts.next() {
             // Several in one commit, as far as they have room in it.
             while let Some(next) = parts.next_if(|next| {
-                group.ops.len() + next.ops.len() <= self.config.state.txn_ops.min(OPS_PER_COMMIT)
+                group.ops.len() + next.ops.len()
+                    <= self.context.config.state.txn_ops.min(OPS_PER_COMMIT)
                     && group.conditions.len() + next.conditions.len()
-                        < 3 * self.config.state.txn_ops
+                        < 3 * self.context.config.state.txn_ops
             }) {
                 group.absorb(next);
             }
@@ -504,15 +567,20 @@
                 .await
                 .is_err()
             {
-                self.store.read_barrier().await;
+                self.context.store.read_barrier().await;
                 break;
             }
-            if self.store.commit_wait(RequestPriority::Placement).is_some() {
+            if self
+                .context
+                .store
+                .commit_wait(RequestPriority::Placement)
+                .is_some()
+            {
                 break;
             }
         }
         if more {
-            self.leader_wakeup.notify_one();
+            self.context.leader_wakeup.notify_one();
         }
     }
 
@@ -574,9 +642,9 @@
 
     async fn route(self: &Arc<Self>) {
         let routed = {
-            let cache = self.store.cache();
+            let cache = self.context.store.cache();
             if cache.waiting.is_empty() {
-                let mut state = lock(&self.leader);
+                let mut state = lock(&self.state);
                 state.offered.clear();
                 state.unplaced.clear();
                 state.routing_counts = Default::default();
@@ -586,9 +654,9 @@
                 return;
             }
             let now = Instant::now();
-            let wall = (self.config.wall)();
-            let estimator = lock(&self.estimator);
-            let mut state = lock(&self.leader);
+            let wall = (self.context.config.wall)();
+            let estimator = lock(&self.context.estimator);
+            let mut state = lock(&self.state);
             let LeaderState {
                 statuses,
                 fleet,
@@ -609,7 +677,7 @@
                     }
                 }
             }
-            let unresponsive_after = self.config.unresponsive_after();
+            let unresponsive_after = self.context.config.unresponsive_after();
             let usable = |controller: &ControllerName, id: &MachineId| {
                 let peer = statuses.get(controller)?;
                 let held = peer.owned.get(id)?;
@@ -633,13 +701,13 @@
             let free_capacity = routing::candidate_machines(
                 &cache,
                 &usable,
-                self.config.now_ms(),
-                self.config.tuning.paid,
+                self.context.config.now_ms(),
+                self.context.config.tuning.paid,
             );
             *free = free_capacity.free_quota();
             let routing = routing::RoutingPass {
                 cache: &cache,
-                teams: &self.config.teams,
+                teams: &self.context.config.teams,
                 free_capacity,
                 offered,
                 pending_preemptions,
@@ -648,9 +716,9 @@
                 gangs,
                 expired_offers,
                 failing: &failing,
-                changes_per_transaction: self.config.state.txn_ops,
-                start_target: self.config.tuning.start_target,
-                offer_ttl: self.config.tuning.offer,
+                changes_per_transaction: self.context.config.state.txn_ops,
+                start_target: self.context.config.tuning.start_target,
+                offer_ttl: self.context.config.tuning.offer,
                 now,
                 wall,
                 factor: &|class| estimator.factor(class),
@@ -663,41 +731,43 @@
             state.unplaced = std::mem::take(&mut routed.unplaced);
             state.routing_counts = routed.counts;
             if !state.deficit.is_empty() {
-                self.leader_wakeup.notify_one();
+                self.context.leader_wakeup.notify_one();
             }
             routed
         };
         self.write_zone_assignments(routed.zone_assignments).await;
         for (controller, tasks) in routed.preempt {
-            if controller == self.config.name {
-                self.accept_preemptions(tasks);
+            if controller == self.context.config.name {
+                self.owner.accept_preemptions(tasks);
                 continue;
             }
             let this = self.clone();
             tokio::spawn(async move {
                 // Unanswered: the room does not show and is asked for again.
                 let _ = this
+                    .context
                     .peers
                     .call(&controller, PeerRequest::Preempt(tasks))
                     .await;
             });
         }
         for (controller, offers) in routed.offers {
-            if controller == self.config.name {
-                self.accept_offers(offers);
+            if controller == self.context.config.name {
+                self.owner.accept_offers(offers);
                 continue;
             }
             let this = self.clone();
             tokio::spawn(async move {
                 let jobs: Vec<JobId> = offers.iter().map(|offer| offer.job.clone()).collect();
                 let sent = this
+                    .context
                     .peers
                     .call(&controller, PeerRequest::Offers(offers))
                     .await;
                 if sent.is_err() {
                     // It may have got them all the same; its commits would then
                     // win or lose like any other's.
-                    let mut state = lock(&this.leader);
+                    let mut state = lock(&this.state);
                     for job in jobs {
                         if let Some(tasks) = state.offered.get_mut(&job) {
                             tasks.retain(|_, offered| offered.controller != controller);
--- a/src/coordination/leader/quota_targets.rs
+++ b/src/coordination/leader/quota_targets.rs
@@ -5,11 +5,11 @@
 
 use tokio::time::Instant;
 
-use super::shards::Targets;
+use super::{Leader, shards::Targets};
 use crate::{
     coordination::{
         clients::{PeerRequest, QuotaTargets},
-        controller::{Controller, lock},
+        context::{lock, takes_part_in_transfers},
     },
     storage::StateCache,
 };
@@ -17,18 +17,18 @@
 /// Targets that have not changed are told again after this long.
 const REPEATED_AFTER: Duration = Duration::from_millis(500);
 
-impl Controller {
+impl Leader {
     /// Whether every living controller transfers quota. Otherwise the leader takes and
     /// grants it.
     pub(super) fn controllers_transfer(&self) -> bool {
-        if !self.knows_transfers() {
+        if !self.context.knows_transfers() {
             return false;
         }
-        let cache = self.store.cache();
+        let cache = self.context.store.cache();
         cache
             .controllers
             .keys()
-            .all(|controller| Self::takes_part(&cache, controller))
+            .all(|controller| takes_part_in_transfers(&cache, controller))
     }
 
     /// Whether the cache shows all that was written before we were elected. Our own claim
@@ -44,11 +44,11 @@
         if targets.is_empty() {
             return;
         }
-        let Some(leader) = self.leadership() else {
+        let Some(leader) = self.context.leadership() else {
             return;
         };
         {
-            let mut state = lock(&self.leader);
+            let mut state = lock(&self.state);
             let is_known = state
                 .sent_targets
                 .as_ref()
@@ -61,15 +61,15 @@
         for (controller, budgets) in targets {
             let budgets = budgets.clone();
             let targets = QuotaTargets { leader, budgets };
-            if *controller == self.config.name {
-                self.accept_quota_targets(targets);
+            if *controller == self.context.config.name {
+                self.quota.accept_targets(targets);
                 continue;
             }
             let (this, controller) = (self.clone(), controller.clone());
             tokio::spawn(async move {
                 // Unanswered: they are told again as long as quota is lacking.
                 let call = PeerRequest::SetQuotaTargets(targets);
-                let _ = this.peers.call(&controller, call).await;
+                let _ = this.context.peers.call(&controller, call).await;
             });
         }
     }
--- a/src/coordination/leader/zone_assignment.rs
+++ b/src/coordination/leader/zone_assignment.rs
@@ -11,10 +11,7 @@
 
 use tokio::time::Instant;
 
-use super::{
-    super::controller::{Controller, lock},
-    routing::ZoneAssignment,
-};
+use super::{super::context::lock, Leader, routing::ZoneAssignment};
 use crate::storage::{
     JobSpec, Revision, StateCache, Transaction, ZoneName, keys, rate_limiter::RequestPriority,
     state_cache::Job,
@@ -26,27 +23,32 @@
 /// Zones written in one pass.
 const ASSIGNMENTS_PER_PASS: usize = 4;
 
-impl Controller {
+impl Leader {
     /// Writes the zones that routing has chosen, or takes them back.
     pub(super) async fn write_zone_assignments(&self, changes: Vec<ZoneAssignment>) {
         for change in changes.into_iter().take(ASSIGNMENTS_PER_PASS) {
-            if self.store.commit_wait(RequestPriority::Placement).is_some()
+            if self
+                .context
+                .store
+                .commit_wait(RequestPriority::Placement)
+                .is_some()
                 || !self.may_change_assignment(&change)
             {
                 continue;
             }
-            let Some(transaction) = assignment_transaction(&self.store.cache(), &change) else {
+            let Some(transaction) = assignment_transaction(&self.context.store.cache(), &change)
+            else {
                 continue;
             };
             let written = self
                 .commit_as_leader(transaction, RequestPriority::Placement)
                 .await;
             if written.is_err() {
-                self.store.read_barrier().await;
+                self.context.store.read_barrier().await;
                 return;
             }
             tracing::debug!(job = %change.job, zone = ?change.zone, "zone assigned");
-            lock(&self.leader)
+            lock(&self.state)
                 .zone_assignments
                 .insert(change.job, Instant::now());
         }
@@ -54,7 +56,7 @@
 
     /// A zone may follow at once on the one that was taken back.
     fn may_change_assignment(&self, change: &ZoneAssignment) -> bool {
-        let mut state = lock(&self.leader);
+        let mut state = lock(&self.state);
         state.zone_assignments.retain(|_, at| at.elapsed() < REST);
         change.zone.is_some() || !state.zone_assignments.contains_key(&change.job)
     }
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -1,12 +1,9 @@
 //! A controller's membership: the lease that shows that the process lives and carries its
 //! claim to leadership. Both keys go when the lease does.
 
-use std::time::Duration;
+use std::{sync::Arc, time::Duration};
 
-use super::{
-    clients::ProtocolVersion,
-    controller::{Controller, lock},
-};
+use super::{clients::ProtocolVersion, context::Context, leader::Leader};
 use crate::storage::{
     client::LeaseId,
     jitter, keys,
@@ -15,14 +12,25 @@
     *,
 };
 
-impl Controller {
+/// The duty that keeps this process a member of the cluster, and stands for leadership.
+pub(super) struct Membership {
+    context: Arc<Context>,
+    leader: Arc<Leader>,
+}
+
+impl Membership {
+    /// Not a member yet.
+    pub(super) fn new(context: Arc<Context>, leader: Arc<Leader>) -> Self {
+        Self { context, leader }
+    }
+
     /// Duty: renews the lease, registers this process and stands for leadership.
-    pub(super) async fn run_membership(&self) {
-        let ttl = self.config.tuning.controller_lease;
+    pub(super) async fn run(&self) {
+        let ttl = self.context.config.tuning.controller_lease;
         let mut lease: Option<LeaseId> = None;
-        while !self.stop.is_cancelled() {
+        while !self.context.shutdown.is_cancelled() {
             let current = match lease {
-                Some(current) => match self.store.renew_lease(current).await {
+                Some(current) => match self.context.store.renew_lease(current).await {
                     Ok(()) => Some(current),
                     // It ended, and our keys with it.
                     Err(StateError::LeaseExpired) => {
@@ -46,50 +54,55 @@
                 continue;
             }
             if let Some(current) = lease
-                && self.store.is_loaded()
+                && self.context.store.is_loaded()
             {
                 self.campaign(current).await;
                 // Elected by a commit whose answer was lost: only the cache tells.
-                if self.leadership().is_some() {
-                    lock(&self.leader).adopt_lease(current);
+                if self.context.leadership().is_some() {
+                    self.leader.adopt_lease(current);
                 }
             }
-            let living = self.store.cache().controllers.len();
+            let living = self.context.store.cache().controllers.len();
             // The limits to come may hold from the time on when all can keep to them.
-            let lowered = self.all_support(ProtocolVersion::GANGS);
-            let leads = self.leadership().is_some();
-            self.store.share_limits(living, leads, lowered);
+            let lowered = self.context.all_support(ProtocolVersion::GANGS);
+            let leads = self.context.leadership().is_some();
+            self.context.store.share_limits(living, leads, lowered);
             let wait = if lease.is_some() { ttl / 5 } else { ttl / 20 };
-            if !self.pause(wait.mul_f64(jitter::uniform(0.8, 1.2))).await {
+            if !self
+                .context
+                .pause(wait.mul_f64(jitter::uniform(0.8, 1.2)))
+                .await
+            {
                 return;
             }
         }
     }
 
     async fn register(&self, ttl: Duration) -> Option<LeaseId> {
-        let lease = self.store.grant_lease(ttl).await.ok()?;
+        let lease = self.context.store.grant_lease(ttl).await.ok()?;
         let record = ControllerRecord {
-            incarnation: self.config.incarnation,
-            zone: self.config.zone.clone(),
-            protocol_version: self.config.protocol_version.0,
+            incarnation: self.context.config.incarnation,
+            zone: self.context.config.zone.clone(),
+            protocol_version: self.context.config.protocol_version.0,
         };
         // Whatever the key says of an earlier process, that one is dead. On the
         // condition of the revision that it has now: a registration of that
         // process, or an earlier try of ours, that is applied late would put the
         // key under a lease that ends, and take it away with it.
-        let key = keys::controller(&self.config.name);
-        let found = self.store.get(&key).await.ok()?;
+        let key = keys::controller(&self.context.config.name);
+        let found = self.context.store.get(&key).await.ok()?;
         let revision = found.map_or(Revision(0), |item| item.revision);
         let transaction = Transaction::default()
             .require(key.clone(), revision)
             .set_with(key, &record, Some(lease));
         match self
+            .context
             .store
             .commit(&transaction, RequestPriority::Fencing)
             .await
         {
             Ok(_) => {
-                tracing::info!(incarnation = %self.config.incarnation, "controller registered");
+                tracing::info!(incarnation = %self.context.config.incarnation, "controller registered");
                 Some(lease)
             }
             Err(error) => {
@@ -102,24 +115,25 @@
     /// The cache, which holds our own commits from their answer on, shows no
     /// registration of ours.
     fn is_unregistered(&self) -> bool {
-        self.store.is_loaded()
+        self.context.store.is_loaded()
             && self
+                .context
                 .store
                 .cache()
                 .controllers
-                .get(&self.config.name)
-                .is_none_or(|entry| entry.value.incarnation != self.config.incarnation)
+                .get(&self.context.config.name)
+                .is_none_or(|entry| entry.value.incarnation != self.context.config.incarnation)
     }
 
     async fn campaign(&self, lease: LeaseId) {
         let expected = {
-            let cache = self.store.cache();
+            let cache = self.context.store.cache();
             match &cache.leader {
                 None => Revision(0),
                 // Left by an earlier process of this controller, which is dead.
                 Some(entry)
-                    if entry.value.controller == self.config.name
-                        && entry.value.incarnation != self.config.incarnation =>
+                    if entry.value.controller == self.context.config.name
+                        && entry.value.incarnation != self.context.config.incarnation =>
                 {
                     entry.revision
                 }
@@ -127,21 +141,22 @@
             }
         };
         let record = LeaderRecord {
-            controller: self.config.name.clone(),
-            incarnation: self.config.incarnation,
+            controller: self.context.config.name.clone(),
+            incarnation: self.context.config.incarnation,
         };
         let transaction = Transaction::default()
             .require(keys::LEADER.into(), expected)
             .set_with(keys::LEADER.into(), &record, Some(lease));
         match self
+            .context
             .store
             .commit(&transaction, RequestPriority::Fencing)
             .await
         {
             Ok(revision) => {
                 tracing::info!(%revision, "leader elected");
-                lock(&self.leader).reset(revision, lease);
-                self.leader_wakeup.notify_one();
+                self.leader.reset(lease);
+                self.context.leader_wakeup.notify_one();
             }
             Err(error) => tracing::debug!(%error, "leader election lost"),
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,21 +1,25 @@
 //! Who may do what, and what is done: leadership, shards, fencing, recovery,
 //! and the policy as pure functions.
 
-pub mod agent_state;
+mod agent_state;
 pub mod clients;
 pub mod config;
+pub mod context;
 pub mod controller;
 pub mod heartbeats;
+mod indirect_heartbeats;
 pub mod jobs;
-pub mod leader;
-pub mod membership;
-pub mod owner;
+mod leader;
+mod membership;
+mod owner;
 pub mod peer_exchange;
+mod peer_liveness;
 pub mod policy;
 mod quota_exchange;
-pub mod run_time_estimator;
+mod run_time_estimator;
 mod startup;
 mod zone_usage;
 
 pub use config::{Config, Tuning};
+pub use context::Clients;
 pub use controller::Controller;
--- a/src/coordination/owner/commands.rs
+++ b/src/coordination/owner/commands.rs
@@ -4,19 +4,16 @@
 
 use tokio::time::Instant;
 
+use super::ShardOwner;
 use crate::{
-    coordination::{
-        agent_state::MessageSource,
-        clients::Command,
-        controller::{Controller, lock},
-    },
+    coordination::{agent_state::MessageSource, clients::Command, context::lock},
     storage::{AgentEpoch, MachineId, Token},
 };
 
 /// Unresponsive machines probed at a time.
 const MAX_PROBES: usize = 48;
 
-impl Controller {
+impl ShardOwner {
     /// Sends commands directly; the next answer to a heartbeat repeats them. A
     /// start is for the epoch that its placement names: executed in a later
     /// one, it would run although the placement counts as gone.
@@ -28,11 +25,11 @@
     ) {
         let starts = epoch.is_some();
         let (address, epoch, token) = {
-            let cache = self.store.cache();
-            let Some((_, shard)) = self.own_shard_of(&cache, &machine) else {
+            let cache = self.context.store.cache();
+            let Some((_, shard)) = self.context.own_shard_of(&cache, &machine) else {
                 return;
             };
-            let mut state = lock(&self.owner);
+            let mut state = lock(&self.state);
             let Some(agent) = state.agents.get_mut(&machine) else {
                 return;
             };
@@ -45,19 +42,20 @@
             let epoch = epoch.unwrap_or(agent.epoch);
             (address, epoch, Token::from(shard.revision))
         };
-        let controller = self.clone();
+        let owner = self.clone();
         tokio::spawn(async move {
             let answer = {
                 // Bounds the sockets that commands take.
-                let _place = controller.commands_in_flight.acquire().await;
-                controller
+                let _place = owner.commands_in_flight.acquire().await;
+                owner
+                    .context
                     .agent_client
                     .send_commands(&address, token, epoch, &commands)
                     .await
             };
             let now = Instant::now();
-            let cache = controller.store.cache();
-            let mut state = lock(&controller.owner);
+            let cache = owner.context.store.cache();
+            let mut state = lock(&owner.state);
             let Some(agent) = state.agents.get_mut(&machine) else {
                 return;
             };
@@ -70,10 +68,10 @@
                         tracing::debug!(%machine, %token, "commands not executed");
                     }
                     agent.apply(&answer.heartbeat, MessageSource::Direct, now);
-                    controller.note_results(&mut state, &cache, &machine, now);
+                    owner.note_results(&mut state, &cache, &machine, now);
                     drop(state);
                     drop(cache);
-                    controller.owner_wakeup.notify_one();
+                    owner.context.owner_wakeup.notify_one();
                 }
                 Err(error) => {
                     tracing::debug!(%machine, %error, "commands unanswered");
@@ -87,12 +85,12 @@
 
     /// Duty: probes machines whose heartbeats are missing.
     pub(in crate::coordination) async fn probe_unresponsive(&self) {
-        while self.pause(Duration::from_millis(700)).await {
+        while self.context.pause(Duration::from_millis(700)).await {
             let unresponsive: Vec<(MachineId, Option<String>)> = {
-                let cache = self.store.cache();
+                let cache = self.context.store.cache();
                 let now = Instant::now();
-                let mut state = lock(&self.owner);
-                let after = self.config.heartbeat_interval.mul_f64(1.3);
+                let mut state = lock(&self.state);
+                let after = self.context.config.heartbeat_interval.mul_f64(1.3);
                 state
                     .agents
                     .iter_mut()
@@ -116,8 +114,8 @@
             let probes = unresponsive.into_iter().map(|(id, address)| async move {
                 // Never seen up: it is booting, and the leader minds that.
                 let Some(address) = address else { return };
-                let answer = self.agent_client.inspect(&address).await;
-                let mut state = lock(&self.owner);
+                let answer = self.context.agent_client.inspect(&address).await;
+                let mut state = lock(&self.state);
                 let Some(agent) = state.agents.get_mut(&id) else {
                     return;
                 };
--- a/src/coordination/owner/commits.rs
+++ b/src/coordination/owner/commits.rs
@@ -5,14 +5,12 @@
 use tokio::time::Instant;
 
 use super::{
+    ShardOwner,
     placement::depends_on_all_records,
     planned_changes::{PlannedChanges, RecordChange},
 };
 use crate::{
-    coordination::{
-        clients::Command,
-        controller::{Controller, lock},
-    },
+    coordination::{clients::Command, context::lock},
     storage::{
         AgentEpoch, CommitError, JobOutcome, MachineId, Priority, Revision, StateCache,
         Transaction, keys, rate_limiter::RequestPriority, records::OutcomeRecord,
@@ -29,14 +27,18 @@
 /// Idle work gets a commit at least this often, however much others write.
 const IDLE_WORK_MAX_DELAY: Duration = Duration::from_secs(2);
 
-impl Controller {
+impl ShardOwner {
     /// Writes what it can of the changes: the most pressing first, and no more
     /// than the state service's limits allow now. The rest is planned again.
     pub(super) async fn commit_changes(self: &Arc<Self>, changes: PlannedChanges) {
         let mut parts: Vec<(Transaction, RecordChange)> = Vec::new();
         let allocation = {
-            let cache = self.store.cache();
-            let Some(allocation) = self.own_allocation(&cache).map(|entry| entry.revision) else {
+            let cache = self.context.store.cache();
+            let Some(allocation) = self
+                .context
+                .own_allocation(&cache)
+                .map(|entry| entry.revision)
+            else {
                 return;
             };
             for (_, mut change) in changes.0 {
@@ -68,8 +70,14 @@
             if !self.commit_group(allocation, group).await {
                 return;
             }
-            if !parts.is_empty() && self.store.commit_wait(RequestPriority::Placement).is_some() {
-                self.owner_wakeup.notify_one();
+            if !parts.is_empty()
+                && self
+                    .context
+                    .store
+                    .commit_wait(RequestPriority::Placement)
+                    .is_some()
+            {
+                self.context.owner_wakeup.notify_one();
                 return;
             }
         }
@@ -80,12 +88,12 @@
     /// took all of them for half a minute, in which replicas waited to be placed.
     fn may_write_idle_work(&self) -> bool {
         let now = Instant::now();
-        let mut state = lock(&self.owner);
+        let mut state = lock(&self.state);
         let since = *state.idle_work_delayed_since.get_or_insert(now);
         let is_due = now.duration_since(since) >= IDLE_WORK_MAX_DELAY;
         // Only looked at: a call that had to wait would make this controller try for more
         // than its part of the changes, at the others' expense.
-        if !is_due && self.store.spare_writes() < IDLE_WORK_MIN_SPARE {
+        if !is_due && self.context.store.spare_writes() < IDLE_WORK_MIN_SPARE {
             return false;
         }
         state.idle_work_delayed_since = None;
@@ -112,7 +120,7 @@
         } else {
             RECORDS_PER_COMMIT
         };
-        let most = self.config.state.txn_ops.min(most);
+        let most = self.context.config.state.txn_ops.min(most);
         let mut at = 0;
         while at < parts.len() && ops < most {
             let (part, change) = &parts[at];
@@ -120,7 +128,7 @@
                 && !change.shared
                 && change.idle_work == idle_work
                 && ops + part.ops.len() <= most
-                && conditions + part.conditions.len() <= 4 * self.config.state.txn_ops
+                && conditions + part.conditions.len() <= 4 * self.context.config.state.txn_ops
             {
                 ops += part.ops.len();
                 conditions += part.conditions.len();
@@ -145,7 +153,8 @@
         let placed = entry.iter().flat_map(|entry| entry.value.placed.values());
         let mut machines = placed.map(|placement| &placement.machine);
         change.shared = machines.any(|machine| {
-            cache.machines.contains_key(machine) && self.own_shard_of(cache, machine).is_none()
+            cache.machines.contains_key(machine)
+                && self.context.own_shard_of(cache, machine).is_none()
         });
         let key = keys::run(&change.id, change.chunk);
         let mut part = Transaction::default().require(key.clone(), job.run_revision(change.chunk));
@@ -174,7 +183,7 @@
             part = part
                 .require(keys::outcome(&change.id), Revision(0))
                 .require(keys::spec(&change.id), job.spec.as_ref()?.revision);
-            if depends_on_all_records(spec, self.config.state.txn_ops) {
+            if depends_on_all_records(spec, self.context.config.state.txn_ops) {
                 for chunk in 0..spec.records() {
                     if chunk != change.chunk {
                         part = part.require(keys::run(&change.id, chunk), job.run_revision(chunk));
@@ -192,7 +201,7 @@
         allocation: Revision,
         mut group: Vec<(Transaction, RecordChange)>,
     ) -> bool {
-        let allocation_key = keys::allocation(&self.config.name);
+        let allocation_key = keys::allocation(&self.context.config.name);
         while !group.is_empty() {
             let fenced = group.iter().any(|(_, change)| change.fenced);
             let mut whole = Transaction::default();
@@ -202,32 +211,37 @@
             for (part, _) in &group {
                 whole.absorb(part.clone());
             }
-            match self.store.commit(&whole, RequestPriority::Placement).await {
+            match self
+                .context
+                .store
+                .commit(&whole, RequestPriority::Placement)
+                .await
+            {
                 Ok(_) => {
                     self.dispatch_starts(group);
-                    self.leader_wakeup.notify_one();
+                    self.context.leader_wakeup.notify_one();
                     return true;
                 }
                 Err(CommitError::Conflict(keys)) => {
                     tracing::debug!(?keys, "commit conflict");
                     if keys.contains(&allocation_key) {
                         // The leader has changed our budgets: plan again on them.
-                        self.store.read_barrier().await;
-                        self.owner_wakeup.notify_one();
+                        self.context.store.read_barrier().await;
+                        self.context.owner_wakeup.notify_one();
                         return false;
                     }
                     group.retain(|(part, _)| {
                         !part.conditions.iter().any(|(key, _)| keys.contains(key))
                     });
                     self.look_up_outcomes(&keys).await;
-                    self.owner_wakeup.notify_one();
+                    self.context.owner_wakeup.notify_one();
                 }
                 Err(error) => {
                     tracing::debug!(%error, "commit failed");
                     if error.is_unknown() && fenced {
-                        lock(&self.owner).has_commit_in_doubt = true;
+                        lock(&self.state).has_commit_in_doubt = true;
                     }
-                    self.pause(Duration::from_millis(100)).await;
+                    self.context.pause(Duration::from_millis(100)).await;
                     return false;
                 }
             }
@@ -237,11 +251,11 @@
 
     /// A job of ours turned out to be over.
     pub(super) async fn look_up_outcomes(&self, failed: &[String]) {
-        self.store.read_barrier().await;
+        self.context.store.read_barrier().await;
         for key in failed {
             if let Some(keys::Key::JobOutcome(job)) = keys::Key::parse(key) {
-                let _ = self.store.look_up_outcome(&job).await;
-                lock(&self.owner).offers.remove(&job);
+                let _ = self.context.store.look_up_outcome(&job).await;
+                lock(&self.state).offers.remove(&job);
             }
         }
     }
@@ -249,8 +263,8 @@
     pub(super) fn dispatch_starts(self: &Arc<Self>, group: Vec<(Transaction, RecordChange)>) {
         let mut by_machine: BTreeMap<(MachineId, AgentEpoch), Vec<Command>> = BTreeMap::new();
         {
-            let cache = self.store.cache();
-            let mut state = lock(&self.owner);
+            let cache = self.context.store.cache();
+            let mut state = lock(&self.state);
             for (_, change) in group {
                 for (task, machine, exit) in &change.ends {
                     self.learn_from(&mut state, &cache, task, machine, *exit);
--- a/src/coordination/owner/mod.rs
+++ b/src/coordination/owner/mod.rs
@@ -5,6 +5,7 @@
 mod commands;
 mod commits;
 mod failing_jobs;
+mod heartbeats;
 mod placement;
 mod planned_changes;
 mod results;
@@ -12,19 +13,20 @@
 
 use std::{
     collections::{BTreeMap, BTreeSet},
-    sync::Arc,
+    sync::{Arc, Mutex},
     time::Duration,
 };
 
 use failing_jobs::FailingJobs;
 use planned_changes::PlannedChanges;
-use tokio::time::Instant;
+use tokio::{sync::Semaphore, time::Instant};
 
 use crate::{
     coordination::{
         agent_state::AgentState,
         clients::{Exit, Offer, OwnedMachine, PeerRequest},
-        controller::{Controller, lock},
+        context::{Context, lock},
+        quota_exchange::QuotaExchange,
     },
     storage::{
         Attempt, JobId, MachineId, Quota, Revision, ShardId, StateCache, TaskId, TeamName, Token,
@@ -44,6 +46,8 @@
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(150);
 /// Unanswered starts wait this long for a heartbeat before the token is raised.
 const IN_DOUBT_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Direct commands under way at a time.
+const MAX_COMMANDS_IN_FLIGHT: usize = 64;
 
 #[derive(Debug)]
 struct PendingOffer {
@@ -62,32 +66,27 @@
 }
 
 #[derive(Default)]
-pub struct OwnerState {
-    pub(super) agents: BTreeMap<MachineId, AgentState>,
+struct OwnerState {
+    agents: BTreeMap<MachineId, AgentState>,
     /// The shards that the agent states were last aligned with.
     aligned: Vec<(ShardId, Revision)>,
     offers: BTreeMap<JobId, PendingOffer>,
-    pub(super) preempting: BTreeMap<TaskId, Attempt>,
+    preempting: BTreeMap<TaskId, Attempt>,
     /// Jobs with results to be written, since when.
     results: BTreeMap<JobId, Instant>,
     failing: FailingJobs,
     /// Since when changes of idle work wait for others to leave room for them.
     idle_work_delayed_since: Option<Instant>,
     /// Quota that tasks offered to us lack.
-    pub(super) deficit: BTreeMap<TeamName, Quota>,
+    deficit: BTreeMap<TeamName, Quota>,
     /// The outcome of a commit is unknown: nothing is placed before the allocation
     /// has a new revision, which voids whatever may still be on its way.
-    pub(super) has_commit_in_doubt: bool,
+    has_commit_in_doubt: bool,
 }
 
 impl OwnerState {
-    /// Machines held, jobs offered, jobs with results to be written.
-    pub(super) fn sizes(&self) -> (usize, usize, usize) {
-        (self.agents.len(), self.offers.len(), self.results.len())
-    }
-
     /// Quota of the tasks that are offered to us and not yet placed.
-    pub(super) fn offered_quota(&self, cache: &StateCache) -> BTreeMap<TeamName, Quota> {
+    fn offered_quota(&self, cache: &StateCache) -> BTreeMap<TeamName, Quota> {
         let mut offered: BTreeMap<TeamName, Quota> = BTreeMap::new();
         for (id, offer) in &self.offers {
             let Some(job) = cache.jobs.get(id) else {
@@ -103,21 +102,60 @@
         offered
     }
 
-    /// Jobs that fail on several machines, with what is left of their pauses.
-    pub(super) fn failing(&self, now: Instant) -> Vec<(JobId, Duration)> {
-        self.failing.paused(now)
-    }
-
     /// Whether the machine itself seems to be the cause of what failed on it.
     fn is_quarantined(&self, agent: &AgentState, now: Instant) -> bool {
         agent.is_quarantined(now, |job| self.failing.is_crash_looping(job))
     }
 }
 
-impl Controller {
+/// How much an owner has at hand, for the log.
+pub(super) struct OwnerSizes {
+    /// Machines owned.
+    pub(super) owned: usize,
+    /// Jobs of which the leader has offered tasks.
+    pub(super) offered: usize,
+    /// Jobs with results to be written.
+    pub(super) results: usize,
+}
+
+/// The duty that serves the shards which the leader leases to this process.
+pub(super) struct ShardOwner {
+    context: Arc<Context>,
+    quota: Arc<QuotaExchange>,
+    state: Mutex<OwnerState>,
+    /// Places for commands sent directly to agents.
+    commands_in_flight: Semaphore,
+}
+
+impl ShardOwner {
+    /// An owner of nothing yet.
+    pub(super) fn new(context: Arc<Context>, quota: Arc<QuotaExchange>) -> Self {
+        Self {
+            context,
+            quota,
+            state: Mutex::default(),
+            commands_in_flight: Semaphore::new(MAX_COMMANDS_IN_FLIGHT),
+        }
+    }
+
+    /// How much is at hand, for the log.
+    pub(super) fn sizes(&self) -> OwnerSizes {
+        let state = lock(&self.state);
+        OwnerSizes {
+            owned: state.agents.len(),
+            offered: state.offers.len(),
+            results: state.results.len(),
+        }
+    }
+
+    /// Jobs that fail on several machines, with what is left of their pauses.
+    pub(super) fn failing_jobs(&self, now: Instant) -> Vec<(JobId, Duration)> {
+        lock(&self.state).failing.paused(now)
+    }
+
     pub(super) fn accept_offers(&self, offers: Vec<Offer>) {
-        let until = Instant::now() + self.config.tuning.offer;
-        let mut state = lock(&self.owner);
+        let until = Instant::now() + self.context.config.tuning.offer;
+        let mut state = lock(&self.state);
         for offer in offers {
             if state.offers.len() >= MAX_OFFERS && !state.offers.contains_key(&offer.job) {
                 break;
@@ -130,12 +168,12 @@
             pending.until = until;
         }
         drop(state);
-        self.owner_wakeup.notify_one();
+        self.context.owner_wakeup.notify_one();
     }
 
     pub(super) fn accept_preemptions(&self, tasks: Vec<TaskId>) {
-        let cache = self.store.cache();
-        let mut state = lock(&self.owner);
+        let cache = self.context.store.cache();
+        let mut state = lock(&self.state);
         for task in tasks {
             let placement = cache
                 .jobs
@@ -150,13 +188,14 @@
         }
         drop(state);
         drop(cache);
-        self.owner_wakeup.notify_one();
+        self.context.owner_wakeup.notify_one();
     }
 
     pub(super) fn owned_machines(&self, now: Instant) -> Vec<OwnedMachine> {
-        let cache = self.store.cache();
-        let state = lock(&self.owner);
-        self.own_shards(&cache)
+        let cache = self.context.store.cache();
+        let state = lock(&self.state);
+        self.context
+            .own_shards(&cache)
             .flat_map(|(_, entry)| entry.value.machines.keys())
             .filter_map(|id| Some((id, state.agents.get(id)?)))
             .map(|(id, agent)| OwnedMachine {
@@ -166,7 +205,7 @@
                 quarantined: state.is_quarantined(agent, now),
                 leaving: agent.leaves_at.is_some(),
                 command_path_lost: agent
-                    .is_command_path_lost(self.config.command_path_timeout(), now),
+                    .is_command_path_lost(self.context.config.command_path_timeout(), now),
                 address: agent
                     .address
                     .clone()
@@ -189,19 +228,19 @@
     }
 
     /// Duty: the owner's loop.
-    pub(super) async fn run_owner(self: &Arc<Self>) {
-        let mut changes = self.store.changes();
-        while !self.stop.is_cancelled() {
+    pub(super) async fn run(self: &Arc<Self>) {
+        let mut changes = self.context.store.changes();
+        while !self.context.shutdown.is_cancelled() {
             tokio::select! {
                 biased;
-                _ = self.stop.cancelled() => return,
+                _ = self.context.shutdown.cancelled() => return,
                 _ = changes.changed() => {}
-                _ = self.owner_wakeup.notified() => {}
+                _ = self.context.owner_wakeup.notified() => {}
                 _ = tokio::time::sleep(Duration::from_millis(500)) => {}
             }
             changes.mark_unchanged();
             let started = Instant::now();
-            if self.store.is_loaded() {
+            if self.context.store.is_loaded() {
                 self.run_owner_round().await;
             }
             // Many changes come close together; one round serves them all. On a
@@ -215,9 +254,9 @@
 
     async fn run_owner_round(self: &Arc<Self>) {
         let (allocation, has_commit_in_doubt) = {
-            let cache = self.store.cache();
-            let allocation = self.own_allocation(&cache).cloned();
-            let mut state = lock(&self.owner);
+            let cache = self.context.store.cache();
+            let allocation = self.context.own_allocation(&cache).cloned();
+            let mut state = lock(&self.state);
             if allocation.is_some() {
                 self.align(&mut state, &cache);
             } else {
@@ -234,27 +273,34 @@
             return;
         }
         self.resolve_in_doubt_starts().await;
-        self.serve_quota_requests().await;
-        if lock(&self.owner).has_commit_in_doubt {
-            self.owner_wakeup.notify_one();
+        if self
+            .quota
+            .serve_requests(|cache| lock(&self.state).offered_quota(cache))
+            .await
+        {
+            lock(&self.state).has_commit_in_doubt = true;
+        }
+        if lock(&self.state).has_commit_in_doubt {
+            self.context.owner_wakeup.notify_one();
             return;
         }
-        self.seek_quota();
+        let deficit = lock(&self.state).deficit.clone();
+        self.quota.seek(&deficit);
         // Changes of the state service are scarce: what is planned only when one
         // may be made is not outdated when it is sent.
-        let wait = self.store.commit_wait(RequestPriority::Placement);
+        let wait = self.context.store.commit_wait(RequestPriority::Placement);
         let (changes, stops, remote_gang_members) = {
-            let cache = self.store.cache();
-            let Some(allocation) = self.own_allocation(&cache) else {
+            let cache = self.context.store.cache();
+            let Some(allocation) = self.context.own_allocation(&cache) else {
                 return;
             };
-            let mut state = lock(&self.owner);
+            let mut state = lock(&self.state);
             let now = Instant::now();
             state.failing.judge(&cache);
             let mut changes = PlannedChanges::default();
             if wait.is_none() {
                 self.collect_results(&mut state, &cache, now, &mut changes);
-                if self.store.is_reachable() {
+                if self.context.store.is_reachable() {
                     self.place_offers(&mut state, &cache, allocation, now, &mut changes);
                 }
             }
@@ -267,6 +313,7 @@
             tokio::spawn(async move {
                 // Unanswered: the gang falls back to its last checkpoint.
                 let _ = this
+                    .context
                     .peers
                     .call(&controller, PeerRequest::Preempt(tasks))
                     .await;
@@ -276,8 +323,8 @@
             self.send_commands(machine, None, commands);
         }
         if let Some(wait) = wait {
-            self.pause(wait).await;
-            self.owner_wakeup.notify_one();
+            self.context.pause(wait).await;
+            self.context.owner_wakeup.notify_one();
             return;
         }
         self.commit_changes(changes).await;
@@ -296,19 +343,20 @@
                 .is_some_and(|placement| placement.attempt == *attempt)
         });
         let shards: Vec<(ShardId, Revision)> = self
+            .context
             .own_shards(cache)
             .map(|(id, entry)| (id, entry.revision))
             .collect();
         if state.aligned == shards {
             return;
         }
-        self.startup.note_holding();
+        self.context.startup.note_holding();
         let now = Instant::now();
         agents.retain(|id, agent| {
-            self.own_shard_of(cache, id).is_some()
+            self.context.own_shard_of(cache, id).is_some()
                 && agent.acquired == Token::from(cache.owned_since(id))
         });
-        for (_, entry) in self.own_shards(cache) {
+        for (_, entry) in self.context.own_shards(cache) {
             for id in entry.value.machines.keys() {
                 agents
                     .entry(id.clone())
@@ -322,8 +370,8 @@
     /// on its way is not executed under a higher token.
     async fn resolve_in_doubt_starts(&self) {
         let in_doubt_start: Vec<(ShardId, Versioned<ShardRecord>)> = {
-            let cache = self.store.cache();
-            let state = lock(&self.owner);
+            let cache = self.context.store.cache();
+            let state = lock(&self.state);
             let mut found: BTreeMap<ShardId, Versioned<ShardRecord>> = BTreeMap::new();
             for (id, agent) in &state.agents {
                 let is_in_doubt = agent.in_doubt_start.is_some_and(|(token, at)| {
@@ -331,7 +379,7 @@
                         && agent.last_heartbeat > at
                         && token >= agent.token
                 });
-                if is_in_doubt && let Some((shard, entry)) = self.own_shard_of(&cache, id) {
+                if is_in_doubt && let Some((shard, entry)) = self.context.own_shard_of(&cache, id) {
                     // Raised already: the agent only has to hear of it.
                     let raised = agent
                         .in_doubt_start
@@ -349,6 +397,7 @@
                 .require(key.clone(), entry.revision)
                 .set(key, &entry.value);
             match self
+                .context
                 .store
                 .commit(&transaction, RequestPriority::Fencing)
                 .await
@@ -367,11 +416,12 @@
     /// Writes the allocation anew: no earlier commit of ours applies to its new
     /// revision.
     async fn resolve_commit_in_doubt(&self, allocation: &Versioned<AllocationRecord>) -> bool {
-        let key = keys::allocation(&self.config.name);
+        let key = keys::allocation(&self.context.config.name);
         let transaction = Transaction::default()
             .require(key.clone(), allocation.revision)
             .set(key, &allocation.value);
         match self
+            .context
             .store
             .commit(&transaction, RequestPriority::Fencing)
             .await
@@ -379,15 +429,15 @@
             Ok(revision) => {
                 tracing::debug!(%revision, "quota allocation rewritten");
                 // What was committed before it is in the cache only after this.
-                let fresh = self.store.read_barrier().await;
-                lock(&self.owner).has_commit_in_doubt = !fresh;
+                let fresh = self.context.store.read_barrier().await;
+                lock(&self.state).has_commit_in_doubt = !fresh;
                 fresh
             }
             Err(error) => {
                 tracing::debug!(%error, "cannot rewrite the quota allocation");
-                lock(&self.owner).has_commit_in_doubt |= error.is_unknown();
-                if !self.store.read_barrier().await {
-                    self.pause(Duration::from_millis(200)).await;
+                lock(&self.state).has_commit_in_doubt |= error.is_unknown();
+                if !self.context.store.read_barrier().await {
+                    self.context.pause(Duration::from_millis(200)).await;
                 }
                 false
             }
--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -12,16 +12,11 @@
         policy::zone_constraint::{CONDITIONS_PER_CHANGE, ZoneConstraint, ZoneScope},
         zone_usage,
     },
-    OwnerState,
+    OwnerState, ShardOwner,
     planned_changes::{PlannedChanges, RecordChange},
 };
 use crate::{
-    coordination::{
-        agent_state::AgentState,
-        clients::Command,
-        controller::{Controller, lock},
-        policy::placement,
-    },
+    coordination::{agent_state::AgentState, clients::Command, context::lock, policy::placement},
     storage::{
         AMOUNT_SLACK, JobId, JobKind, JobSpec, MachineId, Quota, ShardId, StateCache, TaskId,
         TeamName, ZoneName, keys,
@@ -134,7 +129,7 @@
     spec.is_zone_bound() && ZoneScope::of(spec, changes_per_transaction) == ZoneScope::WholeJob
 }
 
-impl Controller {
+impl ShardOwner {
     /// Free room on our machines, as far as it may be used now.
     fn candidates(
         &self,
@@ -143,10 +138,11 @@
         now: Instant,
     ) -> Vec<placement::CandidateMachine> {
         let mut candidates = Vec::new();
-        let now_ms = self.config.now_ms();
-        let quiet = self.config.heartbeat_interval.mul_f64(1.5);
-        let patience = self.config.command_path_timeout();
+        let now_ms = self.context.config.now_ms();
+        let quiet = self.context.config.heartbeat_interval.mul_f64(1.5);
+        let patience = self.context.config.command_path_timeout();
         let shards = self
+            .context
             .own_shards(cache)
             .filter(|(_, entry)| !entry.value.cordoned);
         for (id, usage) in shards.flat_map(|(_, entry)| &entry.value.machines) {
@@ -188,7 +184,7 @@
                 speed: agent.speed,
                 images: agent.images(),
                 leaves_in: (*usage == MachineUse::Draining)
-                    .then(|| self.config.tuning.paid.left(age)),
+                    .then(|| self.context.config.tuning.paid.left(age)),
             });
         }
         candidates
@@ -210,7 +206,7 @@
         // Also those that are still leased to the process before us: their tasks go on, and
         // our budgets count them. By our own shards alone, a restarted process used what
         // was in use already.
-        let machines = cache.machines_of(&self.config.name);
+        let machines = cache.machines_of(&self.context.config.name);
         let mut free = FreeResources {
             candidates: self.candidates(state, cache, now),
             used: cache.quota_used(machines),
@@ -242,7 +238,7 @@
         free: &mut FreeResources,
     ) -> Vec<(u32, usize)> {
         let OfferedJob { id, spec, job } = *offered;
-        let scope = ZoneScope::of(spec, self.config.state.txn_ops);
+        let scope = ZoneScope::of(spec, self.context.config.state.txn_ops);
         if zone_usage::needs_zone_assignment(spec, scope) {
             return Vec::new();
         }
@@ -295,9 +291,10 @@
         let OfferedJob { id, spec, job } = *offered;
         for (task, at) in chosen {
             let machine = &candidates[at].machine;
-            let (Some(agent), Some((shard, entry))) =
-                (state.agents.get(machine), self.own_shard_of(cache, machine))
-            else {
+            let (Some(agent), Some((shard, entry))) = (
+                state.agents.get(machine),
+                self.context.own_shard_of(cache, machine),
+            ) else {
                 continue;
             };
             let epoch = agent.epoch;
@@ -357,7 +354,7 @@
         job: &state_cache::Job,
         shard: ShardId,
     ) -> bool {
-        let changes = self.config.state.txn_ops;
+        let changes = self.context.config.state.txn_ops;
         let records = match job.spec() {
             Some(spec) if depends_on_all_records(spec, changes) => spec.records() as usize,
             _ => 1,
@@ -380,7 +377,7 @@
             return Vec::new();
         };
         let now = Instant::now();
-        let factor = lock(&self.estimator).factor(&spec.class);
+        let factor = lock(&self.context.estimator).factor(&spec.class);
         let quota = Quota::from(&spec.per_task);
         let mut admits = |candidate: &placement::CandidateMachine| {
             let after = team.used.plus(&quota);
--- a/src/coordination/owner/results.rs
+++ b/src/coordination/owner/results.rs
@@ -4,12 +4,12 @@
 
 use tokio::time::Instant;
 
-use super::{OwnerState, TaskOutcome, planned_changes::PlannedChanges};
+use super::{OwnerState, ShardOwner, TaskOutcome, planned_changes::PlannedChanges};
 use crate::{
     coordination::{
         agent_state::AgentState,
         clients::{Exit, TaskState},
-        controller::{Controller, lock},
+        context::lock,
     },
     storage::{Attempt, MachineId, StateCache, TaskId, records::Placement, state_cache},
 };
@@ -17,7 +17,7 @@
 /// A machine on which a job has failed does not get it again for this long.
 const REFUSAL_PERIOD: Duration = Duration::from_secs(60);
 
-impl Controller {
+impl ShardOwner {
     /// Whether a placed task of ours is over, as far as its machine's view tells.
     pub(super) fn task_outcome(
         &self,
@@ -51,7 +51,7 @@
 
     /// Notes which jobs have results on a machine whose view has just changed;
     /// true if there are any.
-    pub(in crate::coordination) fn note_results(
+    pub(super) fn note_results(
         &self,
         state: &mut OwnerState,
         cache: &StateCache,
@@ -99,7 +99,7 @@
     /// does not wait for them, nor does a result that ends the job, or our part
     /// of it.
     pub(super) fn result_patience(&self) -> Duration {
-        match self.store.spare_writes() {
+        match self.context.store.spare_writes() {
             spare if spare > 0.85 => Duration::from_millis(200),
             spare if spare > 0.6 => Duration::from_millis(1500),
             spare if spare > 0.3 => Duration::from_millis(4000),
@@ -146,7 +146,8 @@
             for (index, placement, outcome) in found {
                 let change = changes.of(id, job, index);
                 if outcome == TaskOutcome::Terminated
-                    && let Some((shard, entry)) = self.own_shard_of(cache, &placement.machine)
+                    && let Some((shard, entry)) =
+                        self.context.own_shard_of(cache, &placement.machine)
                 {
                     if !self.has_condition_for(change, job, shard) {
                         // In the next round.
@@ -189,7 +190,7 @@
             let spec = cache.jobs.get(&task.job).and_then(|job| job.spec());
             let since = agent.tasks.get(task).and_then(|seen| seen.running_since);
             if let (Some(spec), Some(since)) = (spec, since)
-                && let Some(ratio) = lock(&self.estimator).observe(
+                && let Some(ratio) = lock(&self.context.estimator).observe(
                     &spec.class,
                     spec.estimate,
                     now.duration_since(since),
--- a/src/coordination/owner/stops.rs
+++ b/src/coordination/owner/stops.rs
@@ -7,20 +7,27 @@
 
 use tokio::time::Instant;
 
-use super::OwnerState;
+use super::{OwnerState, ShardOwner};
 use crate::{
-    coordination::{
-        clients::{Command, TaskState},
-        controller::Controller,
-        heartbeats::grace,
+    coordination::clients::{Command, TaskState},
+    storage::{
+        ControllerName, JobId, JobKind, JobSpec, MachineId, StateCache, TaskId, records::Placement,
     },
-    storage::{ControllerName, JobId, JobKind, MachineId, StateCache, TaskId, records::Placement},
 };
 
 /// Before a stop that was not obeyed is sent again directly.
 const STOP_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-impl Controller {
+/// How long a task may take to save when it is stopped for another reason than
+/// its job's cancellation.
+pub(super) fn grace(spec: Option<&JobSpec>, cancelled: bool) -> Duration {
+    match spec {
+        Some(spec) if !cancelled && !spec.checkpoint.is_zero() => spec.save,
+        _ => Duration::ZERO,
+    }
+}
+
+impl ShardOwner {
     /// Tasks to be stopped now, directly rather than with the next answer. `mates`:
     /// those of gangs that other controllers are to stop with them, since a gang
     /// saves only if all of it is told within `gang_peer_s`.
--- a/src/coordination/peer_exchange.rs
+++ b/src/coordination/peer_exchange.rs
@@ -7,11 +7,13 @@
 
 use crate::{
     coordination::{
-        clients::{
-            Cancellations, Heartbeat, IndirectHeartbeat, PeerRequest, PeerResponse,
-            ProtocolVersion, StatusMessage,
-        },
-        controller::{Controller, lock},
+        clients::{Cancellations, PeerRequest, PeerResponse, ProtocolVersion, StatusMessage},
+        context::Context,
+        indirect_heartbeats::IndirectHeartbeats,
+        leader::Leader,
+        owner::ShardOwner,
+        peer_liveness::PeerLiveness,
+        quota_exchange::QuotaExchange,
     },
     storage::{ControllerName, Revision},
 };
@@ -20,89 +22,86 @@
 /// Cancelled jobs told to a peer at a time; more of them it must read for itself.
 const MAX_CANCELLATIONS: usize = 8_192;
 
-impl Controller {
+/// The duty that exchanges status with the peers and serves their requests.
+pub struct PeerExchange {
+    context: Arc<Context>,
+    leader: Arc<Leader>,
+    owner: Arc<ShardOwner>,
+    quota: Arc<QuotaExchange>,
+    liveness: Arc<PeerLiveness>,
+    indirect_heartbeats: Arc<IndirectHeartbeats>,
+}
+
+impl PeerExchange {
+    pub(super) fn new(
+        context: Arc<Context>,
+        leader: Arc<Leader>,
+        owner: Arc<ShardOwner>,
+        quota: Arc<QuotaExchange>,
+        liveness: Arc<PeerLiveness>,
+        indirect_heartbeats: Arc<IndirectHeartbeats>,
+    ) -> Self {
+        Self {
+            context,
+            leader,
+            owner,
+            quota,
+            liveness,
+            indirect_heartbeats,
+        }
+    }
+
     /// What a peer is told. The lists of machines are for the leader; the others
     /// only need to know that we live and what we know of.
     pub fn status(&self, full: bool) -> StatusMessage {
         let now = Instant::now();
         let mut status = StatusMessage {
-            controller: self.config.name.clone(),
-            incarnation: self.config.incarnation,
-            protocol_version: self.config.protocol_version,
-            highest_revision: self.store.highest_revision(),
-            state_reachable: self.store.is_loaded() && self.store.is_reachable(),
+            controller: self.context.config.name.clone(),
+            incarnation: self.context.config.incarnation,
+            protocol_version: self.context.config.protocol_version,
+            highest_revision: self.context.store.highest_revision(),
+            state_reachable: self.context.store.is_loaded() && self.context.store.is_reachable(),
             full,
             owned: Vec::new(),
             indirect_heartbeats: Vec::new(),
             failing: Vec::new(),
         };
         if full {
-            status.owned = self.owned_machines(now);
-            status.indirect_heartbeats = lock(&self.indirect_heartbeats)
-                .values()
-                .map(|(at, indirect_heartbeat)| IndirectHeartbeat {
-                    age: now.duration_since(*at),
-                    ..indirect_heartbeat.clone()
-                })
-                .collect();
-            status.failing = lock(&self.owner).failing(now);
+            status.owned = self.owner.owned_machines(now);
+            status.indirect_heartbeats = self.indirect_heartbeats.list(now);
+            status.failing = self.owner.failing_jobs(now);
         }
         status
     }
 
     fn leads(&self, controller: &ControllerName) -> bool {
-        let cache = self.store.cache();
+        let cache = self.context.store.cache();
         cache
             .leader
             .as_ref()
             .is_some_and(|leader| leader.value.controller == *controller)
     }
 
-    /// An agent sent a heartbeat here although its machine is not ours. Copies of old
-    /// heartbeats are no sign of life.
-    pub(super) fn note_indirect_heartbeat(&self, heartbeat: &Heartbeat) {
-        let now = Instant::now();
-        let mut indirect_heartbeats = lock(&self.indirect_heartbeats);
-        if let Some((_, known)) = indirect_heartbeats.get(&heartbeat.machine) {
-            if (heartbeat.epoch, heartbeat.sequence) <= (known.epoch, known.sequence) {
-                return;
-            }
-        } else if indirect_heartbeats.len() >= self.config.machines_tracked {
-            tracing::debug!(machine = %heartbeat.machine, "too many indirect heartbeats to keep track of");
-            return;
-        }
-        let indirect_heartbeat = IndirectHeartbeat {
-            machine: heartbeat.machine.clone(),
-            kind: heartbeat.kind.clone(),
-            zone: heartbeat.zone.clone(),
-            spot: heartbeat.spot,
-            epoch: heartbeat.epoch,
-            sequence: heartbeat.sequence,
-            age: Duration::ZERO,
-        };
-        indirect_heartbeats.insert(heartbeat.machine.clone(), (now, indirect_heartbeat));
-    }
-
     /// Duty: exchanges status with every peer.
-    pub(super) async fn exchange_status(&self) {
-        while self.pause(EXCHANGE_INTERVAL).await {
+    pub(super) async fn run(&self) {
+        while self.context.pause(EXCHANGE_INTERVAL).await {
             let started = Instant::now();
-            let life = self.config.indirect_heartbeat_max_age() + EXCHANGE_INTERVAL * 2;
-            lock(&self.indirect_heartbeats).retain(|_, (at, _)| at.elapsed() < life);
+            let ttl = self.context.config.indirect_heartbeat_max_age() + EXCHANGE_INTERVAL * 2;
+            self.indirect_heartbeats.expire(ttl);
             // Before asking: what a peer knows at most this much of, we know.
-            let applied = self.store.cache().revision;
-            if self.leadership().is_some() {
-                lock(&self.leader).record_status(self.status(true), started);
+            let applied = self.context.store.cache().revision;
+            if self.context.leadership().is_some() {
+                self.leader.record_status(self.status(true), started);
             }
-            let calls = self.config.peers.iter().map(|(name, _)| {
+            let calls = self.context.config.peers.iter().map(|(name, _)| {
                 let call = PeerRequest::Status(self.status(self.leads(name)));
-                async move { (name, self.peers.call(name, call).await) }
+                async move { (name, self.context.peers.call(name, call).await) }
             });
-            let mut confirmed = self.store.is_loaded();
+            let mut confirmed = self.context.store.is_loaded();
             let mut ahead = Vec::new();
             // Somebody is served by the state service, so that our machines go, or
             // have gone, to others: their agents are to find these.
-            let mut any_served = self.store.is_reachable();
+            let mut any_served = self.context.store.is_reachable();
             for (name, answer) in join_all(calls).await {
                 match answer {
                     Ok(PeerResponse::Status(theirs)) => {
@@ -125,39 +124,11 @@
                 confirmed = !any_served && self.catch_up(applied, ahead).await;
             }
             if confirmed {
-                lock(&self.liveness).read_confirmed_at = Some(started);
+                self.liveness.note_confirmed(started);
             }
         }
     }
 
-    /// What every controller can read, by their own words: in its registration, or
-    /// to us while it has none. None: some have said nothing yet, and silence is no
-    /// word. A controller that is cut off from its peers alone holds nobody up.
-    pub(super) fn common_protocol_version(&self) -> Option<ProtocolVersion> {
-        let cache = self.store.cache();
-        let liveness = lock(&self.liveness);
-        let said = self.config.peers.iter().map(|(name, _)| {
-            let registered = cache
-                .controllers
-                .get(name)
-                .map(|entry| ProtocolVersion(entry.value.protocol_version));
-            registered.or_else(|| liveness.protocol_versions.get(name).copied())
-        });
-        said.chain([Some(self.config.protocol_version)])
-            .min()
-            .flatten()
-    }
-
-    /// Whether all controllers are known to read this, and to go on doing so.
-    pub(super) fn all_support(&self, protocol_version: ProtocolVersion) -> bool {
-        let cache = self.store.cache();
-        let recorded = cache
-            .common_version
-            .as_ref()
-            .map(|entry| ProtocolVersion(entry.value.protocol_version));
-        recorded.unwrap_or_default() >= protocol_version
-    }
-
     /// Learns from peers that know of newer revisions than we do which jobs are
     /// cancelled by these: cut off from the state service, we stop those jobs' tasks
     /// and need not let all other tasks go with their leases. A peer's word stops a
@@ -166,7 +137,7 @@
     async fn catch_up(&self, applied: Revision, ahead: Vec<&ControllerName>) -> bool {
         let calls = ahead.into_iter().map(|name| async move {
             let call = PeerRequest::CancelledSince(applied);
-            self.peers.call(name, call).await
+            self.context.peers.call(name, call).await
         });
         let mut complete = true;
         for answer in join_all(calls).await {
@@ -178,10 +149,14 @@
                 complete = false;
                 continue;
             };
-            let new = self.store.cache().note_cancelled(jobs, cancellations.seen);
+            let new = self
+                .context
+                .store
+                .cache()
+                .note_cancelled(jobs, cancellations.seen);
             if new > 0 {
                 tracing::info!(jobs = new, "cancellations learned from a peer");
-                self.owner_wakeup.notify_one();
+                self.context.owner_wakeup.notify_one();
             }
         }
         complete
@@ -189,38 +164,35 @@
 
     /// The jobs that we know to be cancelled by changes after this revision.
     fn cancelled_since(&self, revision: Revision) -> Cancellations {
-        let seen = self.store.highest_revision();
-        let jobs =
-            (self.store.is_loaded() && self.store.has_applied_looked_up_outcomes()).then(|| {
-                let cache = self.store.cache();
-                cache.cancelled_since(revision)
-            });
+        let seen = self.context.store.highest_revision();
+        let jobs = (self.context.store.is_loaded()
+            && self.context.store.has_applied_looked_up_outcomes())
+        .then(|| {
+            let cache = self.context.store.cache();
+            cache.cancelled_since(revision)
+        });
         let jobs = jobs.filter(|jobs| jobs.len() <= MAX_CANCELLATIONS);
         Cancellations { seen, jobs }
     }
 
     fn note_peer_status(&self, name: &ControllerName, status: StatusMessage, at: Instant) {
-        {
-            let mut liveness = lock(&self.liveness);
-            let last_status = (at, status.state_reachable);
-            liveness.last_status.insert(name.clone(), last_status);
-            if liveness
-                .protocol_versions
-                .insert(name.clone(), status.protocol_version)
-                != Some(status.protocol_version)
-            {
-                tracing::info!(peer = %name, protocol_version = status.protocol_version.0, "peer protocol version");
-            }
+        let version = status.protocol_version;
+        let is_new = self
+            .liveness
+            .note_status(name, version, status.state_reachable, at);
+        if is_new {
+            tracing::info!(peer = %name, protocol_version = version.0, "peer protocol version");
         }
         if status.full {
-            lock(&self.leader).record_status(status, at);
+            self.leader.record_status(status, at);
         }
     }
 
-    pub async fn handle_peer_request(self: &Arc<Self>, call: PeerRequest) -> PeerResponse {
+    pub async fn handle_request(&self, call: PeerRequest) -> PeerResponse {
         match call {
             PeerRequest::Status(theirs) => {
                 if self
+                    .context
                     .config
                     .peers
                     .iter()
@@ -233,21 +205,21 @@
                 PeerResponse::Status(self.status(false))
             }
             PeerRequest::Offers(offers) => {
-                self.accept_offers(offers);
+                self.owner.accept_offers(offers);
                 PeerResponse::Accepted
             }
             PeerRequest::Preempt(tasks) => {
-                self.accept_preemptions(tasks);
+                self.owner.accept_preemptions(tasks);
                 PeerResponse::Accepted
             }
             PeerRequest::Probe(address) => {
-                PeerResponse::ProbeResult(self.agent_client.inspect(&address).await.is_ok())
+                PeerResponse::ProbeResult(self.context.agent_client.inspect(&address).await.is_ok())
             }
             PeerRequest::RequestQuota(request) => {
-                PeerResponse::Quota(self.handle_quota_request(request).await)
+                PeerResponse::Quota(self.quota.handle_request(request).await)
             }
             PeerRequest::SetQuotaTargets(targets) => {
-                self.accept_quota_targets(targets);
+                self.quota.accept_targets(targets);
                 PeerResponse::Accepted
             }
             PeerRequest::CancelledSince(revision) => {
--- a/src/coordination/quota_exchange.rs
+++ b/src/coordination/quota_exchange.rs
@@ -2,12 +2,12 @@
 //!
 //! A controller that lacks quota, by the leader's targets or for tasks that it was
 //! offered, asks the one that seems to have most to spare. That one decides in its
-//! owner's loop, between its own placements, and commits both budgets in one
+//! shard owner's loop, between its own placements, and commits both budgets in one
 //! transaction. `docs/quota.md` has the argument why no limit is exceeded.
 
 use std::{
     collections::BTreeMap,
-    sync::Arc,
+    sync::{Arc, Mutex},
     time::{Duration, Instant as StdInstant},
 };
 
@@ -18,11 +18,9 @@
 use tokio::{sync::oneshot, time::Instant};
 
 use super::{
-    clients::{
-        PeerRequest, PeerResponse, ProtocolVersion, QuotaRequest, QuotaResponse, QuotaTargets,
-    },
+    clients::{PeerRequest, PeerResponse, QuotaRequest, QuotaResponse, QuotaTargets},
     config::Config,
-    controller::{Controller, lock},
+    context::{Context, lock, takes_part_in_transfers},
 };
 use crate::storage::{
     AMOUNT_SLACK, CommitError, ControllerName, Quota, Revision, StateCache, TeamName, Transaction,
@@ -57,7 +55,7 @@
 }
 
 /// What a controller has asked for and been asked for.
-pub struct QuotaExchange {
+struct State {
     donor: Donor<ControllerName, TeamName>,
     deficits: Deficits<ControllerName, TeamName>,
     /// Askers that wait for a decision.
@@ -68,9 +66,9 @@
     counts: QuotaCounts,
 }
 
-impl QuotaExchange {
+impl State {
     /// Nothing asked, nothing known.
-    pub fn new(config: &Config) -> Self {
+    fn new(config: &Config) -> Self {
         let controllers = config.peers.iter().map(|(name, _)| name.clone());
         let teams = config.teams.iter().map(|team| team.name.clone());
         Self {
@@ -130,7 +128,7 @@
     }
 
     /// What a tenth of a minute has brought, and for how long the oldest shortage lasts.
-    pub(super) fn take_counts(&mut self, now: Instant) -> (QuotaCounts, Option<Duration>) {
+    fn take_counts(&mut self, now: Instant) -> (QuotaCounts, Option<Duration>) {
         let oldest = self.deficits.oldest(now.into_std());
         (std::mem::take(&mut self.counts), oldest)
     }
@@ -142,18 +140,22 @@
     registration: Revision,
 }
 
-impl Controller {
-    /// Whether transfers have been turned on here, and every controller was known to read
-    /// what they need.
-    pub(super) fn knows_transfers(&self) -> bool {
-        self.config.tuning.quota_transfers && self.all_support(ProtocolVersion::QUOTA_TRANSFERS)
+/// The duty that transfers quota between this controller and others, in both roles.
+pub(super) struct QuotaExchange {
+    context: Arc<Context>,
+    state: Mutex<State>,
+}
+
+impl QuotaExchange {
+    /// Nothing asked, nothing known.
+    pub(super) fn new(context: Arc<Context>) -> Self {
+        let state = Mutex::new(State::new(&context.config));
+        Self { context, state }
     }
 
-    /// Whether a living controller takes part in transfers, by its registration.
-    pub(super) fn takes_part(cache: &StateCache, controller: &ControllerName) -> bool {
-        let registered = cache.controllers.get(controller);
-        registered
-            .is_some_and(|entry| entry.value.protocol_version >= ProtocolVersion::QUOTA_TRANSFERS.0)
+    /// The counts since the last call, and for how long the oldest deficit has lasted.
+    pub(super) fn take_counts(&self, now: Instant) -> (QuotaCounts, Option<Duration>) {
+        lock(&self.state).take_counts(now)
     }
 
     /// What our transfers must be conditional on; none: we may not transfer now.
@@ -164,12 +166,14 @@
     /// A leader's claim stands until its lease is over, so that transfers go on for as
     /// long after its death.
     fn fence(&self, cache: &StateCache) -> Option<Fence> {
-        let registered = cache.controllers.get(&self.config.name)?;
-        if registered.value.incarnation != self.config.incarnation {
+        let registered = cache.controllers.get(&self.context.config.name)?;
+        if registered.value.incarnation != self.context.config.incarnation {
             return None;
         }
         let leader = cache.leader.as_ref()?;
-        if !Self::takes_part(cache, &leader.value.controller) || cache.revision < leader.revision {
+        if !takes_part_in_transfers(cache, &leader.value.controller)
+            || cache.revision < leader.revision
+        {
             return None;
         }
         Some(Fence {
@@ -179,24 +183,24 @@
     }
 
     /// Answers a controller that asks for quota.
-    pub(super) async fn handle_quota_request(&self, request: QuotaRequest) -> QuotaResponse {
+    pub(super) async fn handle_request(&self, request: QuotaRequest) -> QuotaResponse {
         let recipient = request.recipient.clone();
-        let received = if self.knows_transfers() {
-            lock(&self.quota).receive(request)
+        let received = if self.context.knows_transfers() {
+            lock(&self.state).receive(request)
         } else {
             Err(Refusal::NotReady)
         };
         let answer = match received {
             Ok(answer) => answer,
             Err(refusal) => {
-                lock(&self.quota).counts.refused += 1;
+                lock(&self.state).counts.refused += 1;
                 if refusal.is_fault() {
                     tracing::warn!(%recipient, %refusal, "quota request refused");
                 }
                 return QuotaResponse::Refused(refusal);
             }
         };
-        self.owner_wakeup.notify_one();
+        self.context.owner_wakeup.notify_one();
         match tokio::time::timeout(DECIDED_WITHIN, answer).await {
             Ok(Ok(answer)) => answer,
             _ => QuotaResponse::Undecided,
@@ -204,47 +208,66 @@
     }
 
     /// Takes the leader's targets in.
-    pub(super) fn accept_quota_targets(&self, targets: QuotaTargets) {
-        let is_known = |team: &TeamName| self.config.team(team).is_some();
+    pub(super) fn accept_targets(&self, targets: QuotaTargets) {
+        let is_known = |team: &TeamName| self.context.config.team(team).is_some();
         if let Some(team) = targets.budgets.keys().find(|team| !is_known(team)) {
             tracing::warn!(%team, "quota targets for an unknown team ignored");
             return;
         }
-        if lock(&self.quota).take_targets(targets, Instant::now()) {
-            self.owner_wakeup.notify_one();
+        if lock(&self.state).take_targets(targets, Instant::now()) {
+            self.context.owner_wakeup.notify_one();
         }
     }
 
     /// Decides the requests that wait. Called between two rounds of placements, so that
     /// all that we have placed is in the cache, or voided.
-    pub(super) async fn serve_quota_requests(&self) {
+    ///
+    /// `offered` is the quota of tasks that are offered to this controller and not yet placed.
+    /// True: the outcome of a transfer's commit is unknown, and the caller must rewrite the
+    /// allocation before it decides anything else.
+    #[must_use]
+    pub(super) async fn serve_requests(
+        &self,
+        offered: impl Fn(&StateCache) -> BTreeMap<TeamName, Quota>,
+    ) -> bool {
         for _ in 0..PENDING_REQUESTS {
-            if self.store.commit_wait(RequestPriority::Placement).is_some() {
-                return;
+            if self
+                .context
+                .store
+                .commit_wait(RequestPriority::Placement)
+                .is_some()
+            {
+                return false;
             }
-            let Some(request) = lock(&self.quota).donor.next_request() else {
-                return;
+            let Some(request) = lock(&self.state).donor.next_request() else {
+                return false;
             };
-            let answer = self.transfer_quota(&request).await;
+            let answer = self.transfer_quota(&request, &offered).await;
             let is_unknown = answer == QuotaResponse::Undecided;
-            lock(&self.quota).decided(&request, answer);
+            lock(&self.state).decided(&request, answer);
             if is_unknown {
-                // Our allocation is written anew before anything else is decided.
-                return;
+                // Our allocation is rewritten before anything else is decided.
+                return true;
             }
         }
+        false
     }
 
-    async fn transfer_quota(&self, request: &QuotaRequest) -> QuotaResponse {
+    async fn transfer_quota(
+        &self,
+        request: &QuotaRequest,
+        offered: &impl Fn(&StateCache) -> BTreeMap<TeamName, Quota>,
+    ) -> QuotaResponse {
         let planned = {
-            let cache = self.store.cache();
-            self.plan_transfer(&cache, request)
+            let cache = self.context.store.cache();
+            self.plan_transfer(&cache, request, offered)
         };
         let (transfer, transaction) = match planned {
             Ok(planned) => planned,
             Err(refusal) => return QuotaResponse::Refused(refusal),
         };
         match self
+            .context
             .store
             .commit(&transaction, RequestPriority::Placement)
             .await
@@ -256,13 +279,10 @@
             }
             Err(CommitError::Conflict(failed)) => {
                 tracing::debug!(?failed, "quota transfer conflicted with another change");
-                self.store.read_barrier().await;
+                self.context.store.read_barrier().await;
                 QuotaResponse::Refused(Refusal::Conflict)
             }
-            Err(error) if error.is_unknown() => {
-                lock(&self.owner).has_commit_in_doubt = true;
-                QuotaResponse::Undecided
-            }
+            Err(error) if error.is_unknown() => QuotaResponse::Undecided,
             Err(error) => {
                 tracing::debug!(%error, "quota transfer not possible now");
                 QuotaResponse::Refused(Refusal::NotReady)
@@ -274,9 +294,13 @@
         &self,
         cache: &StateCache,
         request: &QuotaRequest,
+        offered: impl Fn(&StateCache) -> BTreeMap<TeamName, Quota>,
     ) -> Result<(Transfer<ControllerName, TeamName>, Transaction), Refusal> {
         let fence = self.fence(cache).ok_or(Refusal::NotReady)?;
-        let allocation = self.own_allocation(cache).ok_or(Refusal::NotReady)?;
+        let allocation = self
+            .context
+            .own_allocation(cache)
+            .ok_or(Refusal::NotReady)?;
         // What came to us with this change of our allocation is known only once the cache has
         // passed it.
         if cache.revision < allocation.revision {
@@ -285,9 +309,9 @@
         let recipient = cache.allocations.get(&request.recipient);
         let recipient = recipient.ok_or(Refusal::Outdated)?;
         // All machines of this controller, also those leased to the process before us.
-        let used = cache.quota_used(cache.machines_of(&self.config.name));
-        let offered = lock(&self.owner).offered_quota(cache);
-        let exchange = lock(&self.quota);
+        let used = cache.quota_used(cache.machines_of(&self.context.config.name));
+        let offered = offered(cache);
+        let exchange = lock(&self.state);
         let now = Instant::now();
         let holding = |team: &TeamName| {
             let used = used.get(team).copied().unwrap_or_default();
@@ -323,7 +347,7 @@
         donor: &Versioned<AllocationRecord>,
         recipient: &Versioned<AllocationRecord>,
     ) -> Transaction {
-        let own = &self.config.name;
+        let own = &self.context.config.name;
         let allocation = |of: &Versioned<AllocationRecord>, budgets: &BTreeMap<TeamName, Quota>| {
             AllocationRecord {
                 owner: of.value.owner,
@@ -357,26 +381,25 @@
 
     /// Notes what is lacking now, by the leader's targets and for the tasks that we were
     /// offered, and asks for it.
-    pub(super) fn seek_quota(self: &Arc<Self>) {
-        if !self.config.tuning.quota_transfers {
+    pub(super) fn seek(self: &Arc<Self>, owner_deficit: &BTreeMap<TeamName, Quota>) {
+        if !self.context.config.tuning.quota_transfers {
             return;
         }
         let request = {
-            let cache = self.store.cache();
-            let Some(allocation) = self.own_allocation(&cache) else {
+            let cache = self.context.store.cache();
+            let Some(allocation) = self.context.own_allocation(&cache) else {
                 return;
             };
-            let owner_deficit = lock(&self.owner).deficit.clone();
-            let mut exchange = lock(&self.quota);
+            let mut exchange = lock(&self.state);
             let now = Instant::now();
-            for team in &self.config.teams {
+            for team in &self.context.config.teams {
                 let budget = allocation.value.budgets.get(&team.name).copied();
                 let target = exchange.target(&team.name, now).unwrap_or_default();
                 let target_deficit = target.minus(&budget.unwrap_or_default()).at_least_zero();
                 let offered = owner_deficit.get(&team.name).copied().unwrap_or_default();
                 exchange.note_deficit(&team.name, target_deficit.max(&offered), now.into_std());
             }
-            if exchange.deficits.is_empty() || !self.knows_transfers_in(&cache) {
+            if exchange.deficits.is_empty() || !self.context.knows_transfers_in(&cache) {
                 return;
             }
             let donors = self.donor_views(&cache);
@@ -390,25 +413,15 @@
         }
     }
 
-    /// As [`Self::knows_transfers`] for a cache that is locked already.
-    fn knows_transfers_in(&self, cache: &StateCache) -> bool {
-        let recorded = cache
-            .common_version
-            .as_ref()
-            .map(|entry| entry.value.protocol_version);
-        self.config.tuning.quota_transfers
-            && recorded.unwrap_or_default() >= ProtocolVersion::QUOTA_TRANSFERS.0
-    }
-
     /// What the other controllers seem to have to spare.
     fn donor_views(&self, cache: &StateCache) -> Vec<DonorView<ControllerName, TeamName>> {
         cache
             .allocations
             .iter()
             .filter(|(controller, entry)| {
-                **controller != self.config.name
+                **controller != self.context.config.name
                     && entry.value.owner.is_some()
-                    && Self::takes_part(cache, controller)
+                    && takes_part_in_transfers(cache, controller)
             })
             .map(|(controller, entry)| {
                 let used = cache.quota_used(cache.machines_of(controller));
@@ -427,6 +440,7 @@
     async fn request_quota(self: Arc<Self>, donor: ControllerName, request: QuotaRequest) {
         let number = request.number;
         let answer = self
+            .context
             .peers
             .call(&donor, PeerRequest::RequestQuota(request))
             .await;
@@ -439,10 +453,10 @@
         let is_granted = matches!(outcome, Outcome::Granted(_));
         if is_granted || outcome == Outcome::Refused(Refusal::Conflict) {
             // Our allocation has a new revision, with which the next round plans.
-            self.store.read_barrier().await;
+            self.context.store.read_barrier().await;
         }
         {
-            let mut exchange = lock(&self.quota);
+            let mut exchange = lock(&self.state);
             match is_granted {
                 true => exchange.counts.received += 1,
                 false => exchange.counts.unserved += 1,
@@ -450,11 +464,11 @@
             let now = Instant::now().into_std();
             exchange.deficits.answered(number, &outcome, now);
         }
-        self.owner_wakeup.notify_one();
+        self.context.owner_wakeup.notify_one();
     }
 }
 
-impl QuotaExchange {
+impl State {
     fn note_deficit(&mut self, team: &TeamName, deficit: Quota, now: StdInstant) {
         if deficit.exceeds(MIN_DEFICIT) {
             self.deficits.note(team, deficit, now);
--- a/src/main.rs
+++ b/src/main.rs
@@ -10,7 +10,7 @@
     transport::{
         Network,
         http::HttpNetwork,
-        network_clients::{HttpAgentClient, HttpCloudClient, HttpKeyValueStore, TcpPeerClient},
+        network_clients::{self, Addresses},
         peer_connections, server,
         sockets::{InUse, Sockets},
     },
@@ -119,16 +119,6 @@
     let sockets = Sockets::new(config.max_connections);
     let stop = CancellationToken::new();
     let net: Arc<dyn Network> = Arc::new(HttpNetwork::new(sockets.clone()));
-    let addresses: HashMap<ControllerName, String> = settings
-        .peers
-        .iter()
-        .map(|peer| {
-            (
-                ControllerName::new(peer.node_name.as_str()),
-                peer.address.clone(),
-            )
-        })
-        .collect();
     let bind = |address: String| async move {
         TcpListener::bind(&address)
             .await
@@ -136,22 +126,16 @@
     };
     let public = bind(settings.serve_on.clone()).await?;
     let private = bind(settings.peer_bind.clone()).await?;
-    let controller = Controller::new(
-        config,
-        Box::new(HttpKeyValueStore {
-            net: net.clone(),
-            address: settings.services.state.clone(),
-        }),
-        Box::new(HttpAgentClient { net: net.clone() }),
-        Box::new(HttpCloudClient {
-            net: net.clone(),
-            address: settings.services.cloud.clone(),
-        }),
-        Box::new(TcpPeerClient { net, addresses }),
-        stop.clone(),
-    );
-    tracing::info!(controller = %controller.config.name, zone = %controller.config.zone, %incarnation, "started");
-    log_teams(&controller.config.teams);
+    let addresses = Addresses {
+        state: settings.services.state.clone(),
+        cloud: settings.services.cloud.clone(),
+        peers: peer_addresses(&settings),
+    };
+    let clients = network_clients::clients(net, addresses);
+    let controller = Controller::new(config, clients, stop.clone());
+    let config = &controller.context.config;
+    tracing::info!(controller = %config.name, zone = %config.zone, %incarnation, "started");
+    log_teams(&config.teams);
     let mut duties: JoinSet<&'static str> = JoinSet::new();
     controller.start(&mut duties);
     {
@@ -184,6 +168,16 @@
     })
 }
 
+fn peer_addresses(settings: &Settings) -> HashMap<ControllerName, String> {
+    let peers = settings.peers.iter();
+    peers
+        .map(|peer| {
+            let name = ControllerName::new(peer.node_name.as_str());
+            (name, peer.address.clone())
+        })
+        .collect()
+}
+
 /// What each team is guaranteed, and what it may use at most.
 fn log_teams(teams: &[Team]) {
     for team in teams {
--- a/src/transport/network_clients.rs
+++ b/src/transport/network_clients.rs
@@ -7,9 +7,12 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 use crate::{
-    coordination::clients::{
-        AgentClient, CloudClient, CloudError, Command, CommandResponse, Heartbeat, ListedMachine,
-        NoAnswer, PeerClient, PeerRequest, PeerResponse, ProvisionRequest,
+    coordination::{
+        Clients,
+        clients::{
+            AgentClient, CloudClient, CloudError, Command, CommandResponse, Heartbeat,
+            ListedMachine, NoAnswer, PeerClient, PeerRequest, PeerResponse, ProvisionRequest,
+        },
     },
     protocol::{agents, cloud, peer_frames, state},
     storage::{
@@ -22,6 +25,35 @@
 
 type Net = Arc<dyn Network>;
 
+/// Where a controller finds what it talks to, beside the agents: these name themselves.
+pub struct Addresses {
+    /// The key-value store.
+    pub state: String,
+    /// The cloud.
+    pub cloud: String,
+    /// The other controllers.
+    pub peers: HashMap<ControllerName, String>,
+}
+
+/// All clients of a controller, over one network.
+pub fn clients(net: Net, addresses: Addresses) -> Clients {
+    Clients {
+        key_value_store: Box::new(HttpKeyValueStore {
+            net: net.clone(),
+            address: addresses.state,
+        }),
+        agents: Box::new(HttpAgentClient { net: net.clone() }),
+        cloud: Box::new(HttpCloudClient {
+            net: net.clone(),
+            address: addresses.cloud,
+        }),
+        peers: Box::new(TcpPeerClient {
+            net,
+            addresses: addresses.peers,
+        }),
+    }
+}
+
 const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
 const WORKER_TIMEOUT: Duration = Duration::from_millis(1500);
 const INSPECT_TIMEOUT: Duration = Duration::from_millis(1000);
@@ -37,9 +69,9 @@
     serde_json::from_slice(&reply.body).map_err(|error| error.to_string())
 }
 
-pub struct HttpKeyValueStore {
-    pub net: Net,
-    pub address: String,
+struct HttpKeyValueStore {
+    net: Net,
+    address: String,
 }
 
 impl HttpKeyValueStore {
@@ -208,8 +240,8 @@
     }
 }
 
-pub struct HttpAgentClient {
-    pub net: Net,
+struct HttpAgentClient {
+    net: Net,
 }
 
 fn read_heartbeat(reply: &Reply) -> Result<Heartbeat, NoAnswer> {
@@ -275,9 +307,9 @@
     }
 }
 
-pub struct HttpCloudClient {
-    pub net: Net,
-    pub address: String,
+struct HttpCloudClient {
+    net: Net,
+    address: String,
 }
 
 /// Pages of the machine list read at most: 32,000 machines.
@@ -392,9 +424,9 @@
     }
 }
 
-pub struct TcpPeerClient {
-    pub net: Net,
-    pub addresses: HashMap<ControllerName, String>,
+struct TcpPeerClient {
+    net: Net,
+    addresses: HashMap<ControllerName, String>,
 }
 
 impl PeerClient for TcpPeerClient {
--- a/src/transport/peer_connections.rs
+++ b/src/transport/peer_connections.rs
@@ -153,7 +153,7 @@
 /// dropped link would look like a controller that is gone.
 pub async fn answer(controller: &Arc<Controller>, frame: &[u8]) -> Option<Vec<u8>> {
     let answer = match peer_frames::decode_request(frame) {
-        Ok(call) => controller.handle_peer_request(call).await,
+        Ok(call) => controller.peer_exchange.handle_request(call).await,
         Err(error) => {
             tracing::debug!(%error, "unreadable peer message");
             PeerResponse::Unknown
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -153,7 +153,7 @@
         Err(error) => return error_response(StatusCode::BAD_REQUEST, &error.to_string()),
     };
     admitted(&app, async {
-        match app.controller.submit_job(id.clone(), spec).await {
+        match app.controller.jobs.submit(id.clone(), spec).await {
             Ok(Submitted::Accepted) => {
                 json(StatusCode::CREATED, &Stance::brief(&id, JobState::Queued))
             }
@@ -169,7 +169,7 @@
         return error_response(StatusCode::NOT_FOUND, "no such job");
     };
     admitted(&app, async {
-        match app.controller.job_status(&id).await {
+        match app.controller.jobs.status(&id).await {
             Ok(status) => json(StatusCode::OK, &Stance::of(&id, status)),
             Err(error) => job_error_response(error),
         }
@@ -182,7 +182,7 @@
         return error_response(StatusCode::NOT_FOUND, "no such job");
     };
     admitted(&app, async {
-        match app.controller.cancel_job(&id).await {
+        match app.controller.jobs.cancel(&id).await {
             Ok(status) => json(StatusCode::OK, &Stance::brief(&id, status.state)),
             Err(error) => job_error_response(error),
         }
@@ -209,7 +209,7 @@
     let Some(heartbeat) = heartbeat else {
         return error_response(StatusCode::BAD_REQUEST, "not a report");
     };
-    match app.controller.handle_heartbeat(&heartbeat) {
+    match app.controller.heartbeats.handle(&heartbeat) {
         HeartbeatResponse::Accepted { token, commands } => json(
             StatusCode::OK,
             &agents::Answer {
