--- a/src/coordination/leader/routing/mod.rs
+++ b/src/coordination/leader/routing/mod.rs
@@ -1,118 +1,47 @@
-//! Which owner gets which waiting tasks: a trial placement over all shards,
-//! by the same rule that the owners use.
+//! Which owner gets which waiting tasks.
+//!
+//! The leader makes a trial placement over all shards, by the same rule that the owners use,
+//! and offers each task to the owner of the machine that it found. A pass reads the cache and
+//! what the owners said last; it changes only what routing remembers between passes
+//! ([`state`]) and returns its effects ([`RoutingResult`]), which the leader carries out.
+//!
+//! A pass goes through the queue ([`queue_order`]) job by job: quota of the team, zone,
+//! machine; what finds no room is explained ([`unplaced`]), so that quota moves, other tasks
+//! are preempted or machines are provisioned.
 
 mod candidates;
 mod gangs;
+mod offers;
 mod preemption;
 mod queue_order;
 mod quota_use;
 mod reclaim;
 mod records;
+mod requirements;
+mod result;
+mod state;
 mod unplaced;
 mod zone_bound;
+
 pub use candidates::{FreeCapacity, UsableMachine, candidate_machines};
 pub use reclaim::Reclaiming;
+pub use requirements::PlacementRequirements;
+pub use result::{QuotaDemand, RoutingCounts, RoutingResult, Unplaced, ZoneAssignment};
+pub use state::{
+    ExpiredOffersByJob, OutstandingOffers, PartialGangs, PendingPreemptions, RecordAffinity,
+};
 
 use std::{
     collections::{BTreeMap, BTreeSet},
     time::{Duration, SystemTime},
 };
 
+use queue_order::QueuedJob;
+use quota_use::{QuotaUse, tasks_left};
+use state::{PREEMPTION_TIMEOUT, RECORD_AFFINITY_TIMEOUT};
 use tokio::time::Instant;
 
-use crate::{
-    coordination::{
-        clients::Offer,
-        leader::routing::{
-            queue_order::{QueueRank, raised_by_age},
-            quota_use::{QuotaUse, left},
-        },
-    },
-    storage::{
-        ClassName, ControllerName, JobId, JobKind, JobSpec, MachineId, Priority, Quota, StateCache,
-        TaskId, Team, TeamName, TypeName, ZoneName, state_cache::Job,
-    },
-};
-
-/// Tasks that found no room.
-#[derive(Clone, Debug)]
-pub struct Unplaced {
-    pub job: JobId,
-    pub tasks: u32,
-    /// They wait longer than the start target, or will miss their deadline.
-    pub overdue: bool,
-}
-
-/// What became of the waiting tasks in one pass, for the log.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct RoutingCounts {
-    pub offered: usize,
-    /// Under way to owners since an earlier pass.
-    pub under_way: usize,
-    /// Beyond their team's limit.
-    pub limited: usize,
-    /// With room somewhere, which a next pass gives them.
-    pub covered: usize,
-    pub unplaced: usize,
-    /// Left for a next pass.
-    pub left: usize,
-}
-
-/// Tasks of a team for which owners have room, some of them without the quota for it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct QuotaDemand {
-    pub team: TeamName,
-    pub tasks: ::quota::TaskDemand<ControllerName>,
-}
-
-#[derive(Debug, Default)]
-pub struct RoutingResult {
-    pub counts: RoutingCounts,
-    pub offers: BTreeMap<ControllerName, Vec<Offer>>,
-    pub unplaced: Vec<Unplaced>,
-    pub deficit: BTreeMap<(ControllerName, TeamName), Quota>,
-    /// Tasks with room that lack quota somewhere, the most pressing first.
-    pub demand: Vec<QuotaDemand>,
-    /// Quota that an owner is about to need, beside what it uses.
-    pub reserved: BTreeMap<(ControllerName, TeamName), Quota>,
-    /// Jobs whose zone is to be written, or to be taken back.
-    pub zone_assignments: Vec<ZoneAssignment>,
-    /// Tasks of lower standing to stop for those of higher standing.
-    pub preempt: BTreeMap<ControllerName, Vec<TaskId>>,
-    /// Replicas for which room was looked for.
-    preempting_replicas: usize,
-    /// Tasks of the lowest priority that are told to stop.
-    reclaimed: usize,
-    /// Tasks in the offers.
-    offered: usize,
-    /// CPUs that are free and waited for.
-    claimed: f64,
-}
-
-/// The zone that a job of many records is confined to from now on; none: its zone has
-/// no room, and another is to be chosen once none of its tasks can be there.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ZoneAssignment {
-    pub job: JobId,
-    pub zone: Option<ZoneName>,
-}
-
-/// A task under way to an owner, with the machine that the trial found for it.
-#[derive(Clone, Debug)]
-pub struct OutstandingOffer {
-    pub controller: ControllerName,
-    machine: MachineId,
-    at: Instant,
-}
-
-/// Tasks under way to owners.
-pub type OutstandingOffers = BTreeMap<JobId, BTreeMap<u32, OutstandingOffer>>;
-
-/// Waiting tasks for which others are being stopped, since when.
-pub type PendingPreemptions = BTreeMap<TaskId, Instant>;
-
-/// A stopped task's room shows within this time, or it is asked for again.
-const PREEMPTION_TIMEOUT: Duration = Duration::from_millis(2500);
+use crate::storage::{ClassName, JobId, JobKind, JobSpec, Quota, StateCache, Team};
 
 /// Tasks offered in one pass, about what owners write down until the next.
 const TASKS_PER_PASS: usize = 600;
@@ -120,140 +49,91 @@
 const TASKS_PER_JOB: usize = 4_000;
 /// Jobs for which all free room is looked through in one pass.
 const JOBS_PER_PASS: usize = 96;
-/// Replicas for which other tasks are stopped in one pass.
-const PREEMPTING_REPLICAS_PER_PASS: usize = 12;
+/// A record is forgotten once its affinity has been over for this many timeouts.
+const RECORD_AFFINITY_KEPT: u32 = 3;
 
+/// One pass over the queue: what it reads, and what it remembers for the next.
 pub struct RoutingPass<'a> {
+    /// The live set as the leader knows it.
     pub cache: &'a StateCache,
+    /// All teams with their guarantees and limits.
     pub teams: &'a [Team],
+    /// The machines that tasks can be routed to; the pass fills them up.
     pub free_capacity: FreeCapacity,
+    /// Tasks offered in earlier passes.
     pub offered: &'a mut OutstandingOffers,
+    /// Preemptions asked for in earlier passes.
     pub pending_preemptions: &'a mut PendingPreemptions,
+    /// Idle work that is being stopped.
     pub reclaiming: &'a mut Reclaiming,
+    /// Records that wait for their writer.
     pub record_affinity: &'a mut RecordAffinity,
+    /// Gangs that are placed in part.
     pub gangs: &'a mut PartialGangs,
+    /// Owners that let offers expire.
     pub expired_offers: &'a mut ExpiredOffersByJob,
     /// Jobs that fail wherever they are tried, and until when they pause.
     pub failing: &'a BTreeMap<JobId, Instant>,
     /// Changes in a transaction, which decide what zone-bound placements depend on.
     pub changes_per_transaction: usize,
+    /// A task without a deadline that waits longer is overdue.
     pub start_target: Duration,
+    /// An offer that was not taken up for this long has expired.
     pub offer_ttl: Duration,
+    /// The steady clock.
     pub now: Instant,
+    /// The time of day, by which jobs age.
     pub wall: SystemTime,
+    /// Measured run time against the owner's estimate, by class of jobs.
     pub factor: &'a dyn Fn(&ClassName) -> f64,
-    /// What has found no room in this pass.
+    /// Requirements that have found no room in this pass.
     pub full: BTreeSet<PlacementRequirements>,
 }
 
-/// Records whose tasks wait for room at the owner that writes them, since when.
-pub type RecordAffinity = BTreeMap<(JobId, u32), Instant>;
-
-/// Gangs of which a part is there and a part is not, since when, and when that part
-/// was last told to leave.
-pub type PartialGangs = BTreeMap<JobId, (Instant, Option<Instant>)>;
-
-/// Offers of a job that one owner let expire one after the other. Its machines may refuse
-/// the job after a failure, which the leader does not know.
-#[derive(Clone, Debug)]
-pub struct ExpiredOffers {
-    controller: ControllerName,
-    last: Instant,
-    count: u32,
-}
-
-/// The owners that let offers expire.
-pub type ExpiredOffersByJob = BTreeMap<JobId, ExpiredOffers>;
-
-/// An owner that may not write yet lets offers expire as well, and is quicker than another
-/// one that begins anew: only so many in a row say that it refuses the job.
-const EXPIRED_OFFERS_LIMIT: u32 = 4;
-
-/// A expired offer says nothing any more after this long.
-const EXPIRED_OFFERS_TTL: Duration = Duration::from_secs(30);
-
-/// After this long such a record gets a second writer, if another has room.
-const RECORD_AFFINITY_TIMEOUT: Duration = Duration::from_secs(4);
-
-/// What decides whether a task has room somewhere.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct PlacementRequirements {
-    size: [u64; 3],
-    spot: bool,
-    service: bool,
-    bound: bool,
-    zone: Option<ZoneName>,
-    types: Option<Vec<TypeName>>,
-}
-
-impl PlacementRequirements {
-    fn of(spec: &JobSpec) -> Self {
-        let size = &spec.per_task;
-        Self {
-            size: [size.cpus, size.gpus, size.memory].map(f64::to_bits),
-            spot: spec.spot,
-            // A draining machine takes an array's short tasks only.
-            service: spec.kind == JobKind::Service,
-            bound: spec.is_zone_bound() || spec.kind == JobKind::Gang,
-            zone: spec.zone.clone(),
-            types: spec.types.clone(),
-        }
-    }
-}
-
-struct QueuedJob<'a> {
-    id: &'a JobId,
-    spec: &'a JobSpec,
-    job: &'a Job,
-    rank: QueueRank,
-}
-
 impl RoutingPass<'_> {
+    /// Routes what it can of the queue.
     pub fn run(mut self) -> RoutingResult {
         let mut result = RoutingResult::default();
-        let mut used = QuotaUse {
-            all: self.cache.quota_used(self.cache.on_machine.keys()),
-            by_controller: self
-                .free_capacity
-                .controllers
-                .iter()
-                .map(|controller| self.cache.quota_used(self.cache.machines_of(controller)))
-                .collect(),
-        };
+        let mut used = QuotaUse::of(self.cache, &self.free_capacity.controllers);
         self.expire_offers(&mut used);
-        let now = self.now;
-        self.pending_preemptions
-            .retain(|_, since| now.duration_since(*since) < PREEMPTION_TIMEOUT);
-        let jobs = &self.cache.jobs;
-        self.gangs.retain(|id, _| jobs.contains_key(id));
-        self.reclaiming.begin_pass(now);
-        self.record_affinity
-            .retain(|_, since| now.duration_since(*since) < RECORD_AFFINITY_TIMEOUT * 3);
+        self.forget_past_passes();
         let cache = self.cache;
-        let queued_jobs = self.queued_jobs(cache, &used);
-        let mut jobs = 0;
-        for queued in queued_jobs {
-            let may_clear = queued.spec.kind == JobKind::Service
-                && queued.spec.priority == Priority::Production
-                && result.preempting_replicas < PREEMPTING_REPLICAS_PER_PASS;
-            if self.full.contains(&PlacementRequirements::of(queued.spec)) && !may_clear {
+        let mut routed_jobs = 0;
+        for queued in self.queued_jobs(cache, &used) {
+            let requirements = PlacementRequirements::of(queued.spec);
+            let may_preempt = self.may_preempt(queued.spec, &result);
+            if self.full.contains(&requirements) && !may_preempt {
                 // Others just like it have found nothing. They all count, since
                 // machines are provisioned by what waits.
                 self.count_unplaced(&queued, &mut used, &mut result);
-            } else if result.offered < TASKS_PER_PASS && jobs < JOBS_PER_PASS {
-                jobs += 1;
+            } else if result.offered < TASKS_PER_PASS && routed_jobs < JOBS_PER_PASS {
+                routed_jobs += 1;
                 self.route_job(&queued, &mut used, &mut result);
             } else {
                 result.counts.left += queued.job.waiting() as usize;
             }
         }
+        let unplaced = result.unplaced.iter().map(|unplaced| unplaced.tasks);
+        let outstanding: usize = self.offered.values().map(BTreeMap::len).sum();
+        result.counts.unplaced = unplaced.map(|tasks| tasks as usize).sum();
         result.counts.offered = result.offered;
-        result.counts.unplaced = result.unplaced.iter().map(|u| u.tasks as usize).sum();
-        result.counts.under_way =
-            self.offered.values().map(BTreeMap::len).sum::<usize>() - result.offered;
+        result.counts.under_way = outstanding - result.offered;
         result
     }
 
+    /// Forgets what earlier passes remembered and what no longer holds.
+    fn forget_past_passes(&mut self) {
+        let now = self.now;
+        let jobs = &self.cache.jobs;
+        self.pending_preemptions
+            .retain(|_, since| now.duration_since(*since) < PREEMPTION_TIMEOUT);
+        self.gangs.retain(|id, _| jobs.contains_key(id));
+        self.reclaiming.begin_pass(now);
+        let affinity_ttl = RECORD_AFFINITY_TIMEOUT * RECORD_AFFINITY_KEPT;
+        self.record_affinity
+            .retain(|_, since| now.duration_since(*since) < affinity_ttl);
+    }
+
     /// As [`Self::route_job`] for a job that has no room anywhere.
     fn count_unplaced(
         &mut self,
@@ -263,132 +143,18 @@
     ) {
         let QueuedJob { id, spec, job, .. } = queued;
         let under_way = self.offered.get(*id).map_or(0, BTreeMap::len);
-        let tasks = (job.waiting() as usize).saturating_sub(under_way);
-        let quota = Quota::from(&spec.per_task);
-        let within = left(&self.limit(spec), &used.all(&spec.team), &quota);
-        let most = if self.is_on_probation(id) { 1 } else { tasks };
-        let tasks = tasks.min(within).min(most);
+        let waiting = (job.waiting() as usize).saturating_sub(under_way);
+        let within_limit = self.tasks_within_limit(spec, used);
+        let tried = if self.is_on_probation(id) { 1 } else { waiting };
+        let tasks = waiting.min(within_limit).min(tried);
         let reclaimed = self.reclaim_room(queued, tasks, result);
         self.note_unplaced(queued, (tasks - reclaimed) as u32, used, result);
     }
 
-    fn limit(&self, spec: &JobSpec) -> Quota {
-        self.teams
-            .iter()
-            .find(|team| team.name == spec.team)
-            .map(|team| team.limit)
-            .unwrap_or_default()
-    }
-
-    /// Offers that were taken up, or not in time, are forgotten; the room and
-    /// quota of the others is set aside.
-    fn expire_offers(&mut self, used: &mut QuotaUse) {
-        let (cache, now, life) = (self.cache, self.now, self.offer_ttl);
-        let expired_offers = &mut *self.expired_offers;
-        expired_offers.retain(|_, known| now.duration_since(known.last) < EXPIRED_OFFERS_TTL);
-        self.offered.retain(|id, tasks| {
-            let Some(job) = cache.jobs.get(id) else {
-                return false;
-            };
-            let mut owner_with_expired_offers = None;
-            tasks.retain(|task, offered| {
-                let waits = job.placement(*task).is_none() && !job.is_task_done(*task);
-                let is_open = now.duration_since(offered.at) < life;
-                if waits && !is_open {
-                    owner_with_expired_offers = Some(offered.controller.clone());
-                }
-                waits && is_open
-            });
-            if let Some(controller) = owner_with_expired_offers {
-                let known = expired_offers
-                    .get(id)
-                    .filter(|known| known.controller == controller);
-                let count = known.map_or(1, |known| known.count + 1);
-                let last = now;
-                expired_offers.insert(
-                    id.clone(),
-                    ExpiredOffers {
-                        controller,
-                        last,
-                        count,
-                    },
-                );
-            }
-            !tasks.is_empty()
-        });
-        if self.offered.is_empty() {
-            return;
-        }
-        let at: BTreeMap<MachineId, usize> = self
-            .free_capacity
-            .candidates
-            .iter()
-            .enumerate()
-            .map(|(at, candidate)| (candidate.machine.clone(), at))
-            .collect();
-        for (id, tasks) in self.offered.iter() {
-            let Some(spec) = cache.jobs.get(id).and_then(Job::spec) else {
-                continue;
-            };
-            let quota = Quota::from(&spec.per_task);
-            for offered in tasks.values() {
-                let owner = self
-                    .free_capacity
-                    .controllers
-                    .iter()
-                    .position(|n| *n == offered.controller);
-                if let Some(owner) = owner {
-                    used.add(owner, &spec.team, &quota);
-                }
-                // Which machine the owner takes is its own choice; it decides
-                // by the same rule as the trial.
-                if let Some(candidate) = at.get(&offered.machine) {
-                    self.free_capacity.candidates[*candidate].put(spec);
-                }
-            }
-        }
-    }
-
-    fn queued_jobs<'b>(&self, cache: &'b StateCache, used: &QuotaUse) -> Vec<QueuedJob<'b>> {
-        let mut queued_jobs: Vec<QueuedJob<'b>> = cache
-            .waiting
-            .iter()
-            .filter(|id| self.failing.get(*id).is_none_or(|until| *until <= self.now))
-            .filter_map(|id| {
-                let job = cache.jobs.get(id)?;
-                let spec = job.spec()?;
-                if self.is_on_probation(id) && (job.present() > 0 || self.offered.contains_key(id))
-                {
-                    return None;
-                }
-                let borrows = self
-                    .teams
-                    .iter()
-                    .find(|team| team.name == spec.team)
-                    .is_some_and(|team| {
-                        let after = used.all(&spec.team).plus(&Quota::from(&spec.per_task));
-                        !team.guaranteed.covers(&after)
-                    });
-                let begun = job.placed + job.done > 0;
-                let (priority, borrows) =
-                    raised_by_age(spec.priority, borrows, begun, spec.age(self.wall));
-                let due = spec.accepted_ms + spec.deadline.map_or(0, |d| d.as_millis() as u64);
-                Some(QueuedJob {
-                    id,
-                    spec,
-                    job,
-                    rank: (std::cmp::Reverse(priority), borrows, due),
-                })
-            })
-            .collect();
-        queued_jobs.sort_by(|a, b| a.rank.cmp(&b.rank).then_with(|| a.id.cmp(b.id)));
-        queued_jobs
-    }
-
-    /// Whether the job fails wherever it is tried, so that one task of it is tried at a
-    /// time: offers of all of them, which no owner takes, would keep room from others.
-    fn is_on_probation(&self, id: &JobId) -> bool {
-        self.failing.contains_key(id)
+    /// How many more tasks of the job its team's limit allows.
+    fn tasks_within_limit(&self, spec: &JobSpec, used: &QuotaUse) -> usize {
+        let quota = Quota::from(&spec.per_task);
+        tasks_left(&self.limit(spec), &used.all(&spec.team), &quota)
     }
 
     /// How many more tasks the owner's budget for the job's team allows.
@@ -400,8 +166,8 @@
             .and_then(|entry| entry.value.budgets.get(&spec.team))
             .copied()
             .unwrap_or_default();
-        let used = used.of(owner, &spec.team);
-        left(&budget, &used, &Quota::from(&spec.per_task))
+        let used = used.by(owner, &spec.team);
+        tasks_left(&budget, &used, &Quota::from(&spec.per_task))
     }
 
     /// Routes what it can of one job.
@@ -411,60 +177,84 @@
         used: &mut QuotaUse,
         result: &mut RoutingResult,
     ) {
-        let QueuedJob { id, spec, job, .. } = queued;
-        let gang = spec.kind == JobKind::Gang;
-        if gang && self.offered.contains_key(*id) {
+        let QueuedJob { id, spec, .. } = queued;
+        let is_gang = spec.kind == JobKind::Gang;
+        if is_gang && (self.offered.contains_key(*id) || !self.may_join(queued, result)) {
             return;
         }
-        if gang && !self.may_join(queued, result) {
+        let mut tasks = self.tasks_to_route(queued);
+        if tasks.is_empty() || !self.keep_within_limit(queued, &mut tasks, used, result) {
             return;
         }
-        let most = if gang {
+        if self.awaits_zone_assignment(queued, tasks.len(), result) {
+            self.note_unplaced(queued, tasks.len() as u32, used, result);
+        } else if is_gang {
+            self.route_gang(queued, &tasks, used, result);
+        } else {
+            self.route_tasks(queued, tasks, used, result);
+        }
+    }
+
+    /// The job's waiting tasks that are not under way yet, as many as are tried now.
+    fn tasks_to_route(&self, queued: &QueuedJob<'_>) -> Vec<u32> {
+        let QueuedJob { id, spec, job, .. } = queued;
+        let is_gang = spec.kind == JobKind::Gang;
+        let max_tasks = if is_gang {
             spec.tasks as usize
         } else {
             TASKS_PER_JOB
         };
         let under_way = self.offered.get(*id);
-        let mut tasks: Vec<u32> = job
-            .waiting_tasks(most)
-            .into_iter()
+        let waiting = job.waiting_tasks(max_tasks).into_iter();
+        let mut tasks: Vec<u32> = waiting
             .filter(|task| under_way.is_none_or(|tasks| !tasks.contains_key(task)))
             .collect();
-        if tasks.is_empty() {
-            return;
-        }
-        if self.is_on_probation(id) && !gang {
+        if self.is_on_probation(id) && !is_gang {
             tasks.truncate(1);
         }
-        let quota = Quota::from(&spec.per_task);
-        let within = left(&self.limit(spec), &used.all(&spec.team), &quota);
-        if within < tasks.len() {
-            if gang {
-                // More machines would not help it.
-                result.counts.limited += tasks.len();
-                return;
-            }
-            // More machines would not help those beyond the limit.
-            result.counts.limited += tasks.len() - within;
-            self.preempt_for_quota(queued, tasks[within], result);
-            tasks.truncate(within);
+        tasks
+    }
+
+    /// Leaves out the tasks beyond the team's limit: more machines would not help them.
+    /// False: nothing of the job is routed, since a gang is placed whole.
+    fn keep_within_limit(
+        &mut self,
+        queued: &QueuedJob<'_>,
+        tasks: &mut Vec<u32>,
+        used: &QuotaUse,
+        result: &mut RoutingResult,
+    ) -> bool {
+        let spec = queued.spec;
+        let within_limit = self.tasks_within_limit(spec, used);
+        if within_limit >= tasks.len() {
+            return true;
         }
-        if self.awaits_zone_assignment(queued, tasks.len(), result) {
-            self.note_unplaced(queued, tasks.len() as u32, used, result);
-            return;
+        if spec.kind == JobKind::Gang {
+            result.counts.limited += tasks.len();
+            return false;
         }
-        if gang {
-            self.route_gang(queued, &tasks, used, result);
-            return;
-        }
-        let placed = if spec.is_zone_bound() {
+        result.counts.limited += tasks.len() - within_limit;
+        self.preempt_for_quota(queued, tasks[within_limit], result);
+        tasks.truncate(within_limit);
+        true
+    }
+
+    /// Offers the tasks of an array or a service that have room, and explains the others.
+    fn route_tasks(
+        &mut self,
+        queued: &QueuedJob<'_>,
+        tasks: Vec<u32>,
+        used: &mut QuotaUse,
+        result: &mut RoutingResult,
+    ) {
+        let placed = if queued.spec.is_zone_bound() {
             self.place_zone_bound(queued, &tasks, used)
         } else {
             self.place_by_record(queued, &tasks, used)
         };
-        let found: BTreeSet<u32> = placed.iter().map(|(task, _)| *task).collect();
-        for (task, at) in placed {
-            self.offer(id, task, at, result);
+        let found: BTreeSet<u32> = placed.iter().map(|trial| trial.task).collect();
+        for trial in placed {
+            self.offer(queued.id, trial.task, trial.candidate, result);
         }
         let left_over: Vec<u32> = tasks
             .into_iter()
@@ -474,29 +264,14 @@
             self.explain_unplaced(queued, &left_over, used, result);
         }
     }
+}
 
-    fn offer(&mut self, id: &JobId, task: u32, at: usize, result: &mut RoutingResult) {
-        result.offered += 1;
-        let candidate = &self.free_capacity.candidates[at];
-        let controller = self.free_capacity.controllers[candidate.owner].clone();
-        let offered = OutstandingOffer {
-            controller: controller.clone(),
-            machine: candidate.machine.clone(),
-            at: self.now,
-        };
-        self.offered
-            .entry(id.clone())
-            .or_default()
-            .insert(task, offered);
-        let offers = result.offers.entry(controller).or_default();
-        match offers.iter_mut().find(|offer| offer.job == *id) {
-            Some(offer) => offer.tasks.push(task),
-            None => offers.push(Offer {
-                job: id.clone(),
-                tasks: vec![task],
-            }),
-        }
-    }
+/// A task with the machine that the trial placement found for it.
+#[derive(Clone, Copy, Debug)]
+struct TrialPlacement {
+    task: u32,
+    /// Index of the candidate machine.
+    candidate: usize,
 }
 
 #[cfg(test)]
--- a/src/coordination/leader/routing/reclaim.rs
+++ b/src/coordination/leader/routing/reclaim.rs
@@ -4,18 +4,17 @@
 //! lowest priority that runs for minutes would keep a full fleet from all others for as
 //! long (exception to section 4.4.1, see docs/DESIGN.md).
 
-use std::{collections::BTreeMap, time::Duration};
+use std::{cmp::Reverse, collections::BTreeMap, time::Duration};
 
 use tokio::time::Instant;
 
+use super::{
+    RoutingPass, RoutingResult,
+    queue_order::{QueueRank, QueuedJob, raised_by_age},
+    state::PREEMPTION_TIMEOUT,
+};
 use crate::{
-    coordination::{
-        leader::routing::{
-            PREEMPTION_TIMEOUT, QueuedJob, RoutingPass, RoutingResult,
-            queue_order::{QueueRank, raised_by_age},
-        },
-        policy::placement,
-    },
+    coordination::policy::placement,
     storage::{JobId, JobKind, JobSpec, Priority, Resources, TaskId},
 };
 
@@ -144,7 +143,11 @@
                     victims.push(Victim {
                         task: task.clone(),
                         size: spec.per_task,
-                        rank: (std::cmp::Reverse(priority), borrows, spec.accepted_ms),
+                        rank: QueueRank {
+                            priority: Reverse(priority),
+                            borrows,
+                            due_ms: spec.accepted_ms,
+                        },
                     });
                 }
             }
@@ -175,7 +178,7 @@
                 return false;
             };
             // One that has waited long enough to have risen stays.
-            if victim.rank.0 <= queued.rank.0 {
+            if victim.rank.priority <= queued.rank.priority {
                 return false;
             }
             room += victim.size;
--- a/src/coordination/leader/routing/tests.rs
+++ b/src/coordination/leader/routing/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of `coordination::leader::routing`.
 
-use super::*;
+use super::{queue_order::raised_by_age, *};
+use crate::storage::Priority;
 
 /// Guards against jobs that wait for good behind others.
 #[test]
@@ -28,7 +29,7 @@
 #[test]
 fn what_is_left_of_a_limit() {
     let quota = |cpus| Quota { cpus, gpus: 0.0 };
-    assert_eq!(left(&quota(10.0), &quota(1.0), &quota(4.0)), 2);
-    assert_eq!(left(&quota(10.0), &quota(2.0), &quota(4.0)), 2);
-    assert_eq!(left(&quota(10.0), &quota(12.0), &quota(4.0)), 0);
+    assert_eq!(tasks_left(&quota(10.0), &quota(1.0), &quota(4.0)), 2);
+    assert_eq!(tasks_left(&quota(10.0), &quota(2.0), &quota(4.0)), 2);
+    assert_eq!(tasks_left(&quota(10.0), &quota(12.0), &quota(4.0)), 0);
 }
--- a/src/coordination/leader/routing/unplaced.rs
+++ b/src/coordination/leader/routing/unplaced.rs
@@ -2,18 +2,18 @@
 
 use std::collections::BTreeMap;
 
-use super::quota_use::QuotaUse;
-
+use super::{
+    PlacementRequirements, QuotaDemand, RoutingPass, RoutingResult, Unplaced,
+    queue_order::QueuedJob, quota_use::QuotaUse,
+};
 use crate::{
-    coordination::{
-        leader::routing::{
-            PlacementRequirements, QueuedJob, QuotaDemand, RoutingPass, RoutingResult, Unplaced,
-        },
-        policy::placement,
-    },
-    storage::{ControllerName, JobKind, JobSpec, Quota, keys},
+    coordination::policy::placement::{self, OwnerFit},
+    storage::{ControllerName, JobKind, JobSpec, Quota, TeamName, keys},
 };
 
+/// Least CPUs of a task when free ones are divided by it.
+const MIN_TASK_CPUS: f64 = 0.01;
+
 impl RoutingResult {
     /// Notes tasks that owners have room for, of which some lack quota.
     fn demand_quota(&mut self, spec: &JobSpec, parts: Vec<(ControllerName, u32)>) {
@@ -25,6 +25,20 @@
         let team = spec.team.clone();
         self.demand.push(QuotaDemand { team, tasks });
     }
+
+    /// Notes quota that an owner lacks for tasks that it has room for.
+    fn add_deficit(&mut self, owner: &ControllerName, team: &TeamName, quota: &Quota) {
+        let deficit = self.deficit.entry((owner.clone(), team.clone()));
+        let deficit = deficit.or_default();
+        *deficit = deficit.plus(quota);
+    }
+
+    /// Notes quota that an owner is about to need.
+    fn add_reserved(&mut self, owner: &ControllerName, team: &TeamName, quota: &Quota) {
+        let reserved = self.reserved.entry((owner.clone(), team.clone()));
+        let reserved = reserved.or_default();
+        *reserved = reserved.plus(quota);
+    }
 }
 
 impl RoutingPass<'_> {
@@ -37,8 +51,7 @@
         used: &mut QuotaUse,
         result: &mut RoutingResult,
     ) {
-        let spec = queued.spec;
-        let covered = if spec.is_zone_bound() {
+        let covered = if queued.spec.is_zone_bound() {
             self.find_zone_bound_deficit(queued, tasks, used, result)
         } else {
             self.find_deficit(queued, tasks, used, result)
@@ -57,7 +70,7 @@
 
     /// Room that tasks could not be given, as its owner lacks budget or another
     /// one writes their record. Returns for how many of them there is room.
-    pub(super) fn find_deficit(
+    fn find_deficit(
         &mut self,
         queued: &QueuedJob<'_>,
         tasks: &[u32],
@@ -66,51 +79,61 @@
     ) -> usize {
         let QueuedJob { id, spec, job, .. } = queued;
         let factor = (self.factor)(&spec.class);
-        let count = tasks.len();
-        let mut fits =
-            placement::compare_owners(spec, &self.free_capacity.candidates, factor, count);
-        let quota = Quota::from(&spec.per_task);
-        let free: f64 = fits.values().map(|fit| fit.free).sum();
+        let candidates = &self.free_capacity.candidates;
+        let fits = placement::compare_owners(spec, candidates, factor, tasks.len());
+        let free_cpus: f64 = fits.values().map(|fit| fit.free).sum();
         let fit_in_all: usize = fits.values().map(|fit| fit.tasks).sum();
         if fit_in_all == 0 {
             self.full.insert(PlacementRequirements::of(spec));
             return 0;
         }
         let writers = self.writers(id, job, tasks[0] / keys::CHUNK);
+        self.note_owner_deficits(spec, tasks.len(), fits, &writers, used, result);
+        // Earlier jobs wait for some of that room.
+        let unclaimed_cpus = (free_cpus - result.claimed_cpus).max(0.0);
+        let unclaimed = unclaimed_cpus / spec.per_task.cpus.max(MIN_TASK_CPUS);
+        let covered = tasks.len().min(fit_in_all).min(unclaimed as usize);
+        result.claimed_cpus += spec.per_task.cpus * covered as f64;
+        covered
+    }
+
+    /// Goes through the owners in the order in which they would get the tasks, and notes
+    /// what each lacks for those that it has room for.
+    fn note_owner_deficits(
+        &self,
+        spec: &JobSpec,
+        tasks: usize,
+        mut fits: BTreeMap<usize, OwnerFit>,
+        writers: &[usize],
+        used: &mut QuotaUse,
+        result: &mut RoutingResult,
+    ) {
+        let quota = Quota::from(&spec.per_task);
         let mut parts: Vec<(ControllerName, u32)> = Vec::new();
         let mut has_deficit = false;
-        let mut rest = count;
+        let mut rest = tasks;
         while rest > 0
-            && let Some(owner) = placement::best_owner(&fits, &writers)
+            && let Some(owner) = placement::best_owner(&fits, writers)
         {
             let fit = fits.remove(&owner).map_or(0, |fit| fit.tasks).min(rest);
             let missing = fit.saturating_sub(self.budget_left(owner, spec, used));
-            parts.push((self.free_capacity.controllers[owner].clone(), fit as u32));
+            let controller = &self.free_capacity.controllers[owner];
+            parts.push((controller.clone(), fit as u32));
             if missing > 0 {
                 has_deficit = true;
                 let quota = quota.times(missing as f64);
                 used.add(owner, &spec.team, &quota);
-                let key = (
-                    self.free_capacity.controllers[owner].clone(),
-                    spec.team.clone(),
-                );
-                let deficit = result.deficit.entry(key).or_default();
-                *deficit = deficit.plus(&quota);
+                result.add_deficit(controller, &spec.team, &quota);
             }
             rest -= fit;
         }
         if has_deficit {
             result.demand_quota(spec, parts);
         }
-        // Earlier jobs wait for some of that room.
-        let unclaimed = (free - result.claimed).max(0.0) / spec.per_task.cpus.max(0.01);
-        let covered = count.min(fit_in_all).min(unclaimed as usize);
-        result.claimed += spec.per_task.cpus * covered as f64;
-        covered
     }
 
-    /// As [`Self::lacking`] for tasks that are bound to zones.
-    pub(super) fn find_zone_bound_deficit(
+    /// As [`Self::find_deficit`] for tasks that are bound to zones.
+    fn find_zone_bound_deficit(
         &mut self,
         queued: &QueuedJob<'_>,
         tasks: &[u32],
@@ -120,31 +143,27 @@
         let spec = queued.spec;
         let factor = (self.factor)(&spec.class);
         let quota = Quota::from(&spec.per_task);
-        let mut roomy = Vec::new();
+        let mut with_room = Vec::new();
         for (part, mut constraint) in self.constrained_parts(queued, tasks) {
             let candidates = &mut self.free_capacity.candidates;
-            roomy.extend(placement::fill(
-                spec,
-                candidates,
-                factor,
-                part.len(),
-                |candidate| {
-                    let admitted = constraint.admits(&candidate.zone);
-                    if admitted {
-                        constraint.add(&candidate.zone);
-                    }
-                    admitted
-                },
-            ));
+            let chosen = placement::fill(spec, candidates, factor, part.len(), |candidate| {
+                let admitted = constraint.admits(&candidate.zone);
+                if admitted {
+                    constraint.add(&candidate.zone);
+                }
+                admitted
+            });
+            with_room.extend(chosen);
         }
-        self.note_quota_deficit(spec, &roomy, used, result);
-        for at in &roomy {
-            used.add(self.free_capacity.candidates[*at].owner, &spec.team, &quota);
+        self.note_quota_deficit(spec, &with_room, used, result);
+        for candidate in &with_room {
+            let owner = self.free_capacity.candidates[*candidate].owner;
+            used.add(owner, &spec.team, &quota);
         }
-        roomy.len()
+        with_room.len()
     }
 
-    /// What the owners of these slots lack for a task in each. No more than that: a
+    /// What the owners of these candidates lack for a task on each. No more than that: an
     /// owner that lacks something gives nothing up, so that with all of them in want
     /// no budget would ever move.
     pub(super) fn note_quota_deficit(
@@ -154,38 +173,27 @@
         used: &QuotaUse,
         result: &mut RoutingResult,
     ) {
-        let mut counts: BTreeMap<usize, usize> = BTreeMap::new();
-        for at in chosen {
-            *counts
-                .entry(self.free_capacity.candidates[*at].owner)
-                .or_default() += 1;
+        let mut tasks_by_owner: BTreeMap<usize, usize> = BTreeMap::new();
+        for candidate in chosen {
+            let owner = self.free_capacity.candidates[*candidate].owner;
+            *tasks_by_owner.entry(owner).or_default() += 1;
         }
-        let parts = counts.iter().map(|(owner, count)| {
-            (
-                self.free_capacity.controllers[*owner].clone(),
-                *count as u32,
-            )
-        });
+        let name_of = |owner: usize| &self.free_capacity.controllers[owner];
+        let parts = tasks_by_owner.iter();
+        let parts = parts.map(|(owner, tasks)| (name_of(*owner).clone(), *tasks as u32));
         result.demand_quota(spec, parts.collect());
-        for (owner, count) in counts {
-            let key = (
-                self.free_capacity.controllers[owner].clone(),
-                spec.team.clone(),
-            );
-            let reserved = result.reserved.entry(key).or_default();
-            *reserved = reserved.plus(&Quota::from(&spec.per_task).times(count as f64));
-            let missing = count.saturating_sub(self.budget_left(owner, spec, used));
+        let quota = Quota::from(&spec.per_task);
+        for (owner, tasks) in tasks_by_owner {
+            let controller = name_of(owner);
+            result.add_reserved(controller, &spec.team, &quota.times(tasks as f64));
+            let missing = tasks.saturating_sub(self.budget_left(owner, spec, used));
             if missing > 0 {
-                let key = (
-                    self.free_capacity.controllers[owner].clone(),
-                    spec.team.clone(),
-                );
-                let deficit = result.deficit.entry(key).or_default();
-                *deficit = deficit.plus(&Quota::from(&spec.per_task).times(missing as f64));
+                result.add_deficit(controller, &spec.team, &quota.times(missing as f64));
             }
         }
     }
 
+    /// Notes tasks that found no room, for which machines are to be provisioned.
     pub(super) fn note_unplaced(
         &self,
         queued: &QueuedJob<'_>,
@@ -200,17 +208,20 @@
         // Machines come for these, so that later ones of the team find that
         // much less of its limit.
         let quota = Quota::from(&spec.per_task).times(f64::from(tasks));
-        let sum = used.all.entry(spec.team.clone()).or_default();
-        *sum = sum.plus(&quota);
-        let age = spec.age(self.wall);
-        let overdue = match spec.deadline {
-            Some(deadline) => age + spec.estimate > deadline,
-            None => age > self.start_target && !spec.is_idle_work(),
-        };
+        used.add_unplaced(&spec.team, &quota);
         result.unplaced.push(Unplaced {
             job: queued.id.clone(),
             tasks,
-            overdue,
+            overdue: self.is_overdue(spec),
         });
     }
+
+    /// Whether tasks that have no room now wait too long.
+    fn is_overdue(&self, spec: &JobSpec) -> bool {
+        let age = spec.age(self.wall);
+        match spec.deadline {
+            Some(deadline) => age + spec.estimate > deadline,
+            None => age > self.start_target && !spec.is_idle_work(),
+        }
+    }
 }
--- a/src/coordination/leader/routing/zone_bound.rs
+++ b/src/coordination/leader/routing/zone_bound.rs
@@ -2,11 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use super::quota_use::QuotaUse;
-
+use super::{
+    RoutingPass, RoutingResult, TrialPlacement, ZoneAssignment, queue_order::QueuedJob,
+    quota_use::QuotaUse,
+};
 use crate::{
     coordination::{
-        leader::routing::{QueuedJob, RoutingPass, RoutingResult, ZoneAssignment},
         policy::{
             placement,
             zone_constraint::{ZoneConstraint, ZoneScope},
@@ -32,36 +33,32 @@
         }
         let needed = if spec.kind == JobKind::Gang { tasks } else { 1 };
         let room = self.room_by_zone(spec);
-        let best = room.iter().max_by_key(|(_, room)| **room);
-        let roomy = best
+        let largest = room.iter().max_by_key(|(_, room)| **room);
+        let zone_with_room = largest
             .filter(|(_, room)| **room >= needed)
             .map(|(zone, _)| zone);
-        let change = |zone| ZoneAssignment {
+        let assignment = |zone| ZoneAssignment {
             job: (*id).clone(),
             zone,
         };
-        match &spec.assigned_zone {
-            None => {
-                let settled = zone_usage::of_job(self.cache, job).current_zone().cloned();
-                if let Some(zone) = settled.or(roomy.cloned()) {
-                    result.zone_assignments.push(change(Some(zone)));
-                }
-                true
-            }
-            Some(assigned_zone) => {
-                let nowhere = job.present() == 0 && !self.offered.contains_key(*id);
-                let has_room = room.get(assigned_zone).is_some_and(|room| *room >= needed);
-                let moves = nowhere && !has_room && roomy.is_some();
-                if moves {
-                    result.zone_assignments.push(change(None));
-                }
-                moves
+        let Some(assigned_zone) = &spec.assigned_zone else {
+            let current = zone_usage::of_job(self.cache, job).current_zone().cloned();
+            if let Some(zone) = current.or(zone_with_room.cloned()) {
+                result.zone_assignments.push(assignment(Some(zone)));
             }
+            return true;
+        };
+        let is_nowhere = job.present() == 0 && !self.offered.contains_key(*id);
+        let has_room = room.get(assigned_zone).is_some_and(|room| *room >= needed);
+        let moves = is_nowhere && !has_room && zone_with_room.is_some();
+        if moves {
+            result.zone_assignments.push(assignment(None));
         }
+        moves
     }
 
     /// Tasks of the job that fit in each zone that it allows, wherever it is confined to.
-    pub(super) fn room_by_zone(&self, spec: &JobSpec) -> BTreeMap<ZoneName, usize> {
+    fn room_by_zone(&self, spec: &JobSpec) -> BTreeMap<ZoneName, usize> {
         let anywhere = JobSpec {
             assigned_zone: None,
             ..spec.clone()
@@ -76,7 +73,8 @@
         room
     }
 
-    pub(super) fn scope(&self, spec: &JobSpec) -> ZoneScope {
+    /// What the placement of a zone-bound job depends on.
+    fn scope(&self, spec: &JobSpec) -> ZoneScope {
         ZoneScope::of(spec, self.changes_per_transaction)
     }
 
@@ -105,7 +103,8 @@
         parts
     }
 
-    pub(super) fn count_offered(
+    /// Counts the job's tasks under way that `counts` admits as placed.
+    fn count_offered(
         &self,
         queued: &QueuedJob<'_>,
         constraint: &mut ZoneConstraint,
@@ -131,7 +130,7 @@
         queued: &QueuedJob<'_>,
         tasks: &[u32],
         used: &mut QuotaUse,
-    ) -> Vec<(u32, usize)> {
+    ) -> Vec<TrialPlacement> {
         let spec = queued.spec;
         let mut budgets: Vec<usize> = (0..self.free_capacity.controllers.len())
             .map(|owner| self.budget_left(owner, spec, used))
@@ -150,7 +149,11 @@
                 }
                 admitted
             });
-            placed.extend(part.iter().copied().zip(chosen));
+            let trials = part.iter().zip(chosen);
+            placed.extend(trials.map(|(task, candidate)| TrialPlacement {
+                task: *task,
+                candidate,
+            }));
         }
         placed
     }
--- a/src/coordination/policy/placement.rs
+++ b/src/coordination/policy/placement.rs
@@ -10,7 +10,9 @@
     time::Duration,
 };
 
-use crate::storage::{ImageName, JobKind, JobSpec, MachineId, Resources, TypeName, ZoneName};
+use crate::storage::{
+    ImageName, JobKind, JobSpec, MachineId, MachineType, Resources, TypeName, ZoneName,
+};
 
 /// A machine that might take a task.
 #[derive(Clone, Debug)]
@@ -70,6 +72,28 @@
 }
 
 impl CandidateMachine {
+    /// A machine of this type with nothing on it, of the owner with index 0.
+    pub fn empty(
+        machine: MachineId,
+        machine_type: &MachineType,
+        zone: &ZoneName,
+        spot: bool,
+    ) -> Self {
+        Self {
+            owner: 0,
+            machine,
+            kind: machine_type.name.clone(),
+            zone: zone.clone(),
+            spot,
+            room: machine_type.size,
+            size: machine_type.size,
+            fetch_gb_per_s: machine_type.fetch_gb_per_s,
+            speed: 1.0,
+            images: Arc::default(),
+            leaves_in: None,
+        }
+    }
+
     /// One task of the job is put here.
     pub fn put(&mut self, spec: &JobSpec) {
         self.room -= spec.per_task;
