--- a/src/coordination/leader/routing/records.rs
+++ b/src/coordination/leader/routing/records.rs
@@ -10,7 +10,10 @@
     state::{EXPIRED_OFFERS_LIMIT, RECORD_AFFINITY_TIMEOUT},
 };
 use crate::{
-    coordination::policy::placement::{self, OwnerFit},
+    coordination::policy::{
+        owner_choice::{OwnerFit, best_owner, compare_owners},
+        placement,
+    },
     storage::{ControllerName, JobId, JobKind, Quota, keys, state_cache::Job},
 };
 
@@ -79,13 +82,13 @@
         let mut rest = tasks;
         let mut writers = self.writers(id, job, chunk);
         let candidates = &self.free_capacity.candidates;
-        let mut fits = placement::compare_owners(spec, candidates, factor, rest.len());
+        let mut fits = compare_owners(spec, candidates, factor, rest.len());
         if let Some(owner) = self.owner_with_expired_offers(id, job, rest) {
             fits.remove(&owner);
         }
         while !rest.is_empty() {
             self.keep_within_budgets(&mut fits, queued, used);
-            let Some(owner) = placement::best_owner(&fits, &writers) else {
+            let Some(owner) = best_owner(&fits, &writers) else {
                 return;
             };
             if keeps_to_writers && !writers.is_empty() && !writers.contains(&owner) {
--- a/src/coordination/leader/routing/unplaced.rs
+++ b/src/coordination/leader/routing/unplaced.rs
@@ -7,7 +7,10 @@
     queue_order::QueuedJob, quota_use::QuotaUse,
 };
 use crate::{
-    coordination::policy::placement::{self, OwnerFit},
+    coordination::policy::{
+        owner_choice::{OwnerFit, best_owner, compare_owners},
+        placement,
+    },
     storage::{ControllerName, JobKind, JobSpec, Quota, TeamName, keys},
 };
 
@@ -80,8 +83,8 @@
         let QueuedJob { id, spec, job, .. } = queued;
         let factor = (self.factor)(&spec.class);
         let candidates = &self.free_capacity.candidates;
-        let fits = placement::compare_owners(spec, candidates, factor, tasks.len());
-        let free_cpus: f64 = fits.values().map(|fit| fit.free).sum();
+        let fits = compare_owners(spec, candidates, factor, tasks.len());
+        let free_cpus: f64 = fits.values().map(|fit| fit.free_cpus).sum();
         let fit_in_all: usize = fits.values().map(|fit| fit.tasks).sum();
         if fit_in_all == 0 {
             self.full.insert(PlacementRequirements::of(spec));
@@ -113,7 +116,7 @@
         let mut has_deficit = false;
         let mut rest = tasks;
         while rest > 0
-            && let Some(owner) = placement::best_owner(&fits, writers)
+            && let Some(owner) = best_owner(&fits, writers)
         {
             let fit = fits.remove(&owner).map_or(0, |fit| fit.tasks).min(rest);
             let missing = fit.saturating_sub(self.budget_left(owner, spec, used));
--- a/src/coordination/policy/band.rs
+++ b/src/coordination/policy/band.rs
@@ -14,15 +14,20 @@
     pub need: u32,
 }
 
+/// The band's open values, from the operators' settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
+    /// Miss rate from which machines are provisioned (β).
     pub beta: f64,
+    /// Weight of the miss share against the queue share, 0 to 1 (k).
     pub miss_weight: f64,
+    /// Least demand of a type that is provisioned.
     pub demand: f64,
+    /// Least utilisation of the least-used machine of a type that is provisioned.
     pub utilisation: f64,
 }
 
-/// ω = k·σ + (1 - k)·φ.
+/// A type's demand: ω = k·σ + (1 - k)·φ.
 pub fn demand(load: &TypeLoad, miss_weight: f64) -> f64 {
     miss_weight * load.miss_share + (1.0 - miss_weight) * load.queue_share
 }
--- a/src/coordination/policy/mod.rs
+++ b/src/coordination/policy/mod.rs
@@ -3,6 +3,7 @@
 //! Heterogeneous Cloud Services".
 
 pub mod band;
+pub mod owner_choice;
 pub mod placement;
 pub mod remedial;
 pub mod scale_in;
--- a/src/coordination/policy/placement.rs
+++ b/src/coordination/policy/placement.rs
@@ -3,45 +3,50 @@
 //! from having room at all; what is left of equation 2 is the image fetch and
 //! the run time on that machine.
 
-use std::{
-    cmp::Reverse,
-    collections::{BTreeMap, BinaryHeap},
-    sync::Arc,
-    time::Duration,
-};
+use std::{cmp::Reverse, collections::BinaryHeap, sync::Arc, time::Duration};
 
 use crate::storage::{
     ImageName, JobKind, JobSpec, MachineId, MachineType, Resources, TypeName, ZoneName,
 };
 
-/// A machine that might take a task.
+/// A machine with free capacity that might take a task.
 #[derive(Clone, Debug)]
 pub struct CandidateMachine {
-    /// Whose it is: the leader's trial looks at several owners' machines.
+    /// Index of its owner: the leader's trial looks at several owners' machines.
     pub owner: usize,
+    /// The machine.
     pub machine: MachineId,
+    /// Its machine type.
     pub kind: TypeName,
+    /// Its zone.
     pub zone: ZoneName,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// What is free on it.
     pub room: Resources,
-    /// Share of the machine's CPUs that would still be free.
+    /// What it has in all.
     pub size: Resources,
+    /// How fast it fetches images, in GB a second.
     pub fetch_gb_per_s: f64,
     /// Learned speed; 1 is usual.
     pub speed: f64,
+    /// Images in its cache.
     pub images: Arc<Vec<ImageName>>,
     /// A draining machine's paid period ends in this time.
     pub leaves_in: Option<Duration>,
 }
 
-/// What a task would be there.
+/// How long a task would take on a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
+    /// Until it has its image.
     pub fetch: Duration,
+    /// From then on.
     pub run: Duration,
 }
 
 impl Estimate {
+    /// From now until the task is complete.
     pub fn completion(&self) -> Duration {
         self.fetch + self.run
     }
@@ -52,6 +57,8 @@
 const MIN_TOLERANCE: Duration = Duration::from_millis(200);
 const TOLERANCE: f64 = 0.1;
 
+/// The estimate for a task of the job on a machine. `factor`: measured run time against the
+/// owner's estimate, for the job's class.
 pub fn estimate(spec: &JobSpec, candidate: &CandidateMachine, factor: f64) -> Estimate {
     let fetch = if candidate.images.contains(&spec.image) || spec.image_gb <= 0.0 {
         Duration::ZERO
@@ -105,11 +112,25 @@
 
 /// Least estimated completion; of equals spot machines for tasks that may use
 /// them (ordinary ones are kept for those that may not), then the image, then
-/// the tightest fit, which leaves other machines empty.
-type CompletionOrder = (u64, bool, u64, u64);
+/// the tightest fit, which leaves other machines empty. The fields are compared in order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct CompletionOrder {
+    /// Estimated completion in steps of the tolerance; for a gang the image fetch.
+    pub(super) completion_step: u64,
+    /// An ordinary machine for a task that may use spot machines.
+    wastes_ordinary: bool,
+    /// The image fetch; for a gang the run time.
+    tie_ms: u64,
+    /// Bits of the CPUs that would be left free.
+    left_cpus_bits: u64,
+}
 
-/// The slot's place in the order for a task of the job; none if it can't take it.
-fn key(spec: &JobSpec, candidate: &CandidateMachine, factor: f64) -> Option<CompletionOrder> {
+/// The candidate's place in the order for a task of the job; none if it can't take it.
+pub(super) fn completion_order(
+    spec: &JobSpec,
+    candidate: &CandidateMachine,
+    factor: f64,
+) -> Option<CompletionOrder> {
     if !spec.per_task.fits_in(&candidate.room) || !allowed(spec, candidate) {
         return None;
     }
@@ -119,28 +140,31 @@
     {
         return None;
     }
-    let left = (candidate.room.cpus - spec.per_task.cpus).max(0.0);
+    let wastes_ordinary = spec.spot && !candidate.spot;
+    // The bits of numbers from zero on are in the numbers' order.
+    let left_cpus_bits = (candidate.room.cpus - spec.per_task.cpus)
+        .max(0.0)
+        .to_bits();
     if spec.kind == JobKind::Gang {
         // All wait for the last image, and run at the slowest machine's pace: a
         // cached image counts before a quicker machine for one of them.
-        return Some((
-            (estimate.fetch.as_millis() / MIN_TOLERANCE.as_millis()) as u64,
-            spec.spot && !candidate.spot,
-            estimate.run.as_millis() as u64,
-            left.to_bits(),
-        ));
+        return Some(CompletionOrder {
+            completion_step: (estimate.fetch.as_millis() / MIN_TOLERANCE.as_millis()) as u64,
+            wastes_ordinary,
+            tie_ms: estimate.run.as_millis() as u64,
+            left_cpus_bits,
+        });
     }
     let tolerance = spec.estimate.mul_f64(TOLERANCE).max(MIN_TOLERANCE);
-    Some((
-        (estimate.completion().as_millis() / tolerance.as_millis()) as u64,
-        spec.spot && !candidate.spot,
-        estimate.fetch.as_millis() as u64,
-        // The bits of numbers from zero on are in the numbers' order.
-        left.to_bits(),
-    ))
+    Some(CompletionOrder {
+        completion_step: (estimate.completion().as_millis() / tolerance.as_millis()) as u64,
+        wastes_ordinary,
+        tie_ms: estimate.fetch.as_millis() as u64,
+        left_cpus_bits,
+    })
 }
 
-/// The slot for one task.
+/// The index of the candidate for one task.
 pub fn choose(
     spec: &JobSpec,
     candidates: &[CandidateMachine],
@@ -149,7 +173,7 @@
 ) -> Option<usize> {
     let mut best: Option<(CompletionOrder, usize)> = None;
     for (at, candidate) in candidates.iter().enumerate() {
-        if let Some(key) = key(spec, candidate, factor)
+        if let Some(key) = completion_order(spec, candidate, factor)
             && best.is_none_or(|(least, _)| key < least)
             && admits(candidate)
         {
@@ -160,10 +184,10 @@
 }
 
 /// Puts up to `count` tasks of a job, each where [`choose`] would put it one
-/// after the other, with one look at each slot for all of them: a slot that has
+/// after the other, with one look at each candidate for all of them: one that has
 /// taken a task is the best for the next one as well, until it is full, since
 /// it then has the image and fits tighter. Replicas and gangs without the image are
-/// spread first, see [`most_at_once`]. `admits` is asked for each task; a slot that it
+/// spread first, see [`tasks_at_once`]. `admits` is asked for each task; a candidate that it
 /// once refuses it must refuse for good.
 pub fn fill(
     spec: &JobSpec,
@@ -175,7 +199,9 @@
     let mut order: BinaryHeap<Reverse<(CompletionOrder, usize)>> = candidates
         .iter()
         .enumerate()
-        .filter_map(|(at, candidate)| Some(Reverse((key(spec, candidate, factor)?, at))))
+        .filter_map(|(at, candidate)| {
+            Some(Reverse((completion_order(spec, candidate, factor)?, at)))
+        })
         .collect();
     let mut chosen = Vec::with_capacity(count);
     let mut warmed = Vec::new();
@@ -184,10 +210,10 @@
             break;
         };
         let candidate = &mut candidates[at];
-        let most = most_at_once(spec, candidate).min(count - chosen.len());
-        let put = put_tasks(spec, candidate, most, &mut admits);
+        let max_tasks = tasks_at_once(spec, candidate).min(count - chosen.len());
+        let put = put_tasks(spec, candidate, max_tasks, &mut admits);
         chosen.extend(std::iter::repeat_n(at, put));
-        if put == most {
+        if put == max_tasks {
             warmed.push(at);
         }
     }
@@ -200,15 +226,15 @@
     chosen
 }
 
-/// Puts up to `most` tasks on a slot; returns how many it has taken.
+/// Puts up to `max_tasks` tasks on a candidate; returns how many it has taken.
 fn put_tasks(
     spec: &JobSpec,
     candidate: &mut CandidateMachine,
-    most: usize,
+    max_tasks: usize,
     admits: &mut impl FnMut(&CandidateMachine) -> bool,
 ) -> usize {
     let mut put = 0;
-    while put < most && spec.per_task.fits_in(&candidate.room) && admits(candidate) {
+    while put < max_tasks && spec.per_task.fits_in(&candidate.room) && admits(candidate) {
         candidate.put(spec);
         put += 1;
     }
@@ -218,7 +244,7 @@
 /// Replicas and gangs whose image a machine has not yet go to several machines, one task
 /// each: all of these have the image for the next job that needs it, and one that is lost
 /// takes fewer tasks of a job along. Measured effect in docs/DESIGN.md, 15.
-fn most_at_once(spec: &JobSpec, candidate: &CandidateMachine) -> usize {
+fn tasks_at_once(spec: &JobSpec, candidate: &CandidateMachine) -> usize {
     if spec.kind == JobKind::Array || candidate.images.contains(&spec.image) {
         usize::MAX
     } else {
@@ -226,68 +252,5 @@
     }
 }
 
-/// What one group's slots offer to tasks of a job.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct OwnerFit {
-    /// Tasks that it can take, up to the number asked for.
-    pub tasks: usize,
-    /// Sum of their places in the order of completion.
-    cost: u64,
-    /// CPUs that are free.
-    pub free: f64,
-}
-
-/// Looks at each slot once for up to `count` tasks of the job.
-pub fn compare_owners(
-    spec: &JobSpec,
-    candidates: &[CandidateMachine],
-    factor: f64,
-    count: usize,
-) -> BTreeMap<usize, OwnerFit> {
-    let mut keys: BTreeMap<usize, Vec<(CompletionOrder, usize)>> = BTreeMap::new();
-    let mut fits: BTreeMap<usize, OwnerFit> = BTreeMap::new();
-    for candidate in candidates {
-        if let Some(key) = key(spec, candidate, factor) {
-            let tasks = spec.per_task.count_in(&candidate.room) as usize;
-            keys.entry(candidate.owner).or_default().push((key, tasks));
-            fits.entry(candidate.owner).or_default().free += candidate.room.cpus;
-        }
-    }
-    for (owner, mut keys) in keys {
-        keys.sort_unstable();
-        let Some(fit) = fits.get_mut(&owner) else {
-            continue;
-        };
-        for (key, tasks) in keys {
-            let taken = tasks.min(count - fit.tasks);
-            fit.tasks += taken;
-            fit.cost += key.0 * taken as u64;
-            if fit.tasks == count {
-                break;
-            }
-        }
-    }
-    fits
-}
-
-/// The group for the tasks of one record: the one that takes most of them, since
-/// each further owner writes the record as well; of equals the one where they
-/// complete first, then the one with most room.
-/// `writers`: groups that write the record already, which come first.
-pub fn best_owner(fits: &BTreeMap<usize, OwnerFit>, writers: &[usize]) -> Option<usize> {
-    fits.iter()
-        .filter(|(_, fit)| fit.tasks > 0)
-        .max_by(|(i, a), (j, b)| {
-            let cost = |fit: &OwnerFit| fit.cost / fit.tasks as u64;
-            writers
-                .contains(i)
-                .cmp(&writers.contains(j))
-                .then(a.tasks.cmp(&b.tasks))
-                .then(cost(b).cmp(&cost(a)))
-                .then(a.free.total_cmp(&b.free))
-        })
-        .map(|(owner, _)| *owner)
-}
-
 #[cfg(test)]
 pub(crate) mod tests;
--- a/src/coordination/policy/placement/tests.rs
+++ b/src/coordination/policy/placement/tests.rs
@@ -1,6 +1,9 @@
 //! Tests of `coordination::policy::placement`.
 
 use super::*;
+use std::collections::BTreeMap;
+
+use crate::coordination::policy::owner_choice::{best_owner, compare_owners};
 use crate::storage::{
     ClassName, ImageName, JobKind, MachineId, Priority, TeamName, TypeName, ZoneName,
 };
--- a/src/coordination/policy/scale_in.rs
+++ b/src/coordination/policy/scale_in.rs
@@ -4,10 +4,14 @@
 
 use std::time::Duration;
 
+/// A machine that is up, and how much of it is used.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineUtilisation<Id> {
+    /// The machine.
     pub id: Id,
+    /// Index of its machine type.
     pub kind: usize,
+    /// Part of its CPUs that tasks take, 0 to 1.
     pub utilisation: f64,
     /// Power against others, here the machine's CPUs.
     pub power: f64,
@@ -18,10 +22,14 @@
     pub paid_left: Duration,
 }
 
+/// The open values of scaling in, from the operators' settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
+    /// Miss rate up to which machines are drained (α).
     pub alpha: f64,
+    /// Type evenness from which the fleet counts as mixed.
     pub evenness: f64,
+    /// In a mixed fleet, machines used this much or more are kept.
     pub utilisation: f64,
 }
 
@@ -42,12 +50,12 @@
     h / (counts.len() as f64).ln()
 }
 
-/// The machine to mark, if any. `kinds` is the number of machine types.
+/// The machine to drain, if any. `type_count` is the number of machine types.
 pub fn select_machine<'a, Id>(
     miss_rate: f64,
     tasks_waiting: usize,
     machines: &'a [MachineUtilisation<Id>],
-    kinds: usize,
+    type_count: usize,
     at: &Thresholds,
 ) -> Option<&'a MachineUtilisation<Id>> {
     if miss_rate > at.alpha || tasks_waiting > 0 {
@@ -60,7 +68,7 @@
             .then(a.shard.cmp(&b.shard))
             .then(a.paid_left.cmp(&b.paid_left))
     })?;
-    let mut counts = vec![0; kinds];
+    let mut counts = vec![0; type_count];
     for machine in machines {
         if let Some(count) = counts.get_mut(machine.kind) {
             *count += 1;
@@ -73,7 +81,9 @@
 /// How machines are paid for: a first period in full, then in shorter ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PaidPeriods {
+    /// The first period: the least time that a machine is paid for.
     pub first: Duration,
+    /// The periods after it.
     pub then: Duration,
 }
 
