--- a/src/coordination/leader/fleet/autoscaler.rs
+++ b/src/coordination/leader/fleet/autoscaler.rs
@@ -219,7 +219,7 @@
             waiting,
             machines = machines.len(),
             utilisation = used / size.max(1.0),
-            marked = fleet.draining_machines.len(),
+            draining = fleet.draining_machines.len(),
             renting = total,
             "band"
         );
