--- a/crates/simulator/src/agent.rs
+++ b/crates/simulator/src/agent.rs
@@ -52,9 +52,9 @@
     images: BTreeSet<String>,
     hung_until: Option<Instant>,
     /// Until then its heartbeats get out, but nothing gets in.
-    deaf_until: Option<Instant>,
+    inbound_lost_until: Option<Instant>,
     /// Until then it can open no connection, while commands reach it.
-    mute_until: Option<Instant>,
+    outbound_lost_until: Option<Instant>,
     taken_at: Option<Instant>,
     gone: bool,
 }
@@ -97,8 +97,8 @@
                 tasks: BTreeMap::new(),
                 images: BTreeSet::new(),
                 hung_until: None,
-                deaf_until: None,
-                mute_until: None,
+                inbound_lost_until: None,
+                outbound_lost_until: None,
                 taken_at: None,
                 gone: false,
             }),
@@ -117,17 +117,17 @@
         self.lock().hung_until = Some(Instant::now() + time);
     }
 
-    pub fn deafen(&self, time: Duration) {
-        self.lock().deaf_until = Some(Instant::now() + time);
+    pub fn lose_inbound(&self, time: Duration) {
+        self.lock().inbound_lost_until = Some(Instant::now() + time);
     }
 
-    pub fn mute(&self, time: Duration) {
-        self.lock().mute_until = Some(Instant::now() + time);
+    pub fn lose_outbound(&self, time: Duration) {
+        self.lock().outbound_lost_until = Some(Instant::now() + time);
     }
 
-    fn is_mute(&self) -> bool {
+    fn is_outbound_lost(&self) -> bool {
         self.lock()
-            .mute_until
+            .outbound_lost_until
             .is_some_and(|until| until > Instant::now())
     }
 
@@ -135,9 +135,9 @@
     pub fn room(&self, simulation: &Simulation) -> Option<Room> {
         if self.faulty
             || self.is_hung()
-            || self.is_command_path_lost()
-            || self.is_mute()
-            || self.is_gone()
+            || self.is_inbound_lost()
+            || self.is_outbound_lost()
+            || self.is_terminated()
         {
             return None;
         }
@@ -171,9 +171,9 @@
             .collect()
     }
 
-    fn is_command_path_lost(&self) -> bool {
+    fn is_inbound_lost(&self) -> bool {
         self.lock()
-            .deaf_until
+            .inbound_lost_until
             .is_some_and(|until| until > Instant::now())
     }
 
@@ -183,11 +183,11 @@
         inner.changed = true;
     }
 
-    pub fn is_gone(&self) -> bool {
+    pub fn is_terminated(&self) -> bool {
         self.lock().gone
     }
 
-    pub fn vanish(&self, simulation: &Simulation) {
+    pub fn terminate(&self, simulation: &Simulation) {
         let mut inner = self.lock();
         if inner.gone {
             return;
@@ -211,7 +211,7 @@
 
     /// Does not answer, as long as it hangs or is gone.
     async fn awake(&self) {
-        while self.is_gone() || self.is_hung() || self.is_command_path_lost() {
+        while self.is_terminated() || self.is_hung() || self.is_inbound_lost() {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
@@ -346,7 +346,7 @@
         let mut inner = self.lock();
         if inner.taken_at.is_some_and(|at| at <= now) {
             drop(inner);
-            self.vanish(simulation);
+            self.terminate(simulation);
             return;
         }
         if now > inner.answered + simulation.lease {
@@ -439,7 +439,7 @@
 
     /// The machine's life from its boot on.
     pub async fn live(self: Arc<Self>, simulation: Arc<Simulation>) {
-        while !self.is_gone() {
+        while !self.is_terminated() {
             tokio::time::sleep(Duration::from_millis(50)).await;
             if self.is_hung() {
                 continue;
@@ -466,7 +466,7 @@
     }
 
     async fn send_heartbeat(&self, simulation: &Arc<Simulation>, body: Value, sent: Instant) {
-        if self.is_mute() {
+        if self.is_outbound_lost() {
             tokio::time::sleep_until(sent + Duration::from_secs(1)).await;
             let mut inner = self.lock();
             inner.target += 1;
@@ -478,17 +478,17 @@
         let target = self.lock().target;
         let names = simulation.controller_names();
         let name = names[target % names.len()].clone();
-        simulation.copy_of_heartbeat(&self.tags(), &body.to_string());
+        simulation.duplicate_heartbeat(&self.tags(), &body.to_string());
         let answer = tokio::time::timeout(
             Duration::from_secs(4),
             simulation.to_controller(&self.tags(), &name, "POST", "/hello", body.to_string()),
         )
         .await;
-        if self.is_hung() || self.is_gone() {
+        if self.is_hung() || self.is_terminated() {
             self.lock().in_flight = false;
             return;
         }
-        if self.is_command_path_lost() {
+        if self.is_inbound_lost() {
             // The answer does not arrive: the next controller is tried after 4 s.
             tokio::time::sleep_until(sent + Duration::from_secs(5)).await;
             let mut inner = self.lock();
@@ -535,7 +535,7 @@
     }
 
     pub fn tags(&self) -> Vec<String> {
-        vec![self.id.clone(), "workers".into(), self.place.zone.clone()]
+        vec![self.id.clone(), "agents".into(), self.place.zone.clone()]
     }
 
     pub async fn handle(
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -32,17 +32,17 @@
 }
 
 /// A heartbeat that is delivered again.
-pub struct HeartbeatCopy {
+pub struct DuplicateHeartbeat {
     pub tags: Vec<String>,
     pub body: String,
 }
 
 /// Copies kept until a leader begins.
-const COPIES_KEPT: usize = 400;
+const MAX_DUPLICATES: usize = 400;
 /// Direct commands are held up for at least this long.
-const ORDERS_LATE: Duration = Duration::from_secs(2);
+const MIN_COMMAND_DELAY: Duration = Duration::from_secs(2);
 /// Questions that a close look asks of each controller.
-const LOOKS: usize = 3;
+const POLLS_IN_BURST: usize = 3;
 
 /// How machines that are provisioned now come up.
 #[derive(Clone, Copy, Debug)]
@@ -67,25 +67,25 @@
 pub struct FaultInjection {
     boots: Mutex<Boots>,
     /// Pause between two questions about each job; none: the usual one.
-    question_pause: Mutex<Option<Duration>>,
-    late_orders: Mutex<Delay>,
+    poll_interval: Mutex<Option<Duration>>,
+    command_delay: Mutex<Delay>,
     /// Copies of heartbeats are kept for the next leader.
-    for_next: Mutex<bool>,
-    entry: Mutex<Vec<HeartbeatCopy>>,
+    keeps_for_next_leader: Mutex<bool>,
+    entry: Mutex<Vec<DuplicateHeartbeat>>,
     leader: Mutex<Option<String>>,
-    close_looks: Mutex<bool>,
+    burst_polls: Mutex<bool>,
 }
 
 impl FaultInjection {
     /// A share of the direct commands is unanswered and carried out late.
-    pub fn set_late_orders(&self, delay: Delay) {
-        *self.late_orders.lock().expect("delay") = delay;
+    pub fn set_command_delay(&self, delay: Delay) {
+        *self.command_delay.lock().expect("delay") = delay;
     }
 
     /// How late this direct command is carried out; none: at once.
-    pub fn order_delay(&self) -> Option<Duration> {
-        let delay = *self.late_orders.lock().expect("delay");
-        delay.draw(ORDERS_LATE)
+    pub fn draw_command_delay(&self) -> Option<Duration> {
+        let delay = *self.command_delay.lock().expect("delay");
+        delay.draw(MIN_COMMAND_DELAY)
     }
 
     pub fn set_boots(&self, boots: Boots) {
@@ -102,35 +102,35 @@
         Some(Duration::from_secs_f64(usual * boots.factor * share))
     }
 
-    pub fn set_question_pause(&self, pause: Option<Duration>) {
-        *self.question_pause.lock().expect("pause") = pause;
+    pub fn set_poll_interval(&self, pause: Option<Duration>) {
+        *self.poll_interval.lock().expect("pause") = pause;
     }
 
     /// How long a user waits before the next question about a job.
-    pub fn question_pause(&self) -> Duration {
+    pub fn poll_interval(&self) -> Duration {
         let usual = Duration::from_secs_f64(jitter::uniform(4.0, 6.0));
-        self.question_pause.lock().expect("pause").unwrap_or(usual)
+        self.poll_interval.lock().expect("pause").unwrap_or(usual)
     }
 
     /// Copies of heartbeats are kept until another leader begins.
-    pub fn set_for_next(&self, on: bool) {
-        *self.for_next.lock().expect("flag") = on;
+    pub fn keep_for_next_leader(&self, on: bool) {
+        *self.keeps_for_next_leader.lock().expect("flag") = on;
     }
 
     /// Keeps a copy for the next leader, if copies are kept now.
-    pub fn keep(&self, copy: HeartbeatCopy) -> Option<HeartbeatCopy> {
-        if !*self.for_next.lock().expect("flag") {
+    pub fn keep(&self, copy: DuplicateHeartbeat) -> Option<DuplicateHeartbeat> {
+        if !*self.keeps_for_next_leader.lock().expect("flag") {
             return Some(copy);
         }
         let mut entry = self.entry.lock().expect("copies");
-        if entry.len() < COPIES_KEPT {
+        if entry.len() < MAX_DUPLICATES {
             entry.push(copy);
         }
         None
     }
 
     /// The copies that are due as this leader begins.
-    fn due(&self, leader: Option<String>) -> Vec<HeartbeatCopy> {
+    fn due(&self, leader: Option<String>) -> Vec<DuplicateHeartbeat> {
         let mut known = self.leader.lock().expect("leader");
         if leader.is_none() || *known == leader {
             return Vec::new();
@@ -140,18 +140,18 @@
     }
 
     /// Users ask at all controllers as soon as they are told something new.
-    pub fn set_close_looks(&self, on: bool) {
-        *self.close_looks.lock().expect("flag") = on;
+    pub fn set_burst_polls(&self, on: bool) {
+        *self.burst_polls.lock().expect("flag") = on;
     }
 
-    pub fn looks_closely(&self) -> bool {
-        *self.close_looks.lock().expect("flag")
+    pub fn polls_in_bursts(&self) -> bool {
+        *self.burst_polls.lock().expect("flag")
     }
 }
 
 impl Simulation {
     /// As a leader begins, every controller gets the copies that were kept.
-    pub fn deliver_kept_copies(self: &Arc<Self>) {
+    pub fn deliver_kept_duplicates(self: &Arc<Self>) {
         for copy in self.faults.due(self.leader_life()) {
             for name in self.controller_names() {
                 let (simulation, tags, body) = (self.clone(), copy.tags.clone(), copy.body.clone());
@@ -166,13 +166,13 @@
 
     /// A user who was just told something asks at all controllers, several times within
     /// milliseconds, and repeats the submission at one of them.
-    pub fn look_closely(self: &Arc<Self>, job: &JobId) {
+    pub fn poll_in_burst(self: &Arc<Self>, job: &JobId) {
         for name in self.controller_names() {
-            for _ in 0..LOOKS {
+            for _ in 0..POLLS_IN_BURST {
                 let (simulation, job, name) = (self.clone(), job.clone(), name.clone());
                 tokio::spawn(async move {
                     tokio::time::sleep(jitter::millis(0, 12)).await;
-                    users::look(&simulation, &name, &job).await;
+                    users::poll(&simulation, &name, &job).await;
                 });
             }
         }
@@ -195,14 +195,14 @@
                 stream.spec.clone(),
                 false,
             ));
-            if jitter::uniform(0.0, 1.0) < stream.cancelled {
+            if jitter::uniform(0.0, 1.0) < stream.cancelled_share {
                 let (simulation, pause) = (self.clone(), jitter::millis(0, 9_000));
                 tokio::spawn(async move {
                     tokio::time::sleep(pause).await;
-                    users::abort(simulation, job).await;
+                    users::cancel(simulation, job).await;
                 });
             }
-            tokio::time::sleep(stream.every).await;
+            tokio::time::sleep(stream.interval).await;
         }
     }
 }
@@ -210,7 +210,7 @@
 /// Many jobs that are alike.
 pub struct Stream {
     pub count: u64,
-    pub every: Duration,
-    pub cancelled: f64,
+    pub interval: Duration,
+    pub cancelled_share: f64,
     pub spec: JobSpec,
 }
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -200,7 +200,7 @@
     }
 
     /// It stands still while its clocks run on.
-    pub fn freeze(&self, time: Duration) {
+    pub fn pause(&self, time: Duration) {
         self.handle.spawn(async move { std::thread::sleep(time) });
     }
 }
@@ -328,7 +328,7 @@
     let Ok(body) = axum::body::to_bytes(request.into_body(), BODY_LIMIT).await else {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     };
-    if machine.is_gone() {
+    if machine.is_terminated() {
         std::future::pending::<()>().await;
     }
     let (status, value) = machine.handle(&simulation, &path, &body).await;
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -24,7 +24,7 @@
     /// The job was submitted with a mistake.
     Fails(JobId),
     /// The user has asked to cancel it.
-    AbortAsked(JobId),
+    CancelRequested(JobId),
     /// `asked` is when the request was sent: an answer may be older than one
     /// that was given while it was under way.
     Answer {
@@ -39,7 +39,7 @@
     Off(TaskId, MachineId),
     Completed(TaskId),
     /// A submission that must be refused with this status was answered.
-    OddAnswered(String, u16, u16),
+    InvalidAnswered(String, u16, u16),
     /// A task of a gang has joined an attempt that had begun, or was over.
     Reused(TaskId, u64),
     /// A controller was sent a message that its version cannot read.
@@ -58,7 +58,7 @@
 struct Job {
     spec: Option<Box<JobSpec>>,
     accepted_at: Option<Duration>,
-    abort_asked: bool,
+    cancel_requested: bool,
     told: Option<(String, Duration)>,
     told_cancelled_at: Option<Duration>,
     completed: BTreeSet<u32>,
@@ -123,7 +123,7 @@
                 job.spec.get_or_insert(spec);
             }
             Event::Fails(id) => self.jobs.entry(id).or_default().fails = true,
-            Event::AbortAsked(id) => self.jobs.entry(id).or_default().abort_asked = true,
+            Event::CancelRequested(id) => self.jobs.entry(id).or_default().cancel_requested = true,
             Event::Completed(task) => {
                 let job = self.jobs.entry(task.job).or_default();
                 job.completed.insert(task.index);
@@ -144,7 +144,7 @@
                     format!("{controller} cannot read a message"),
                 );
             }
-            Event::OddAnswered(what, expected, code) => {
+            Event::InvalidAnswered(what, expected, code) => {
                 if code != expected && !matches!(code, 429 | 503) {
                     self.breach(at, "odd", format!("{what} got {code}, not {expected}"));
                 }
@@ -239,7 +239,7 @@
                         found.push(("not_done", format!("{id} is reported done")));
                     }
                 }
-                if state == "cancelled" && !job.abort_asked {
+                if state == "cancelled" && !job.cancel_requested {
                     found.push(("went_back", format!("{id} was not cancelled by its user")));
                 }
                 if let Some((before, told_at)) = &job.told
@@ -344,7 +344,7 @@
             let limit = self.limits.get(&spec.team).copied().unwrap_or(f64::MAX);
             let in_use = used.get(&spec.team).copied().unwrap_or(0.0);
             let waits = job.accepted_at.is_some()
-                && !job.abort_asked
+                && !job.cancel_requested
                 && !job.fails
                 && wants > 0
                 && (spec.kind != JobKind::Gang || places.is_empty())
@@ -398,7 +398,7 @@
             .filter_map(|(id, job)| Some((id, job, job.spec.as_deref()?)))
             .filter(|(_, job, spec)| {
                 job.accepted_at.is_some()
-                    && !job.abort_asked
+                    && !job.cancel_requested
                     && !job.fails
                     && (job.served.len() as u32 == spec.tasks || fits(spec))
                     && at >= job.submitted_at + BEGIN_WITHIN
@@ -446,7 +446,7 @@
     pub fn running_jobs(&self) -> Vec<(JobId, BTreeSet<MachineId>)> {
         let mut jobs: BTreeMap<JobId, BTreeSet<MachineId>> = BTreeMap::new();
         for (task, (machine, _)) in &self.on {
-            if !self.jobs[&task.job].abort_asked {
+            if !self.jobs[&task.job].cancel_requested {
                 let machines = jobs.entry(task.job.clone()).or_default();
                 machines.insert(machine.clone());
             }
--- /dev/null
+++ b/crates/simulator/src/scenario/actions.rs
@@ -0,0 +1,322 @@
+//! The timed actions of a scenario: what users do, and the faults that are injected.
+
+use std::{sync::Arc, time::Duration};
+
+use stallcove::storage::JobId;
+
+use super::{
+    expectations::{FailedExpectation, expect},
+    words::{Words, parse},
+};
+use crate::{
+    faults::{Boots, Delay, Stream},
+    simulation::{Partition, Simulation},
+    users,
+    versions::Version,
+};
+
+/// How long a crashed or replaced controller is away, in seconds, if nothing is said.
+const DEFAULT_DOWNTIME_S: f64 = 5.0;
+
+/// The job that a word names.
+pub(super) fn job_id(word: &str) -> JobId {
+    let Some(job) = JobId::parse(word) else {
+        panic!("{word:?} is no job id");
+    };
+    job
+}
+
+/// Does one timed action; an expectation that fails is an error.
+pub(super) fn act(simulation: &Arc<Simulation>, parts: &[&str]) -> Result<(), FailedExpectation> {
+    let words = Words::new(&parts[1..]);
+    let duration = words.seconds("for", 0.0);
+    match parts[0] {
+        "expect" => return expect(simulation, &parts[1..]),
+        "submit" | "resubmit" | "stream" | "cancel" | "invalid-requests" => {
+            act_as_user(simulation, parts, &words, duration);
+        }
+        "poll" | "burst-polls" => act_as_impatient_user(simulation, parts, &words, duration),
+        "crash" | "upgrade" | "downgrade" | "pause" => {
+            disturb_controller(simulation, parts, &words, duration);
+        }
+        "state" => disturb_state(simulation, parts, &words, duration),
+        "cloud" => disturb_cloud(simulation, parts, &words, duration),
+        "partition" | "delay" | "duplicate" => {
+            disturb_network(simulation, parts, &words, duration);
+        }
+        "hang" | "lose-inbound" | "lose-outbound" | "reclaim" => {
+            disturb_machines(simulation, parts, &words, duration);
+        }
+        other => panic!("unknown action {other}"),
+    }
+    Ok(())
+}
+
+/// Calls `action` once this time has passed.
+pub(super) fn later(after: Duration, action: impl FnOnce() + Send + 'static) {
+    tokio::spawn(async move {
+        tokio::time::sleep(after).await;
+        action();
+    });
+}
+
+/// Calls `undo` once the fault is to be over.
+fn undo_later(
+    simulation: &Arc<Simulation>,
+    after: Duration,
+    undo: impl FnOnce(&Simulation) + Send + 'static,
+) {
+    let simulation = simulation.clone();
+    later(after, move || undo(&simulation));
+}
+
+fn act_as_user(
+    simulation: &Arc<Simulation>,
+    parts: &[&str],
+    words: &Words<'_>,
+    duration: Duration,
+) {
+    match parts {
+        ["submit", job, ..] => {
+            let fails = words.has("fails");
+            let submission =
+                users::submit(simulation.clone(), job_id(job), words.job_spec(), fails);
+            tokio::spawn(submission);
+        }
+        ["resubmit", job, ..] => {
+            let job = job_id(job);
+            let spec = simulation.spec(&job).expect("a job submitted before");
+            let simulation = simulation.clone();
+            tokio::spawn(async move { users::submit_once(&simulation, &job, &spec).await });
+        }
+        ["stream", first, ..] => {
+            let first = first.strip_prefix("job-").expect("a job id");
+            let stream = Stream {
+                count: words.number("count", 100.0) as u64,
+                interval: words.seconds("every", 0.25),
+                cancelled_share: words.number("cancelled", 0.25),
+                spec: words.job_spec(),
+            };
+            let first = parse(first, "a job's number");
+            tokio::spawn(simulation.clone().stream(first, stream));
+        }
+        ["cancel", "running", ..] => {
+            let count = words.number("count", 3.0) as usize;
+            simulation.cancel_running(count, words.seconds("hang", 0.0));
+        }
+        ["cancel", "ending", ..] => {
+            simulation.set_cancel_at_end(words.number("share", 0.5));
+            undo_later(simulation, duration, |simulation| {
+                simulation.set_cancel_at_end(0.0);
+            });
+        }
+        ["cancel", job, ..] => {
+            tokio::spawn(users::cancel(simulation.clone(), job_id(job)));
+        }
+        ["invalid-requests", ..] => {
+            tokio::spawn(users::send_invalid(simulation.clone(), words.job_spec()));
+        }
+        other => panic!("unknown action {other:?}"),
+    }
+}
+
+fn act_as_impatient_user(
+    simulation: &Arc<Simulation>,
+    parts: &[&str],
+    words: &Words<'_>,
+    duration: Duration,
+) {
+    let faults = &simulation.faults;
+    if parts[0] == "burst-polls" {
+        faults.set_burst_polls(true);
+        undo_later(simulation, duration, |simulation| {
+            simulation.faults.set_burst_polls(false);
+        });
+    } else {
+        faults.set_poll_interval(Some(words.seconds("every", 0.5)));
+        undo_later(simulation, duration, |simulation| {
+            simulation.faults.set_poll_interval(None);
+        });
+    }
+}
+
+/// The controllers that a word names.
+fn controllers(simulation: &Simulation, word: &str) -> Vec<String> {
+    match word {
+        "all" => simulation.controller_names(),
+        "leader" => simulation.leader().into_iter().collect(),
+        name => vec![name.to_owned()],
+    }
+}
+
+fn disturb_controller(
+    simulation: &Arc<Simulation>,
+    parts: &[&str],
+    words: &Words<'_>,
+    duration: Duration,
+) {
+    for name in controllers(simulation, parts[1]) {
+        match parts[0] {
+            "pause" => {
+                simulation.pause_controller(&name, duration);
+                continue;
+            }
+            // It comes back with the version that knows nothing of quota transfers.
+            "downgrade" => simulation.set_version(&name, Version::BeforeTransfers),
+            "upgrade" => simulation.set_version(&name, Version::Current),
+            _ => {}
+        }
+        simulation.kill_controller(&name);
+        let simulation = simulation.clone();
+        let downtime = words.seconds("for", DEFAULT_DOWNTIME_S);
+        later(downtime, move || simulation.boot_controller(&name));
+    }
+}
+
+fn disturb_state(
+    simulation: &Arc<Simulation>,
+    parts: &[&str],
+    words: &Words<'_>,
+    duration: Duration,
+) {
+    match parts[1] {
+        "lower-limits" => simulation.lower_limits(),
+        "outage" => {
+            simulation.state.set_down(true);
+            undo_later(simulation, duration, |simulation| {
+                simulation.state.set_down(false);
+            });
+        }
+        "reject" => {
+            for controller in controllers(simulation, parts[2]) {
+                simulation.state.set_refused(&controller, true);
+                undo_later(simulation, duration, move |simulation| {
+                    simulation.state.set_refused(&controller, false);
+                });
+            }
+        }
+        "lose-responses" => {
+            simulation.set_lossy(words.number("share", 0.2));
+            undo_later(simulation, duration, |simulation| simulation.set_lossy(0.0));
+        }
+        "latency" => {
+            simulation.set_latency(words.seconds("by", 0.5));
+            undo_later(simulation, duration, |simulation| {
+                simulation.set_latency(Duration::ZERO);
+            });
+        }
+        "delay" => {
+            let late = words.seconds("late", 5.0);
+            simulation.set_late(words.number("share", 0.3), late);
+            undo_later(simulation, duration, |simulation| {
+                simulation.set_late(0.0, Duration::ZERO);
+            });
+        }
+        other => panic!("unknown action state {other}"),
+    }
+}
+
+fn disturb_cloud(
+    simulation: &Arc<Simulation>,
+    parts: &[&str],
+    words: &Words<'_>,
+    duration: Duration,
+) {
+    match parts[1] {
+        "outage" => {
+            simulation.set_cloud(true);
+            undo_later(simulation, duration, |simulation| {
+                simulation.set_cloud(false);
+            });
+        }
+        "no-capacity" => {
+            simulation.set_no_capacity(true);
+            undo_later(simulation, duration, |simulation| {
+                simulation.set_no_capacity(false);
+            });
+        }
+        "boot" => {
+            simulation.faults.set_boots(Boots {
+                factor: words.number("factor", 1.0),
+                never: words.number("never", 0.0),
+            });
+            undo_later(simulation, duration, |simulation| {
+                simulation.faults.set_boots(Boots::default());
+            });
+        }
+        "faulty" => simulation.set_faulty(parse(parts[2], "a machine's number")),
+        other => panic!("unknown action cloud {other}"),
+    }
+}
+
+fn disturb_network(
+    simulation: &Arc<Simulation>,
+    parts: &[&str],
+    words: &Words<'_>,
+    duration: Duration,
+) {
+    match parts {
+        ["partition", a, b, ..] => {
+            let partition = Partition {
+                a: (*a).into(),
+                b: (*b).into(),
+                holds_packets: words.has("hold"),
+            };
+            simulation.add_partition(partition.clone());
+            undo_later(simulation, duration, move |simulation| {
+                simulation.heal_partition(&partition);
+            });
+        }
+        ["delay", "commands", ..] => {
+            let late = words.seconds("late", 16.0);
+            let delay = Delay::new(words.number("share", 0.3), late);
+            simulation.faults.set_command_delay(delay);
+            undo_later(simulation, duration, |simulation| {
+                simulation.faults.set_command_delay(Delay::default());
+            });
+        }
+        ["duplicate", "heartbeats", ..] => {
+            let late = words.seconds("late", 30.0);
+            simulation.set_duplicates(words.number("share", 0.3), late);
+            let for_next = words.has("for_next");
+            simulation.faults.keep_for_next_leader(for_next);
+            undo_later(simulation, duration, |simulation| {
+                simulation.set_duplicates(0.0, Duration::ZERO);
+                simulation.faults.keep_for_next_leader(false);
+            });
+        }
+        other => panic!("unknown action {other:?}"),
+    }
+}
+
+fn disturb_machines(
+    simulation: &Arc<Simulation>,
+    parts: &[&str],
+    words: &Words<'_>,
+    duration: Duration,
+) {
+    let count: usize = parse(parts[1], "a number of machines");
+    if parts[0] == "reclaim" {
+        reclaim_spot_machines(simulation, count, words);
+        return;
+    }
+    for machine in simulation.machines().into_iter().take(count) {
+        match parts[0] {
+            "hang" => machine.hang(duration),
+            "lose-inbound" => machine.lose_inbound(duration),
+            _ => machine.lose_outbound(duration),
+        }
+    }
+}
+
+fn reclaim_spot_machines(simulation: &Arc<Simulation>, count: usize, words: &Words<'_>) {
+    let machines = simulation.machines().into_iter();
+    let spot = machines.filter(|machine| machine.place.spot);
+    for machine in spot.take(count) {
+        if words.has("notice") {
+            machine.notice(words.seconds("notice", 5.0));
+        } else {
+            simulation.remove(&machine.id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/scenario/expectations.rs
@@ -0,0 +1,81 @@
+//! What a scenario expects at a moment.
+
+use std::sync::Arc;
+
+use super::{actions::job_id, words::parse};
+use crate::simulation::Simulation;
+
+/// An expectation that does not hold, with what was found in its place.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct FailedExpectation(String);
+
+fn check(holds: bool, found: String) -> Result<(), FailedExpectation> {
+    if holds {
+        Ok(())
+    } else {
+        Err(FailedExpectation(found))
+    }
+}
+
+/// Checks a count against `<= N` or `>= N`.
+fn compare(
+    found: usize,
+    comparison: &str,
+    bound: &str,
+    what: &str,
+) -> Result<(), FailedExpectation> {
+    let bound: usize = parse(bound, "a bound");
+    let holds = match comparison {
+        "<=" => found <= bound,
+        ">=" => found >= bound,
+        other => panic!("unknown comparison {other}"),
+    };
+    check(holds, format!("{found} {what}"))
+}
+
+/// Checks what a scenario expects at this moment.
+pub(super) fn expect(
+    simulation: &Arc<Simulation>,
+    parts: &[&str],
+) -> Result<(), FailedExpectation> {
+    match parts {
+        ["machines", comparison, bound] => {
+            compare(simulation.paid(), comparison, bound, "machines")
+        }
+        ["provisioned", comparison, bound] => compare(
+            simulation.provisioned(),
+            comparison,
+            bound,
+            "machines provisioned",
+        ),
+        ["starts", comparison, bound] => compare(simulation.starts(), comparison, bound, "starts"),
+        ["changes", comparison, bound] => {
+            compare(simulation.state.changes(), comparison, bound, "changes")
+        }
+        ["keys", prefix, count] => {
+            let keys = simulation.state.keys(prefix);
+            check(
+                keys == parse::<usize>(count, "a count"),
+                format!("{keys} keys"),
+            )
+        }
+        [job, "code", code] => {
+            let codes = simulation.codes.lock().expect("codes");
+            let found = codes.get(&job_id(job)).map(ToString::to_string);
+            check(found.as_deref() == Some(*code), format!("code {found:?}"))
+        }
+        [job, "running", count] => {
+            let running = simulation.running(&job_id(job));
+            let holds = running.to_string() == **count;
+            check(holds, format!("{running} tasks run"))
+        }
+        [job, state] => {
+            let told = simulation.told.lock().expect("told");
+            let told = told.get(&job_id(job)).cloned();
+            let holds = told.as_deref() == Some(*state);
+            check(holds, format!("its user was told {told:?}"))
+        }
+        other => panic!("unknown expectation {other:?}"),
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/scenario/parser.rs
@@ -0,0 +1,118 @@
+//! Reads a scenario's text.
+
+use std::time::Duration;
+
+use stallcove::{
+    coordination::Tuning,
+    storage::{Quota, Team, TeamName},
+};
+
+use super::{
+    Scenario, TimedAction,
+    words::{Words, parse},
+};
+use crate::{simulation::TypeSpec, state_service::Limits, versions::Version};
+
+/// Requests and changes a second of the state service, if nothing is said.
+const DEFAULT_RPS: f64 = 400.0;
+const DEFAULT_WRITE_RPS: f64 = 200.0;
+/// Sizes that the state service announces, if nothing is said.
+const DEFAULT_ANNOUNCED_OPS: f64 = 16.0;
+const DEFAULT_ANNOUNCED_VALUE_BYTES: f64 = 8192.0;
+
+impl Default for Scenario {
+    fn default() -> Self {
+        Self {
+            seed: 1,
+            zones: vec!["a".into()],
+            controllers: 3,
+            teams: Vec::new(),
+            types: Vec::new(),
+            timed: Vec::new(),
+            until: Duration::from_secs(60),
+            limits: (DEFAULT_RPS, DEFAULT_WRITE_RPS),
+            next: Limits::default(),
+            version: Version::Current,
+            tuning: Tuning::default(),
+        }
+    }
+}
+
+impl Scenario {
+    /// Reads a scenario. One that can't be read is a mistake of its author: it panics with
+    /// the word that is wrong.
+    pub fn parse(text: &str) -> Self {
+        let mut scenario = Self::default();
+        for line in text.lines() {
+            let line = line.split('#').next().unwrap_or("").trim();
+            let parts: Vec<&str> = line.split_whitespace().collect();
+            if let Some((name, rest)) = parts.split_first() {
+                scenario.read_statement(line, name, rest);
+            }
+        }
+        scenario.timed.sort_by_key(|timed| timed.at);
+        scenario
+    }
+
+    fn read_statement(&mut self, line: &str, name: &str, rest: &[&str]) {
+        let words = Words::new(rest);
+        match name {
+            "seed" => self.seed = parse(rest[0], "a seed"),
+            "zones" => self.zones = rest.iter().map(|zone| (*zone).to_owned()).collect(),
+            "controllers" => self.controllers = parse(rest[0], "a number of controllers"),
+            "until" => self.until = Duration::from_secs_f64(parse(rest[0], "a time")),
+            "limits" => {
+                self.limits = (
+                    words.number("rps", DEFAULT_RPS),
+                    words.number("writes", DEFAULT_WRITE_RPS),
+                );
+            }
+            "announced-limits" => self.next = announced_limits(&words),
+            "transfers" => self.tuning.quota_transfers = true,
+            "version" => self.version = Version::named(rest[0]),
+            "team" => self.teams.push(team(rest[0], &words)),
+            "type" => self.types.push(machine_type(rest[0], &words)),
+            "at" => self.timed.push(TimedAction {
+                at: Duration::from_secs_f64(parse(rest[0], "a time")),
+                words: rest[1..].iter().map(|word| (*word).to_owned()).collect(),
+                line: line.to_owned(),
+            }),
+            other => panic!("unknown statement {other}"),
+        }
+    }
+}
+
+fn announced_limits(words: &Words<'_>) -> Limits {
+    Limits {
+        rps: words.number("rps", DEFAULT_RPS),
+        writes: words.number("writes", DEFAULT_WRITE_RPS),
+        ops: words.number("ops", DEFAULT_ANNOUNCED_OPS) as usize,
+        value: words.number("value", DEFAULT_ANNOUNCED_VALUE_BYTES) as usize,
+    }
+}
+
+fn team(name: &str, words: &Words<'_>) -> Team {
+    Team {
+        name: TeamName::new(name),
+        guaranteed: Quota {
+            cpus: words.number("guaranteed", 0.0),
+            gpus: 0.0,
+        },
+        limit: Quota::of_limit(words.number("limit", 0.0), 0.0),
+    }
+}
+
+fn machine_type(name: &str, words: &Words<'_>) -> TypeSpec {
+    let zones = words.names("zones").unwrap_or(vec!["a"]);
+    TypeSpec {
+        name: name.into(),
+        cpus: words.number("cpus", 8.0),
+        memory: words.number("memory", 64.0),
+        price: words.number("price", 1.0),
+        spot_price: words.number("spot_price", 0.4),
+        boot: words.number("boot", 5.0),
+        zones: zones.into_iter().map(str::to_owned).collect(),
+        count: words.number("count", 8.0) as usize,
+        spot_count: words.number("spot_count", 0.0) as usize,
+    }
+}
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -24,7 +24,7 @@
 
 use crate::{
     agent::Machine,
-    faults::{FaultInjection, HeartbeatCopy},
+    faults::{DuplicateHeartbeat, FaultInjection},
     gangs::{Gangs, Next},
     loopback::{Loopback, Process},
     rules::{Event, Place, Room, Rules},
@@ -64,26 +64,26 @@
 
 /// Between two tags nothing passes; `hold`: it passes later.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Cut {
+pub struct Partition {
     pub a: String,
     pub b: String,
-    pub hold: bool,
+    pub holds_packets: bool,
 }
 
 #[derive(Default)]
 struct Cloud {
     provision_requests: BTreeMap<String, Vec<String>>,
-    machines: BTreeMap<String, Rented>,
+    machines: BTreeMap<String, ProvisionedMachine>,
     next: usize,
     down: bool,
     no_capacity: bool,
 }
 
-struct Rented {
+struct ProvisionedMachine {
     machine: Arc<Machine>,
     created: Instant,
     up_at: Option<Instant>,
-    gone_at: Option<Instant>,
+    terminated_at: Option<Instant>,
 }
 
 pub struct Simulation {
@@ -100,26 +100,26 @@
     failing: Mutex<BTreeSet<JobId>>,
     completed: Mutex<BTreeSet<TaskId>>,
     controllers: Mutex<BTreeMap<String, Slot>>,
-    cuts: Mutex<Vec<Cut>>,
+    partitions: Mutex<Vec<Partition>>,
     /// Share of the state service's answers that are lost after execution.
     lossy: Mutex<f64>,
     /// Share of the transactions that are applied late, unanswered, and how late.
     late: Mutex<(f64, Duration)>,
     /// Controllers that stand still, until when. Their clocks run on.
-    frozen: Mutex<BTreeMap<String, Instant>>,
+    paused: Mutex<BTreeMap<String, Instant>>,
     cloud: Mutex<Cloud>,
     faulty: Mutex<BTreeSet<usize>>,
     pub told: Mutex<BTreeMap<JobId, String>>,
     pub codes: Mutex<BTreeMap<JobId, u16>>,
     dropped: Mutex<BTreeMap<String, u32>>,
-    copies: Mutex<(f64, Duration)>,
-    abort_at_end: Mutex<f64>,
+    duplicates: Mutex<(f64, Duration)>,
+    cancel_at_end: Mutex<f64>,
     gangs: Mutex<Gangs>,
     versions: Mutex<BTreeMap<String, Version>>,
     pub faults: FaultInjection,
     next: Limits,
     /// The state service takes up to this much longer for an answer.
-    slow: Mutex<Duration>,
+    latency: Mutex<Duration>,
     tuning: Tuning,
     /// Real sockets, in place of the simulated network.
     pub loopback: Option<Loopback>,
@@ -169,22 +169,22 @@
             failing: Mutex::default(),
             completed: Mutex::default(),
             controllers: Mutex::new(slots),
-            cuts: Mutex::default(),
+            partitions: Mutex::default(),
             lossy: Mutex::new(0.0),
             late: Mutex::new((0.0, Duration::ZERO)),
-            frozen: Mutex::default(),
+            paused: Mutex::default(),
             cloud: Mutex::default(),
             faulty: Mutex::default(),
             told: Mutex::default(),
             codes: Mutex::default(),
             dropped: Mutex::default(),
-            copies: Mutex::new((0.0, Duration::ZERO)),
-            abort_at_end: Mutex::new(0.0),
+            duplicates: Mutex::new((0.0, Duration::ZERO)),
+            cancel_at_end: Mutex::new(0.0),
             gangs: Mutex::default(),
             versions: Mutex::default(),
             faults: FaultInjection::default(),
             next,
-            slow: Mutex::default(),
+            latency: Mutex::default(),
             tuning,
             loopback: None,
         })
@@ -208,20 +208,20 @@
 
     /// From now on a share of all heartbeats is delivered again, up to this much
     /// later, to any controller.
-    pub fn set_copies(&self, share: f64, late: Duration) {
-        *self.copies.lock().expect("copies") = (share, late);
+    pub fn set_duplicates(&self, share: f64, late: Duration) {
+        *self.duplicates.lock().expect("copies") = (share, late);
     }
 
-    pub fn copy_of_heartbeat(self: &Arc<Self>, tags: &[String], body: &str) {
-        let (share, late) = *self.copies.lock().expect("copies");
+    pub fn duplicate_heartbeat(self: &Arc<Self>, tags: &[String], body: &str) {
+        let (share, late) = *self.duplicates.lock().expect("copies");
         if share <= 0.0 || jitter::uniform(0.0, 1.0) >= share {
             return;
         }
-        let copy = HeartbeatCopy {
+        let copy = DuplicateHeartbeat {
             tags: tags.to_vec(),
             body: body.to_owned(),
         };
-        let Some(HeartbeatCopy { tags, body }) = self.faults.keep(copy) else {
+        let Some(DuplicateHeartbeat { tags, body }) = self.faults.keep(copy) else {
             return;
         };
         let names = self.controller_names();
@@ -237,7 +237,7 @@
     }
 
     pub fn tick(self: &Arc<Self>) {
-        self.deliver_kept_copies();
+        self.deliver_kept_duplicates();
         self.rules.lock().expect("rules").tick(self.at());
         let machines = self.machines();
         let rooms: Vec<Room> = machines.iter().filter_map(|m| m.room(self)).collect();
@@ -251,12 +251,12 @@
 
     /// Users call off this many of the jobs that run, at the same moment; the
     /// machines of these may hang then.
-    pub fn abort_running(self: &Arc<Self>, count: usize, hang: Duration) {
+    pub fn cancel_running(self: &Arc<Self>, count: usize, hang: Duration) {
         let running = self.rules.lock().expect("rules").running_jobs();
         let mut hung = BTreeSet::new();
         for (job, machines) in running.into_iter().take(count) {
             hung.extend(machines);
-            tokio::spawn(crate::users::abort(self.clone(), job));
+            tokio::spawn(crate::users::cancel(self.clone(), job));
         }
         if !hang.is_zero() {
             for machine in hung.into_iter().take(8) {
@@ -268,8 +268,8 @@
     }
 
     /// From now on that share of jobs is called off as their last task completes.
-    pub fn set_abort_at_end(&self, share: f64) {
-        *self.abort_at_end.lock().expect("share") = share;
+    pub fn set_cancel_at_end(&self, share: f64) {
+        *self.cancel_at_end.lock().expect("share") = share;
     }
 
     pub fn broken(&self) -> Vec<String> {
@@ -354,7 +354,7 @@
             .expect("completed")
             .insert(task.clone());
         self.see(Event::Completed(task.clone()));
-        let share = *self.abort_at_end.lock().expect("share");
+        let share = *self.cancel_at_end.lock().expect("share");
         let over = self.rules.lock().expect("rules").is_complete(&task.job);
         if new && over && share > 0.0 && jitter::uniform(0.0, 1.0) < share {
             // About the time at which its result is written.
@@ -362,7 +362,7 @@
             let (simulation, job) = (self.clone(), task.job.clone());
             tokio::spawn(async move {
                 tokio::time::sleep(pause).await;
-                crate::users::abort(simulation, job).await;
+                crate::users::cancel(simulation, job).await;
             });
         }
     }
@@ -377,20 +377,28 @@
             .or_default() += 1;
     }
 
-    pub fn add_cut(&self, cut: Cut) {
-        self.cuts.lock().expect("cuts").push(cut);
+    pub fn add_partition(&self, partition_between: Partition) {
+        self.partitions
+            .lock()
+            .expect("cuts")
+            .push(partition_between);
     }
 
-    pub fn remove_cut(&self, cut: &Cut) {
-        self.cuts.lock().expect("cuts").retain(|other| other != cut);
+    pub fn heal_partition(&self, partition_between: &Partition) {
+        self.partitions
+            .lock()
+            .expect("cuts")
+            .retain(|other| other != partition_between);
     }
 
-    fn cut(&self, from: &[String], to: &[String]) -> Option<Cut> {
-        let cuts = self.cuts.lock().expect("cuts");
-        cuts.iter()
-            .find(|cut| {
+    fn partition_between(&self, from: &[String], to: &[String]) -> Option<Partition> {
+        let partitions = self.partitions.lock().expect("cuts");
+        partitions
+            .iter()
+            .find(|partition_between| {
                 let has = |tags: &[String], tag: &String| tags.contains(tag);
-                (has(from, &cut.a) && has(to, &cut.b)) || (has(from, &cut.b) && has(to, &cut.a))
+                (has(from, &partition_between.a) && has(to, &partition_between.b))
+                    || (has(from, &partition_between.b) && has(to, &partition_between.a))
             })
             .cloned()
     }
@@ -399,42 +407,42 @@
         *self.lossy.lock().expect("lossy") = share;
     }
 
-    pub fn set_slow(&self, most: Duration) {
-        *self.slow.lock().expect("slow") = most;
+    pub fn set_latency(&self, most: Duration) {
+        *self.latency.lock().expect("slow") = most;
     }
 
     pub fn set_late(&self, share: f64, late: Duration) {
         *self.late.lock().expect("late") = (share, late);
     }
 
-    pub fn freeze(&self, controller: &str, time: Duration) {
+    pub fn pause_controller(&self, controller: &str, time: Duration) {
         if self.loopback.is_some() {
-            let controllers = self.controllers.lock().expect("nodes");
+            let controllers = self.controllers.lock().expect("controllers");
             let running = controllers
                 .get(controller)
                 .and_then(|slot| slot.running.as_ref());
             if let Some(process) = running.and_then(|running| running.process.as_ref()) {
-                process.freeze(time);
+                process.pause(time);
             }
             return;
         }
         let until = Instant::now() + time;
-        self.frozen
+        self.paused
             .lock()
             .expect("frozen")
             .insert(controller.into(), until);
     }
 
     /// What a cordoned controller was about to say or to hear waits until it goes on.
-    async fn thawed(&self, controller: &str) {
-        let until = self.frozen.lock().expect("frozen").get(controller).copied();
+    async fn until_resumed(&self, controller: &str) {
+        let until = self.paused.lock().expect("frozen").get(controller).copied();
         if let Some(until) = until {
             tokio::time::sleep_until(until).await;
         }
     }
 
-    fn is_frozen(&self, controller: &str) -> bool {
-        let until = self.frozen.lock().expect("frozen").get(controller).copied();
+    fn is_paused(&self, controller: &str) -> bool {
+        let until = self.paused.lock().expect("frozen").get(controller).copied();
         until.is_some_and(|until| until > Instant::now())
     }
 
@@ -449,10 +457,10 @@
     ) -> Option<(u16, String)> {
         tokio::time::sleep(jitter::millis(1, 4)).await;
         let tags = self.controller_tags(name);
-        while self.cut(from, &tags).is_some() {
+        while self.partition_between(from, &tags).is_some() {
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
-        self.thawed(name).await;
+        self.until_resumed(name).await;
         let (router, life) = self.router(name)?;
         if let Some(loopback) = &self.loopback {
             return loopback.request(name, method, path, body).await;
@@ -475,8 +483,8 @@
             .ok()?;
         tokio::time::sleep(jitter::millis(1, 4)).await;
         // Decided before the freeze, said after it.
-        self.thawed(name).await;
-        while self.cut(from, &tags).is_some() {
+        self.until_resumed(name).await;
+        while self.partition_between(from, &tags).is_some() {
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
         if !self.is_alive(name, life) {
--- a/crates/simulator/src/simulation/cloud.rs
+++ b/crates/simulator/src/simulation/cloud.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-use super::{LIST_LAG, Rented, Simulation};
+use super::{LIST_LAG, ProvisionedMachine, Simulation};
 use crate::{agent::Machine, rules::Place};
 
 impl Simulation {
@@ -27,9 +27,11 @@
         cloud
             .machines
             .values()
-            .filter(|rented| rented.gone_at.is_none() && rented.up_at.is_some())
-            .map(|rented| rented.machine.clone())
-            .filter(|machine| !machine.is_gone())
+            .filter(|provisioned| {
+                provisioned.terminated_at.is_none() && provisioned.up_at.is_some()
+            })
+            .map(|provisioned| provisioned.machine.clone())
+            .filter(|machine| !machine.is_terminated())
             .collect()
     }
 
@@ -39,22 +41,24 @@
         cloud
             .machines
             .values()
-            .filter(|rented| rented.gone_at.is_none() && !rented.machine.is_gone())
+            .filter(|provisioned| {
+                provisioned.terminated_at.is_none() && !provisioned.machine.is_terminated()
+            })
             .count()
     }
 
     /// Machines ever provisioned.
-    pub fn rented(&self) -> usize {
+    pub fn provisioned(&self) -> usize {
         self.cloud.lock().expect("cloud").machines.len()
     }
 
     pub(super) fn machine(&self, id: &str) -> Option<Arc<Machine>> {
         let cloud = self.cloud.lock().expect("cloud");
-        let rented = cloud.machines.get(id)?;
-        rented
+        let provisioned = cloud.machines.get(id)?;
+        provisioned
             .up_at
             .is_some_and(|at| at <= Instant::now())
-            .then(|| rented.machine.clone())
+            .then(|| provisioned.machine.clone())
     }
 
     pub(super) async fn serve_cloud(
@@ -95,7 +99,9 @@
                 let mounts: Vec<Value> = cloud
                     .machines
                     .iter()
-                    .filter(|(_, r)| r.created <= then && r.gone_at.is_none_or(|at| at > then))
+                    .filter(|(_, r)| {
+                        r.created <= then && r.terminated_at.is_none_or(|at| at > then)
+                    })
                     .map(|(id, r)| {
                         let up = r.up_at.is_some_and(|at| at <= then);
                         json!({"uid": id, "addr": id, "breed": r.machine.place.kind,
@@ -135,7 +141,7 @@
             .values()
             .filter(|r| {
                 let other = &r.machine.place;
-                r.gone_at.is_none()
+                r.terminated_at.is_none()
                     && other.kind == place.kind
                     && other.zone == place.zone
                     && other.spot == place.spot
@@ -168,11 +174,11 @@
             ));
             cloud.machines.insert(
                 id.clone(),
-                Rented {
+                ProvisionedMachine {
                     machine: machine.clone(),
                     created: Instant::now(),
                     up_at: None,
-                    gone_at: None,
+                    terminated_at: None,
                 },
             );
             names.push(id.clone());
@@ -185,8 +191,8 @@
                 {
                     let mut cloud = simulation.cloud.lock().expect("cloud");
                     match cloud.machines.get_mut(&booted) {
-                        Some(rented) if rented.gone_at.is_none() => {
-                            rented.up_at = Some(Instant::now());
+                        Some(provisioned) if provisioned.terminated_at.is_none() => {
+                            provisioned.up_at = Some(Instant::now());
                         }
                         _ => return,
                     }
@@ -206,12 +212,12 @@
     pub fn remove(&self, id: &str) {
         let machine = {
             let mut cloud = self.cloud.lock().expect("cloud");
-            let Some(rented) = cloud.machines.get_mut(id) else {
+            let Some(provisioned) = cloud.machines.get_mut(id) else {
                 return;
             };
-            rented.gone_at.get_or_insert(Instant::now());
-            rented.machine.clone()
+            provisioned.terminated_at.get_or_insert(Instant::now());
+            provisioned.machine.clone()
         };
-        machine.vanish(self);
+        machine.terminate(self);
     }
 }
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -29,19 +29,21 @@
     pub fn controller_names(&self) -> Vec<String> {
         self.controllers
             .lock()
-            .expect("nodes")
+            .expect("controllers")
             .keys()
             .cloned()
             .collect()
     }
 
     pub(super) fn controller_tags(&self, name: &str) -> Vec<String> {
-        let zone = self.controllers.lock().expect("nodes")[name].zone.clone();
-        vec![name.to_owned(), "nodes".into(), zone]
+        let zone = self.controllers.lock().expect("controllers")[name]
+            .zone
+            .clone();
+        vec![name.to_owned(), "controllers".into(), zone]
     }
 
     pub(super) fn router(&self, name: &str) -> Option<(Router, u64)> {
-        let controllers = self.controllers.lock().expect("nodes");
+        let controllers = self.controllers.lock().expect("controllers");
         let running = controllers.get(name)?.running.as_ref()?;
         Some((running.router.clone(), running.life))
     }
@@ -52,7 +54,7 @@
 
     pub fn boot_controller(self: &Arc<Self>, name: &str) {
         let (zone, peers) = {
-            let controllers = self.controllers.lock().expect("nodes");
+            let controllers = self.controllers.lock().expect("controllers");
             if controllers[name].running.is_some() {
                 return;
             }
@@ -101,7 +103,7 @@
         };
         if let Some(loopback) = &self.loopback {
             let ended = {
-                let mut controllers = self.controllers.lock().expect("nodes");
+                let mut controllers = self.controllers.lock().expect("controllers");
                 controllers.get_mut(name).expect("a node").ended.take()
             };
             let process = loopback.start(config, ended);
@@ -156,7 +158,7 @@
             life,
             process,
         };
-        let mut controllers = self.controllers.lock().expect("nodes");
+        let mut controllers = self.controllers.lock().expect("controllers");
         controllers.get_mut(name).expect("a node").running = Some(running);
     }
 
@@ -206,21 +208,21 @@
 
     pub fn kill_controller(&self, name: &str) {
         let running = {
-            let mut controllers = self.controllers.lock().expect("nodes");
+            let mut controllers = self.controllers.lock().expect("controllers");
             controllers.get_mut(name).expect("a node").running.take()
         };
         if let Some(mut running) = running {
             running.duties.abort_all();
             running.stop.cancel();
             let ended = running.process.map(Process::kill);
-            let mut controllers = self.controllers.lock().expect("nodes");
+            let mut controllers = self.controllers.lock().expect("controllers");
             controllers.get_mut(name).expect("a node").ended = ended;
         }
     }
 
     /// The controller that leads, as far as anybody thinks so.
     pub fn leader(&self) -> Option<String> {
-        let controllers = self.controllers.lock().expect("nodes");
+        let controllers = self.controllers.lock().expect("controllers");
         controllers
             .iter()
             .filter_map(|(name, slot)| Some((name, slot.running.as_ref()?)))
@@ -237,7 +239,7 @@
     /// The leading process: its controller, and which life of that controller.
     pub fn leader_life(&self) -> Option<String> {
         let name = self.leader()?;
-        let controllers = self.controllers.lock().expect("nodes");
+        let controllers = self.controllers.lock().expect("controllers");
         let life = controllers.get(&name)?.running.as_ref()?.life;
         Some(format!("{name}-{life}"))
     }
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -60,9 +60,9 @@
         };
         match call.address.as_str() {
             "state" => {
-                let slow = *simulation.slow.lock().expect("slow");
-                if !slow.is_zero() {
-                    tokio::time::sleep(slow.mul_f64(jitter::uniform(0.1, 1.0))).await;
+                let latency = *simulation.latency.lock().expect("slow");
+                if !latency.is_zero() {
+                    tokio::time::sleep(latency.mul_f64(jitter::uniform(0.1, 1.0))).await;
                 }
                 simulation
                     .state
@@ -91,12 +91,12 @@
         if !self.simulation.is_alive(&self.controller, self.life) {
             return futures::future::pending().await;
         }
-        if let Some(cut) = self.simulation.cut(&here, &there) {
-            if cut.hold {
+        if let Some(partition_between) = self.simulation.partition_between(&here, &there) {
+            if partition_between.holds_packets {
                 // Delivered once the cut is over, whoever has given up by then.
                 let (simulation, controller) = (self.simulation.clone(), self.controller.clone());
                 tokio::spawn(async move {
-                    while simulation.cut(&here, &there).is_some() {
+                    while simulation.partition_between(&here, &there).is_some() {
                         tokio::time::sleep(Duration::from_millis(100)).await;
                     }
                     Self::execute(&simulation, &controller, &call).await;
@@ -105,7 +105,7 @@
             return futures::future::pending().await;
         }
         if call.path == "/orders"
-            && let Some(pause) = self.simulation.faults.order_delay()
+            && let Some(pause) = self.simulation.faults.draw_command_delay()
         {
             let (simulation, controller) = (self.simulation.clone(), self.controller.clone());
             tokio::spawn(async move {
@@ -130,7 +130,7 @@
         let lost = call.address == "state"
             && !call.path.starts_with("/follow")
             && jitter::uniform(0.0, 1.0) < lossy;
-        if lost || self.simulation.cut(&here, &there).is_some() {
+        if lost || self.simulation.partition_between(&here, &there).is_some() {
             return futures::future::pending().await;
         }
         Ok(Reply {
@@ -143,15 +143,15 @@
 impl Network for SimNet {
     fn http(&self, call: Call) -> BoxFuture<'_, Result<Reply, SendError>> {
         async move {
-            self.simulation.thawed(&self.controller).await;
+            self.simulation.until_resumed(&self.controller).await;
             let timeout = call.timeout;
             let sending = self.send(call);
             tokio::pin!(sending);
             let mut answer = tokio::time::timeout(timeout, sending.as_mut()).await;
-            if self.simulation.is_frozen(&self.controller) {
+            if self.simulation.is_paused(&self.controller) {
                 // Answer and timeout are found together when it goes on; the answer
                 // is looked at first.
-                self.simulation.thawed(&self.controller).await;
+                self.simulation.until_resumed(&self.controller).await;
                 if answer.is_err() {
                     let at_once = Duration::from_millis(1);
                     answer = tokio::time::timeout(at_once, sending.as_mut()).await;
@@ -171,17 +171,17 @@
         async move {
             let exchange = async {
                 tokio::time::sleep(jitter::millis(1, 3)).await;
-                self.simulation.thawed(&self.controller).await;
-                self.simulation.thawed(address).await;
+                self.simulation.until_resumed(&self.controller).await;
+                self.simulation.until_resumed(address).await;
                 let here = self.simulation.controller_tags(&self.controller);
                 let there = self.simulation.controller_tags(address);
-                if self.simulation.cut(&here, &there).is_some()
+                if self.simulation.partition_between(&here, &there).is_some()
                     || !self.simulation.is_alive(&self.controller, self.life)
                 {
                     return futures::future::pending().await;
                 }
                 let controller = {
-                    let controllers = self.simulation.controllers.lock().expect("nodes");
+                    let controllers = self.simulation.controllers.lock().expect("controllers");
                     controllers
                         .get(address)
                         .and_then(|slot| slot.running.as_ref())
--- a/crates/simulator/src/users.rs
+++ b/crates/simulator/src/users.rs
@@ -63,8 +63,8 @@
     if let Some(state) = &state {
         let mut told = simulation.told.lock().expect("told");
         let before = told.insert(job.clone(), state.clone());
-        if simulation.faults.looks_closely() && is_news(before.as_deref(), state) {
-            simulation.look_closely(job);
+        if simulation.faults.polls_in_bursts() && is_news(before.as_deref(), state) {
+            simulation.poll_in_burst(job);
         }
     }
     simulation.see(Event::Answer {
@@ -82,7 +82,7 @@
 }
 
 /// Asks one controller about the job.
-pub async fn look(simulation: &Arc<Simulation>, name: &str, job: &JobId) {
+pub async fn poll(simulation: &Arc<Simulation>, name: &str, job: &JobId) {
     let tags = ["users".to_owned()];
     let path = format!("/api/jobs/{job}");
     let asked = simulation.at();
@@ -119,7 +119,7 @@
         return;
     }
     loop {
-        tokio::time::sleep(simulation.faults.question_pause()).await;
+        tokio::time::sleep(simulation.faults.poll_interval()).await;
         let path = format!("/api/jobs/{job}");
         let limit = Duration::from_secs(2);
         let asked = simulation.at();
@@ -159,8 +159,8 @@
     None
 }
 
-pub async fn abort(simulation: Arc<Simulation>, job: JobId) {
-    simulation.see(Event::AbortAsked(job.clone()));
+pub async fn cancel(simulation: Arc<Simulation>, job: JobId) {
+    simulation.see(Event::CancelRequested(job.clone()));
     for _ in 0..60 {
         let path = format!("/api/jobs/{job}/abort");
         let limit = Duration::from_secs(5);
@@ -197,7 +197,7 @@
 ];
 
 /// Sends submissions that lack a field or can never run.
-pub async fn odd(simulation: Arc<Simulation>, spec: JobSpec) {
+pub async fn send_invalid(simulation: Arc<Simulation>, spec: JobSpec) {
     let whole = write_job(&JobId::new("job-990000"), &spec);
     let mut wrong: Vec<(String, u16, Value)> = Vec::new();
     for field in REQUIRED {
@@ -240,7 +240,7 @@
         let limit = Duration::from_secs(5);
         let text = body.to_string();
         if let Some((code, _)) = ask(&simulation, "POST", "/api/jobs", text, limit).await {
-            simulation.see(Event::OddAnswered(what, expected, code));
+            simulation.see(Event::InvalidAnswered(what, expected, code));
         }
     }
 }
--- a/crates/simulator/src/versions.rs
+++ b/crates/simulator/src/versions.rs
@@ -19,12 +19,12 @@
 
 impl Version {
     /// The version that a scenario names.
-    pub fn named(name: Option<&str>) -> Self {
+    pub fn named(name: &str) -> Self {
         match name {
-            None => Version::BeforeGangs,
-            Some("gangs") => Version::Gangs,
-            Some("transfers") => Version::BeforeTransfers,
-            Some(other) => panic!("unknown version {other}"),
+            "before-gangs" => Version::BeforeGangs,
+            "gangs" => Version::Gangs,
+            "before-transfers" => Version::BeforeTransfers,
+            other => panic!("unknown version {other}"),
         }
     }
 
--- a/tests/chaos.rs
+++ b/tests/chaos.rs
@@ -61,7 +61,7 @@
         lines.push(line);
         if dice.random_bool(0.3) {
             let abort = at + dice.random_range(0.0..40.0);
-            lines.push(format!("at {abort:.2} abort job-{n}"));
+            lines.push(format!("at {abort:.2} cancel job-{n}"));
         }
         if dice.random_bool(0.2) {
             let again = at + dice.random_range(1.0..60.0);
@@ -69,13 +69,22 @@
         }
     }
     let sides = [
-        "n0", "n1", "n2", "a", "b", "c", "state", "workers", "cloud", "nodes",
+        "n0",
+        "n1",
+        "n2",
+        "a",
+        "b",
+        "c",
+        "state",
+        "agents",
+        "cloud",
+        "controllers",
     ];
     // Some days begin with the version before, which is rolled off in the midst of it.
     if dice.random_bool(0.3) {
-        let version = ["old", "old gangs"][dice.random_range(0..2)];
+        let version = ["version before-gangs", "version gangs"][dice.random_range(0..2)];
         lines.push(version.into());
-        lines.push("next writes=100 ops=5 value=2048".into());
+        lines.push("announced-limits writes=100 ops=5 value=2048".into());
         let mut at = dice.random_range(8.0..60.0);
         let every = dice.random_range(2.0..25.0);
         for controller in 0..3 {
@@ -83,7 +92,7 @@
             lines.push(format!("at {at:.2} upgrade n{controller} for={time:.2}"));
             at += every;
         }
-        lines.push(format!("at {:.2} state lowers", at + 12.0));
+        lines.push(format!("at {:.2} state lower-limits", at + 12.0));
         // A job of more records than a transaction of the lowered limits has conditions.
         let bound = ["one_zone", "spread"][dice.random_range(0..2)];
         let submitted = at + dice.random_range(4.0..30.0);
@@ -107,13 +116,13 @@
             0 => format!("at {at:.2} crash all for={:.2}", time / 3.0),
             1 | 2 => format!("at {at:.2} crash leader for={:.2}", time / 4.0),
             3 => format!("at {at:.2} crash n{controller} for={time:.2}"),
-            4 => format!("at {at:.2} state down for={time:.2}"),
-            5 => format!("at {at:.2} state refuses n{controller} for={time:.2}"),
-            6 => format!("at {at:.2} state lossy share=0.2 for={time:.2}"),
-            7 => format!("at {at:.2} cloud down for={time:.2}"),
+            4 => format!("at {at:.2} state outage for={time:.2}"),
+            5 => format!("at {at:.2} state reject n{controller} for={time:.2}"),
+            6 => format!("at {at:.2} state lose-responses share=0.2 for={time:.2}"),
+            7 => format!("at {at:.2} cloud outage for={time:.2}"),
             8 => format!("at {at:.2} hang {} for={time:.2}", dice.random_range(1..4)),
             9 => format!(
-                "at {at:.2} take {}{}",
+                "at {at:.2} reclaim {}{}",
                 dice.random_range(1..4),
                 if dice.random_bool(0.5) {
                     " notice=6"
@@ -122,43 +131,43 @@
                 }
             ),
             10 => format!(
-                "at {at:.2} deaf {} for={:.2}",
+                "at {at:.2} lose-inbound {} for={:.2}",
                 dice.random_range(1..3),
                 time * 2.0
             ),
-            11 => format!("at {at:.2} copies share=0.4 late=45 for={time:.2}"),
-            13 => format!("at {at:.2} freeze n{controller} for={time:.2}"),
-            14 => format!("at {at:.2} freeze leader for={time:.2}"),
-            15 => format!("at {at:.2} state late share=0.3 late=20 for={time:.2}"),
+            11 => format!("at {at:.2} duplicate heartbeats share=0.4 late=45 for={time:.2}"),
+            13 => format!("at {at:.2} pause n{controller} for={time:.2}"),
+            14 => format!("at {at:.2} pause leader for={time:.2}"),
+            15 => format!("at {at:.2} state delay share=0.3 late=20 for={time:.2}"),
             16 => format!(
-                "at {at:.2} mute {} for={:.2}",
+                "at {at:.2} lose-outbound {} for={:.2}",
                 dice.random_range(1..5),
                 time * 1.5
             ),
-            17 => format!("at {at:.2} state slow by=1.5 for={time:.2}"),
+            17 => format!("at {at:.2} state latency by=1.5 for={time:.2}"),
             18 | 19 => format!(
-                "at {at:.2} abort running count={} hang={:.2}",
+                "at {at:.2} cancel running count={} hang={:.2}",
                 dice.random_range(1..4),
                 dice.random_range(0.0..30.0)
             ),
-            20 => format!("at {at:.2} abort ending share=0.6 for={:.2}", time * 2.0),
-            21 => format!("at {at:.2} odd"),
+            20 => format!("at {at:.2} cancel ending share=0.6 for={:.2}", time * 2.0),
+            21 => format!("at {at:.2} invalid-requests"),
             // State refuses the leader alone, and soon everybody.
             22 | 23 => {
                 let down = at + dice.random_range(0.5..6.0);
                 let long = dice.random_range(20.0..60.0);
-                second = Some(format!("at {down:.2} state down for={long:.2}"));
-                format!("at {at:.2} state refuses leader for={time:.2}")
+                second = Some(format!("at {down:.2} state outage for={long:.2}"));
+                format!("at {at:.2} state reject leader for={time:.2}")
             }
             24 => format!("at {at:.2} crash leader for={:.2}", time / 60.0),
-            25 => format!("at {at:.2} state refuses leader for={time:.2}"),
+            25 => format!("at {at:.2} state reject leader for={time:.2}"),
             12 => format!("at {at:.2} crash leader for={:.2}", time / 60.0),
-            26 => format!("at {at:.2} looks for={:.2}", time * 2.0),
-            27 => format!("at {at:.2} orders share=0.4 late=16 for={time:.2}"),
+            26 => format!("at {at:.2} burst-polls for={:.2}", time * 2.0),
+            27 => format!("at {at:.2} delay commands share=0.4 late=16 for={time:.2}"),
             28 => {
                 let ends = at + time;
                 second = Some(format!("at {ends:.2} crash leader for={:.2}", time / 40.0));
-                format!("at {at:.2} copies share=0.5 for_next for={time:.2}")
+                format!("at {at:.2} duplicate heartbeats share=0.5 for_next for={time:.2}")
             }
             29 => format!(
                 "at {at:.2} stream job-{}000 count=60 every=0.25 cancelled=0.25 team=team cpus=1 run=2",
@@ -168,7 +177,7 @@
                 let a = sides[dice.random_range(0..sides.len())];
                 let b = sides[dice.random_range(0..sides.len())];
                 let hold = if dice.random_bool(0.5) { " hold" } else { "" };
-                format!("at {at:.2} cut {a} {b}{hold} for={time:.2}")
+                format!("at {at:.2} partition {a} {b}{hold} for={time:.2}")
             }
         };
         lines.push(line);
--- a/tests/checkers.rs
+++ b/tests/checkers.rs
@@ -221,7 +221,7 @@
 #[test]
 fn odd() {
     fires("unreadable", vec![(1, Event::Unreadable("n1".into()))]);
-    let answered = |expected, code| Event::OddAnswered("a job".into(), expected, code);
+    let answered = |expected, code| Event::InvalidAnswered("a job".into(), expected, code);
     fires("odd", vec![(1, answered(400, 201))]);
     fires("odd", vec![(1, answered(422, 400))]);
     quiet(vec![(1, answered(422, 422)), (2, answered(400, 503))]);
@@ -323,7 +323,7 @@
         vec![
             submitted(),
             (1, on(0, "vm-1", "small", "a", false)),
-            (2, Event::AbortAsked(job())),
+            (2, Event::CancelRequested(job())),
             (3, answer(200, "cancelled", false)),
             (until, done(7)),
         ]
@@ -334,7 +334,7 @@
         "ran_cancelled",
         vec![
             submitted(),
-            (2, Event::AbortAsked(job())),
+            (2, Event::CancelRequested(job())),
             (3, answer(200, "cancelled", false)),
             (50, on(0, "vm-1", "small", "a", false)),
         ],
@@ -376,7 +376,7 @@
         "went_back",
         vec![
             submitted(),
-            (1, Event::AbortAsked(job())),
+            (1, Event::CancelRequested(job())),
             (2, answer(200, "cancelled", false)),
             (3, answer(200, "running", false)),
         ],
