--- a/crates/simulator/src/agent.rs
+++ b/crates/simulator/src/agent.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{Value, json};
 use stallcove::{
-    protocol::agents::{Answer, Call, Orders},
+    protocol::agents::{CommandAction, CommandMessage, CommandRequest, HeartbeatReply},
     storage::{JobKind, JobSpec, MachineId, TaskId, jitter},
 };
 use tokio::time::Instant;
@@ -246,26 +246,32 @@
             "recall_s": recall, "strides": strides})
     }
 
-    fn execute(&self, simulation: &Simulation, inner: &mut Inner, token: u64, calls: &[Call]) {
+    fn execute(
+        &self,
+        simulation: &Simulation,
+        inner: &mut Inner,
+        token: u64,
+        calls: &[CommandMessage],
+    ) {
         let now = Instant::now();
         if token > inner.token {
             inner.token = token;
             inner.changed = true;
         }
         for call in calls {
-            let task = TaskId::parse(&call.stride).expect("a task of ours");
-            let key = (task.clone(), call.heat);
-            match call.call.as_str() {
-                "start" if !inner.tasks.contains_key(&key) => {
+            let task = TaskId::parse(&call.task).expect("a task of ours");
+            let key = (task.clone(), call.attempt);
+            match call.action {
+                CommandAction::Start if !inner.tasks.contains_key(&key) => {
                     let stage = self.start(simulation, inner, &task, now);
                     inner.tasks.insert(key, stage);
                     inner.changed = true;
                 }
-                "start" => {}
-                "kill" => {
+                CommandAction::Start => {}
+                CommandAction::Stop => {
                     let saves = simulation.spec(&task.job).is_some_and(|spec| {
                         !spec.checkpoint.is_zero()
-                            && call.cooldown_s.unwrap_or(0.0) >= spec.save.as_secs_f64()
+                            && call.grace_seconds.unwrap_or(0.0) >= spec.save.as_secs_f64()
                     });
                     let save = simulation
                         .spec(&task.job)
@@ -279,13 +285,13 @@
                                 self.off(simulation, &task);
                             }
                             Stage::Together if saves => {
-                                simulation.stop_gang(&task, call.heat);
+                                simulation.stop_gang(&task, call.attempt);
                                 *stage = Stage::SavingTogether(now + save);
                             }
                             Stage::SavingTogether(_) if saves => continue,
                             Stage::Waiting(_) | Stage::Together | Stage::SavingTogether(_) => {
                                 *stage = Stage::Exited("halted");
-                                simulation.leave_gang(&task, call.heat);
+                                simulation.leave_gang(&task, call.attempt);
                                 self.off(simulation, &task);
                             }
                             Stage::Fetching(_) => *stage = Stage::Exited("halted"),
@@ -294,13 +300,12 @@
                         inner.changed = true;
                     }
                 }
-                "clear" => {
+                CommandAction::Clear => {
                     if matches!(inner.tasks.get(&key), Some(Stage::Exited(_))) {
                         inner.tasks.remove(&key);
                         inner.changed = true;
                     }
                 }
-                other => panic!("unknown command {other}"),
             }
         }
     }
@@ -500,11 +505,12 @@
         let mut pause = Duration::from_secs(1);
         match answer {
             Ok(Some((200, text))) => {
-                let answer: Answer = serde_json::from_str(&text).expect("an answer to a report");
+                let answer: HeartbeatReply =
+                    serde_json::from_str(&text).expect("an answer to a report");
                 let mut inner = self.lock();
-                if Some(inner.epoch) == epoch && answer.bridle >= inner.token {
+                if Some(inner.epoch) == epoch && answer.token >= inner.token {
                     inner.answered = inner.answered.max(sent);
-                    self.execute(simulation, &mut inner, answer.bridle, &answer.calls);
+                    self.execute(simulation, &mut inner, answer.token, &answer.commands);
                 } else if Some(inner.epoch) == epoch {
                     // Allowed when a newer owner was quicker, but not for long.
                     simulation.note_dropped(&self.id);
@@ -549,11 +555,11 @@
         match path {
             "/inspect" => (200, self.heartbeat(&mut inner)),
             "/orders" => {
-                let orders: Orders = serde_json::from_slice(body).expect("orders");
-                if orders.bridle < inner.token || orders.tenure != inner.epoch {
+                let orders: CommandRequest = serde_json::from_slice(body).expect("orders");
+                if orders.token < inner.token || orders.epoch != inner.epoch {
                     return (409, self.heartbeat(&mut inner));
                 }
-                self.execute(simulation, &mut inner, orders.bridle, &orders.calls);
+                self.execute(simulation, &mut inner, orders.token, &orders.commands);
                 (200, self.heartbeat(&mut inner))
             }
             _ => (404, json!({})),
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -25,11 +25,11 @@
     coordination::{Config, Controller},
     storage::ControllerName,
     transport::{
-        Call, Network,
+        HttpRequest, Network,
         http::HttpNetwork,
-        network::{Method, Target},
+        network::{Destination, Method},
         network_clients, peer_connections, server,
-        sockets::Sockets,
+        sockets::SocketBudget,
     },
 };
 use tokio::{net::TcpListener, runtime::Handle, task::JoinSet};
@@ -70,7 +70,7 @@
         Self {
             network: [(process >> 8) as u8 | 1, process as u8],
             next_machine: AtomicU16::new(FIRST_MACHINE),
-            client: HttpNetwork::new(Sockets::new(4 * SOCKETS)),
+            client: HttpNetwork::new(SocketBudget::new(4 * SOCKETS)),
         }
     }
 }
@@ -95,8 +95,8 @@
         path: &str,
         body: String,
     ) -> Option<(u16, String)> {
-        let call = Call {
-            target: Target::Service,
+        let call = HttpRequest {
+            destination: Destination::Service,
             address: self.of_controller(controller, PUBLIC).to_string(),
             method: if method == "GET" {
                 Method::Get
@@ -216,7 +216,7 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let sockets = Sockets::new(SOCKETS);
+    let sockets = SocketBudget::new(SOCKETS);
     let net: Arc<dyn Network> = Arc::new(HttpNetwork::new(sockets.clone()));
     let controller = Controller::new(
         config,
@@ -275,7 +275,7 @@
 
 async fn serve(address: SocketAddr, router: Router) {
     let listener = TcpListener::bind(address).await.expect("a free port");
-    let sockets = Sockets::new(4 * SOCKETS);
+    let sockets = SocketBudget::new(4 * SOCKETS);
     tokio::spawn(server::serve(
         router,
         listener,
@@ -289,8 +289,8 @@
     let Ok(body) = axum::body::to_bytes(body, BODY_LIMIT).await else {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     };
-    let call = Call {
-        target: Target::Service,
+    let call = HttpRequest {
+        destination: Destination::Service,
         address: gateway.service.to_owned(),
         method: match parts.method.as_str() {
             "GET" => Method::Get,
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -12,7 +12,7 @@
     transport::{
         network_clients::{self, Addresses},
         server,
-        sockets::Sockets,
+        sockets::SocketBudget,
     },
 };
 use tokio::task::JoinSet;
@@ -149,7 +149,7 @@
         process: Option<Process>,
     ) {
         let running = Running {
-            router: server::router(controller.clone(), Sockets::new(500)),
+            router: server::router(controller.clone(), SocketBudget::new(500)),
             controller,
             stop,
             duties,
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -9,7 +9,7 @@
     coordination::clients::{PeerRequest, ProtocolVersion},
     protocol::peer_frames,
     storage::jitter,
-    transport::{Call, Network, Reply, SendError, network::Method, peer_connections},
+    transport::{HttpRequest, HttpResponse, Network, SendError, network::Method, peer_connections},
 };
 
 use super::Simulation;
@@ -52,7 +52,11 @@
         Some(Self::new(simulation, controller, life))
     }
 
-    async fn execute(simulation: &Arc<Simulation>, controller: &str, call: &Call) -> (u16, Value) {
+    async fn execute(
+        simulation: &Arc<Simulation>,
+        controller: &str,
+        call: &HttpRequest,
+    ) -> (u16, Value) {
         let method = match call.method {
             Method::Get => "GET",
             Method::Post => "POST",
@@ -84,7 +88,7 @@
         }
     }
 
-    pub async fn send(&self, call: Call) -> Result<Reply, SendError> {
+    pub async fn send(&self, call: HttpRequest) -> Result<HttpResponse, SendError> {
         let here = self.simulation.controller_tags(&self.controller);
         let there = self.tags(&call.address);
         tokio::time::sleep(jitter::millis(1, 5)).await;
@@ -133,7 +137,7 @@
         if lost || self.simulation.cut(&here, &there).is_some() {
             return futures::future::pending().await;
         }
-        Ok(Reply {
+        Ok(HttpResponse {
             status,
             body: Bytes::from(value.to_string()),
         })
@@ -141,7 +145,7 @@
 }
 
 impl Network for SimNet {
-    fn http(&self, call: Call) -> BoxFuture<'_, Result<Reply, SendError>> {
+    fn http(&self, call: HttpRequest) -> BoxFuture<'_, Result<HttpResponse, SendError>> {
         async move {
             self.simulation.thawed(&self.controller).await;
             let timeout = call.timeout;
--- a/crates/simulator/src/state_service.rs
+++ b/crates/simulator/src/state_service.rs
@@ -7,7 +7,7 @@
 };
 
 use serde_json::{Value, json};
-use stallcove::protocol::state::{Change, Commit, Life};
+use stallcove::protocol::key_value_store::{LeaseRequest, OperationMessage, TransactionRequest};
 use tokio::{sync::Notify, time::Instant};
 
 /// What it allows, and what it will allow from some moment on.
@@ -136,83 +136,87 @@
     }
 
     fn commit(&mut self, body: &[u8]) -> Answer {
-        let Ok(commit) = serde_json::from_slice::<Commit>(body) else {
+        let Ok(commit) = serde_json::from_slice::<TransactionRequest>(body) else {
             return (400, json!({"error": "malformed"}));
         };
         let start = Limits::default();
         let (ops, value) = self.sizes.unwrap_or((start.ops, start.value));
-        let changes = commit.then.len();
+        let changes = commit.operations.len();
         let conditions = commit.conditions.len();
         if changes > ops || conditions > 4 * ops {
             let what = format!("{changes} changes, {conditions} conditions");
             return self.too_large(what);
         }
-        let large = commit.then.iter().find_map(|change| match change {
-            Change::Set { set, data, .. } => {
-                let size = data.to_string().len();
-                (size > value).then(|| format!("{set} has {size} bytes"))
+        let large = commit.operations.iter().find_map(|change| match change {
+            OperationMessage::Put {
+                key,
+                value: written,
+                ..
+            } => {
+                let size = written.to_string().len();
+                (size > value).then(|| format!("{key} has {size} bytes"))
             }
-            Change::Drop { .. } => None,
+            OperationMessage::Delete { .. } => None,
         });
         if let Some(what) = large {
             return self.too_large(what);
         }
-        if !self.writes.take(commit.then.len() as f64) {
+        if !self.writes.take(commit.operations.len() as f64) {
             return (429, json!({}));
         }
-        self.changes += commit.then.len();
+        self.changes += commit.operations.len();
         assert!(body.len() <= 64 * 1024, "too large a transaction");
         let failed: Vec<&String> = commit
             .conditions
             .iter()
-            .filter(|c| self.keys.get(&c.k).map_or(0, |(_, mark, _)| *mark) != c.mark)
-            .map(|c| &c.k)
+            .filter(|c| self.keys.get(&c.key).map_or(0, |(_, mark, _)| *mark) != c.revision)
+            .map(|c| &c.key)
             .collect();
         if !failed.is_empty() {
             return (409, json!({"failed": failed, "ledger": self.ledger}));
         }
         let mut seen = BTreeSet::new();
-        for change in &commit.then {
+        for change in &commit.operations {
             let key = match change {
-                Change::Set { set, tether, .. } => {
-                    if tether.is_some_and(|id| !self.grants.contains_key(&id)) {
+                OperationMessage::Put { key, lease, .. } => {
+                    if lease.is_some_and(|id| !self.grants.contains_key(&id)) {
                         return (400, json!({"error": "no such lease"}));
                     }
-                    set
+                    key
                 }
-                Change::Drop { drop } => drop,
+                OperationMessage::Delete { key } => key,
             };
             assert!(seen.insert(key), "{key} changes twice in a transaction");
-            if let Change::Set { set, .. } = change
-                && set.starts_with("fate/")
+            if let OperationMessage::Put { key, .. } = change
+                && key.starts_with("fate/")
             {
-                assert!(!self.keys.contains_key(set), "a fate is written twice");
+                assert!(!self.keys.contains_key(key), "a fate is written twice");
             }
-            if let Change::Drop { drop } = change {
-                assert!(!drop.starts_with("fate/"), "a fate is removed");
+            if let OperationMessage::Delete { key } = change {
+                assert!(!key.starts_with("fate/"), "a fate is removed");
             }
         }
-        if commit.then.is_empty() {
+        if commit.operations.is_empty() {
             return (200, json!({"ledger": self.ledger}));
         }
         self.ledger += 1;
-        for change in commit.then {
+        for change in commit.operations {
             let (sign, key) = match &change {
-                Change::Set { set, .. } => ('+', set),
-                Change::Drop { drop } => ('-', drop),
+                OperationMessage::Put { key, .. } => ('+', key),
+                OperationMessage::Delete { key } => ('-', key),
             };
             let kind = key.split('/').next().unwrap_or(key);
             let made = self.changes_by_kind.entry(format!("{sign}{kind}"));
             *made.or_default() += 1;
             let event = match change {
-                Change::Set { set, data, tether } => {
-                    let event = json!({"set": set, "data": data, "mark": self.ledger});
-                    self.keys.insert(set, (data, self.ledger, tether));
+                OperationMessage::Put { key, value, lease } => {
+                    let event = json!({"set": key, "data": value, "mark": self.ledger});
+                    self.keys.insert(key, (value, self.ledger, lease));
                     event
                 }
-                Change::Drop { drop } => {
-                    self.keys.remove(&drop);
-                    json!({"drop": drop, "mark": self.ledger})
+                OperationMessage::Delete { key } => {
+                    self.keys.remove(&key);
+                    json!({"drop": key, "mark": self.ledger})
                 }
             };
             self.events.push((self.ledger, event));
@@ -299,8 +303,8 @@
             match (method, path) {
                 ("POST", "/commit") => inner.commit(body),
                 ("POST", "/grants") => {
-                    let life: Life = serde_json::from_slice(body).expect("a grant's life");
-                    let life = Duration::from_millis(life.life_ms);
+                    let lease: LeaseRequest = serde_json::from_slice(body).expect("a grant's life");
+                    let life = Duration::from_millis(lease.ttl_ms);
                     inner.next_grant += 1;
                     let id = inner.next_grant;
                     inner.grants.insert(id, (life, Instant::now() + life));
--- a/src/main.rs
+++ b/src/main.rs
@@ -12,7 +12,7 @@
         http::HttpNetwork,
         network_clients::{self, Addresses},
         peer_connections, server,
-        sockets::{InUse, Sockets},
+        sockets::{SocketBudget, SocketCounts},
     },
 };
 use tokio::{net::TcpListener, task::JoinSet};
@@ -116,7 +116,7 @@
 async fn run(settings: Settings, tuning: Tuning) -> Result<(), String> {
     let incarnation = Incarnation(rand::random::<u64>() >> 1);
     let config = settings.config(incarnation, tuning);
-    let sockets = Sockets::new(config.max_connections);
+    let sockets = SocketBudget::new(config.max_connections);
     let stop = CancellationToken::new();
     let net: Arc<dyn Network> = Arc::new(HttpNetwork::new(sockets.clone()));
     let bind = |address: String| async move {
@@ -188,15 +188,21 @@
 /// How often the sockets in use are logged.
 const SOCKETS_EVERY: Duration = Duration::from_secs(10);
 
-async fn log_sockets(sockets: &Sockets) {
+async fn log_sockets(sockets: &SocketBudget) {
     loop {
         tokio::time::sleep(SOCKETS_EVERY).await;
-        let InUse {
-            served,
-            workers,
+        let SocketCounts {
+            inbound,
+            agents,
             services,
             refused,
-        } = sockets.look();
-        tracing::info!(served, workers, services, refused, "sockets");
+        } = sockets.take_counts();
+        tracing::info!(
+            served = inbound,
+            workers = agents,
+            services,
+            refused,
+            "sockets"
+        );
     }
 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,104 +1,179 @@
-//! The cloud's messages.
+//! Messages of the cloud: its catalog of machine types, provisioning and release of
+//! machines, and its inventory. The transport layer's cloud client reads and writes them.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    coordination::clients::{ListedMachine, MachineStage},
+    coordination::clients::{ListedMachine, MachineStage, ProvisionRequest},
     protocol::seconds,
-    storage::{MachineId, MachineType, Resources, TypeName, ZoneName},
+    storage::{MachineId, MachineType, ProvisionId, Resources, TypeName, ZoneName},
 };
 
-#[derive(Debug, Deserialize, Serialize)]
-pub struct Catalog {
-    pub breeds: Vec<Breed>,
+/// Answer to `GET /catalog`.
+#[derive(Debug, Deserialize)]
+pub struct CatalogResponse {
+    /// All machine types that can be provisioned.
+    #[serde(rename = "breeds")]
+    pub machine_types: Vec<MachineTypeMessage>,
 }
 
-#[derive(Debug, Deserialize, Serialize)]
-pub struct Breed {
-    pub label: String,
+/// A machine type with its size, price and zones.
+#[derive(Debug, Deserialize)]
+pub struct MachineTypeMessage {
+    /// Unique among the types.
+    #[serde(rename = "label")]
+    pub name: String,
+    /// Processor cores.
     pub cpus: f64,
+    /// Accelerators.
     #[serde(default)]
     pub gpus: f64,
+    /// Memory.
     pub ram_gb: f64,
+    /// Local storage for images.
     pub cache_gb: f64,
+    /// Speed at which images are fetched.
     pub fetch_gb_per_s: f64,
-    pub rate: f64,
-    #[serde(default)]
-    pub market_price: Option<f64>,
-    pub boot_s: f64,
-    pub paddocks: Vec<String>,
+    /// Price of an on-demand machine.
+    #[serde(rename = "rate")]
+    pub price: f64,
+    /// Price of a spot machine; absent: that of an on-demand one.
+    #[serde(default, rename = "market_price")]
+    pub spot_price: Option<f64>,
+    /// Seconds from the provision request to the first heartbeat.
+    #[serde(rename = "boot_s")]
+    pub boot_seconds: f64,
+    /// Zones that offer the type.
+    #[serde(rename = "paddocks")]
+    pub zones: Vec<String>,
 }
 
-impl Breed {
-    pub fn into_type(self) -> Option<MachineType> {
-        Some(MachineType {
-            name: TypeName::new(self.label),
+/// The cloud names no usable boot time for a machine type.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("boot_s is not a duration in seconds")]
+pub struct InvalidBootTime;
+
+impl TryFrom<MachineTypeMessage> for MachineType {
+    type Error = InvalidBootTime;
+
+    fn try_from(message: MachineTypeMessage) -> Result<Self, InvalidBootTime> {
+        Ok(MachineType {
+            name: TypeName::new(message.name),
             size: Resources {
-                cpus: self.cpus,
-                gpus: self.gpus,
-                memory: self.ram_gb,
+                cpus: message.cpus,
+                gpus: message.gpus,
+                memory: message.ram_gb,
             },
-            cache_gb: self.cache_gb,
-            fetch_gb_per_s: self.fetch_gb_per_s,
-            price: self.rate,
-            spot_price: self.market_price.unwrap_or(self.rate),
-            boot: seconds(self.boot_s)?,
-            zones: self.paddocks.into_iter().map(ZoneName::new).collect(),
+            cache_gb: message.cache_gb,
+            fetch_gb_per_s: message.fetch_gb_per_s,
+            price: message.price,
+            spot_price: message.spot_price.unwrap_or(message.price),
+            boot: seconds(message.boot_seconds).ok_or(InvalidBootTime)?,
+            zones: message.zones.into_iter().map(ZoneName::new).collect(),
         })
     }
 }
 
-#[derive(Debug, Deserialize, Serialize)]
-pub struct Hire {
-    pub hire: String,
-    pub breed: String,
-    pub paddock: String,
-    pub loaners: bool,
-    pub number: u32,
+/// Body of `POST /machines`.
+#[derive(Debug, Serialize)]
+pub struct ProvisionRequestBody {
+    /// Makes the request idempotent.
+    #[serde(rename = "hire")]
+    pub id: String,
+    /// Type of all machines asked for.
+    #[serde(rename = "breed")]
+    pub machine_type: String,
+    /// Zone of all machines asked for.
+    #[serde(rename = "paddock")]
+    pub zone: String,
+    /// Spot machines in place of on-demand ones.
+    #[serde(rename = "loaners")]
+    pub spot: bool,
+    /// How many machines.
+    #[serde(rename = "number")]
+    pub count: u32,
 }
 
-#[derive(Debug, Deserialize, Serialize)]
-pub struct Mounts {
-    pub mounts: Vec<String>,
+impl ProvisionRequestBody {
+    /// The body of a request under its idempotency key.
+    pub fn new(id: &ProvisionId, request: &ProvisionRequest) -> Self {
+        Self {
+            id: id.to_string(),
+            machine_type: request.kind.to_string(),
+            zone: request.zone.to_string(),
+            spot: request.spot,
+            count: request.count,
+        }
+    }
 }
 
+/// Machines by id: answer to `POST /machines`, and body of `POST /machines/return`.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct List {
-    pub mounts: Vec<Listed>,
-    #[serde(default)]
-    pub truncated: bool,
+pub struct MachineIdsMessage {
+    /// Ids of the machines provisioned or to be released.
+    #[serde(rename = "mounts")]
+    pub machines: Vec<String>,
 }
 
-#[derive(Debug, Deserialize, Serialize)]
-pub struct Listed {
-    pub uid: String,
-    pub breed: String,
-    pub paddock: String,
-    #[serde(default)]
-    pub loaners: bool,
-    pub stance: String,
-    #[serde(default)]
-    pub age_s: f64,
+/// A page of the inventory: answer to `GET /machines`.
+#[derive(Debug, Deserialize)]
+pub struct InventoryPage {
+    /// In the order of their ids.
+    #[serde(rename = "mounts")]
+    pub machines: Vec<ListedMachineMessage>,
+    /// More machines follow the last one.
+    #[serde(default, rename = "truncated")]
+    pub has_more: bool,
 }
 
-impl Listed {
-    pub fn into_machine(self) -> ListedMachine {
+/// A machine of the inventory.
+#[derive(Debug, Deserialize)]
+pub struct ListedMachineMessage {
+    /// Id of the machine.
+    #[serde(rename = "uid")]
+    pub id: String,
+    /// Type of the machine.
+    #[serde(rename = "breed")]
+    pub machine_type: String,
+    /// Zone of the machine.
+    #[serde(rename = "paddock")]
+    pub zone: String,
+    /// Whether it is a spot machine.
+    #[serde(default, rename = "loaners")]
+    pub spot: bool,
+    /// Stage of its life; unknown words count as running.
+    #[serde(rename = "stance")]
+    pub stage: String,
+    /// Seconds since it was provisioned.
+    #[serde(default, rename = "age_s")]
+    pub age_seconds: f64,
+}
+
+impl From<ListedMachineMessage> for ListedMachine {
+    fn from(message: ListedMachineMessage) -> Self {
         ListedMachine {
-            stage: match self.stance.as_str() {
+            stage: match message.stage.as_str() {
                 "starting" => MachineStage::Booting,
                 "failed" => MachineStage::Failed,
                 _ => MachineStage::Running,
             },
-            age: seconds(self.age_s).unwrap_or_default(),
-            id: MachineId::new(self.uid),
-            kind: TypeName::new(self.breed),
-            zone: ZoneName::new(self.paddock),
-            spot: self.loaners,
+            age: seconds(message.age_seconds).unwrap_or_default(),
+            id: MachineId::new(message.id),
+            kind: TypeName::new(message.machine_type),
+            zone: ZoneName::new(message.zone),
+            spot: message.spot,
         }
     }
 }
 
-#[derive(Debug, Deserialize, Serialize)]
-pub struct Trouble {
+/// Body of the cloud's error answers.
+#[derive(Debug, Deserialize)]
+pub struct CloudErrorBody {
+    /// What is wrong.
     pub error: String,
 }
+
+impl CloudErrorBody {
+    /// The error of a cloud that has no machines of the type left in the zone.
+    pub const NO_CAPACITY: &str = "no capacity";
+}
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -4,10 +4,10 @@
 
 pub mod agents;
 pub mod cloud;
+pub mod key_value_store;
 pub mod operator;
 pub mod peer_frames;
 pub mod settings;
-pub mod state;
 pub mod users;
 
 use std::time::Duration;
--- a/src/protocol/users/tests.rs
+++ b/src/protocol/users/tests.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_job_is_read() {
-    let (id, spec) = read_job(JOB.as_bytes()).expect("valid");
+    let SubmittedJob { id, spec } = parse_submission(JOB.as_bytes()).expect("valid");
     assert_eq!(id.as_str(), "job-000412");
     assert_eq!(spec.tasks, 16);
     assert!(spec.one_zone && spec.spot && !spec.spread);
@@ -38,9 +38,57 @@
     ] {
         let body = JOB.replace(from, to);
         assert_ne!(body, JOB, "{from}");
-        assert!(read_job(body.as_bytes()).is_err(), "{to}");
+        assert!(parse_submission(body.as_bytes()).is_err(), "{to}");
     }
     for body in ["", "[]", "null", "{", "\"x\""] {
-        assert!(read_job(body.as_bytes()).is_err(), "{body}");
+        assert!(parse_submission(body.as_bytes()).is_err(), "{body}");
+    }
+}
+
+/// Users and their programs see these texts: they name the wire's fields.
+#[test]
+fn errors_name_the_fields_of_the_wire() {
+    for (from, to, expected) in [
+        ("\"job-000412\"", "\"job 412\"", "uid must be job-DIGITS"),
+        ("\"train\"", "\"\"", "herd must be a name"),
+        (
+            "\"strides\":16",
+            "\"strides\":0",
+            "strides must be 1 to 100000",
+        ),
+        ("\"cpus\":8.0", "\"cpus\":-1", "cpus must be an amount"),
+        (
+            "\"sweep\"",
+            "\"trot\"",
+            "gait must be sweep, group or daemon",
+        ),
+        (
+            "\"rank\":\"urgent\"",
+            "\"rank\":\"soon\"",
+            "rank must be prod, urgent, normal or best_effort",
+        ),
+        (
+            "\"ride_s\":240.0",
+            "\"ride_s\":-2",
+            "ride_s must be a duration in seconds",
+        ),
+    ] {
+        let body = JOB.replace(from, to);
+        let error = parse_submission(body.as_bytes()).expect_err(to);
+        assert_eq!(error.to_string(), expected);
+    }
+    for (body, expected) in [
+        (
+            "null",
+            "invalid type: null, expected struct Job at line 1 column 4",
+        ),
+        (
+            "[]",
+            "invalid length 0, expected struct Job with 20 elements at line 1 column 2",
+        ),
+        ("{}", "missing field `uid` at line 1 column 2"),
+    ] {
+        let error = parse_submission(body.as_bytes()).expect_err(body);
+        assert_eq!(error.to_string(), expected);
     }
 }
--- a/src/transport/admission/tests.rs
+++ b/src/transport/admission/tests.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-async fn serve(admission: &Admission, rounds: usize, each: Duration) -> usize {
+async fn serve_requests(admission: &Admission, rounds: usize, each: Duration) -> usize {
     let mut refused = 0;
     for _ in 0..rounds {
         let mut running = Vec::new();
         for _ in 0..100 {
-            match admission.enter() {
+            match admission.try_admit() {
                 Some(admitted) => running.push(admitted),
                 None => refused += 1,
             }
@@ -20,12 +20,12 @@
 #[tokio::test(start_paused = true)]
 async fn the_limit_follows_measured_times() {
     let admission = Admission::default();
-    serve(&admission, 3, Duration::from_millis(60)).await;
+    serve_requests(&admission, 3, Duration::from_millis(60)).await;
     let start = admission.limit();
-    let refused = serve(&admission, 5, Duration::from_millis(1500)).await;
+    let refused = serve_requests(&admission, 5, Duration::from_millis(1500)).await;
     assert!(refused > 0);
     let small = admission.limit();
     assert!(small < start, "{small}");
-    serve(&admission, 40, Duration::from_millis(60)).await;
+    serve_requests(&admission, 40, Duration::from_millis(60)).await;
     assert!(admission.limit() > small);
 }
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,7 +1,8 @@
-//! The real network: pooled HTTP/1.1 connections, and peer links.
+//! The real network: pooled HTTP/1.1 connections to services and agents, and the pool of
+//! connections to the other controllers. All of them count against the process's
+//! [`SocketBudget`].
 
 use std::{
-    sync::Arc,
     task::{Context, Poll},
     time::Duration,
 };
@@ -18,32 +19,46 @@
 use tower::Service;
 
 use super::{
-    network::{Call, Method, Network, Reply, SendError, Target},
+    network::{Destination, HttpRequest, HttpResponse, Method, Network, SendError},
     peer_connections::PeerConnectionPool,
-    sockets::{Counted, Sockets, Use},
+    sockets::{ConnectionPurpose, CountedStream, SocketBudget},
 };
 
-/// Answers beyond this are not read; a watch's answer has no limit of its own.
-const REPLY_LIMIT: usize = 8 * 1024 * 1024;
+/// Responses beyond this are not read; a watch's response has no limit of its own.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
+/// Time for a connection to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Idle connections to a service, and how long they are kept.
-const SERVICE_IDLE: (usize, Duration) = (6, Duration::from_secs(20));
-/// The same for an agent: of these there are hundreds, and commands to one come
-/// close together or not at all.
-const WORKER_IDLE: (usize, Duration) = (1, Duration::from_secs(2));
+
+/// Which idle connections a pool keeps.
+struct IdleLimits {
+    per_host: usize,
+    timeout: Duration,
+}
+
+/// For the services, of which there are two.
+const SERVICE_IDLE: IdleLimits = IdleLimits {
+    per_host: 6,
+    timeout: Duration::from_secs(20),
+};
+/// For the agents: of these there are hundreds, and commands to one come close together
+/// or not at all.
+const AGENT_IDLE: IdleLimits = IdleLimits {
+    per_host: 1,
+    timeout: Duration::from_secs(2),
+};
 
 /// Connects within the budget of sockets.
 #[derive(Clone)]
 struct Connector {
     http: HttpConnector,
-    sockets: Sockets,
-    purpose: Use,
+    sockets: SocketBudget,
+    purpose: ConnectionPurpose,
 }
 
 type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
 impl Service<Uri> for Connector {
-    type Response = Counted<TokioIo<TcpStream>>;
+    type Response = CountedStream<TokioIo<TcpStream>>;
     type Error = BoxError;
     type Future = BoxFuture<'static, Result<Self::Response, Self::Error>>;
 
@@ -52,98 +67,116 @@
     }
 
     fn call(&mut self, uri: Uri) -> Self::Future {
-        let taken = self.sockets.take(self.purpose);
+        let permit = self.sockets.acquire(self.purpose);
         let connecting = self.http.call(uri);
         async move {
-            let taken = taken.ok_or("no socket left for this")?;
-            Ok(Counted::new(connecting.await?, taken))
+            let permit = permit.ok_or("no socket left for this")?;
+            Ok(CountedStream::new(connecting.await?, permit))
         }
         .boxed()
     }
 }
 
-type Pool = Client<Connector, Full<Bytes>>;
+type ConnectionPool = Client<Connector, Full<Bytes>>;
 
+fn connection_pool(
+    sockets: &SocketBudget,
+    purpose: ConnectionPurpose,
+    idle: IdleLimits,
+) -> ConnectionPool {
+    let mut http = HttpConnector::new();
+    http.set_nodelay(true);
+    http.set_connect_timeout(Some(CONNECT_TIMEOUT));
+    let connector = Connector {
+        http,
+        sockets: sockets.clone(),
+        purpose,
+    };
+    Client::builder(TokioExecutor::new())
+        .pool_timer(TokioTimer::new())
+        .pool_idle_timeout(idle.timeout)
+        .pool_max_idle_per_host(idle.per_host)
+        .build(connector)
+}
+
+/// The network of a process.
 pub struct HttpNetwork {
-    services: Pool,
-    workers: Pool,
-    liveness: Arc<PeerConnectionPool>,
-    sockets: Sockets,
+    services: ConnectionPool,
+    agents: ConnectionPool,
+    peers: PeerConnectionPool,
+    sockets: SocketBudget,
 }
 
 impl HttpNetwork {
-    pub fn new(sockets: Sockets) -> Self {
-        let pool = |purpose, (count, life): (usize, Duration)| {
-            let mut http = HttpConnector::new();
-            http.set_nodelay(true);
-            http.set_connect_timeout(Some(CONNECT_TIMEOUT));
-            let connector = Connector {
-                http,
-                sockets: sockets.clone(),
-                purpose,
-            };
-            Client::builder(TokioExecutor::new())
-                .pool_timer(TokioTimer::new())
-                .pool_idle_timeout(life)
-                .pool_max_idle_per_host(count)
-                .build(connector)
-        };
+    /// A network without connections; each one will count against the budget.
+    pub fn new(sockets: SocketBudget) -> Self {
         Self {
-            services: pool(Use::Service, SERVICE_IDLE),
-            workers: pool(Use::Worker, WORKER_IDLE),
-            liveness: Arc::new(PeerConnectionPool::new(sockets.clone())),
+            services: connection_pool(&sockets, ConnectionPurpose::Service, SERVICE_IDLE),
+            agents: connection_pool(&sockets, ConnectionPurpose::Agent, AGENT_IDLE),
+            peers: PeerConnectionPool::new(sockets.clone()),
             sockets,
         }
     }
-}
 
-impl HttpNetwork {
-    async fn send(&self, call: Call) -> Result<Reply, SendError> {
-        let not_sent = |error: String| SendError::NotSent(error);
-        let mut request = Request::builder()
-            .method(match call.method {
-                Method::Get => "GET",
-                Method::Post => "POST",
-                Method::Delete => "DELETE",
-            })
-            .uri(format!("http://{}{}", call.address, call.path))
-            .header(header::CONTENT_TYPE, "application/json");
-        let pool = match call.target {
-            Target::Service => &self.services,
-            Target::Worker => &self.workers,
-        };
-        if call.target == Target::Worker && self.sockets.is_pressed() {
-            request = request.header(header::CONNECTION, "close");
-        }
-        let request = request
-            .body(Full::new(call.body))
-            .map_err(|error| not_sent(error.to_string()))?;
-        let exchange = async {
-            let response = pool.request(request).await.map_err(|error| {
-                if error.is_connect() {
-                    SendError::NotSent(error.to_string())
-                } else {
-                    SendError::NoAnswer(error.to_string())
-                }
-            })?;
-            let status = response.status().as_u16();
-            let body = Limited::new(response.into_body(), REPLY_LIMIT)
-                .collect()
-                .await
-                .map_err(|error| SendError::NoAnswer(error.to_string()))?
-                .to_bytes();
-            Ok(Reply { status, body })
+    async fn send(&self, request: HttpRequest) -> Result<HttpResponse, SendError> {
+        let pool = match request.destination {
+            Destination::Service => &self.services,
+            Destination::Agent => &self.agents,
         };
-        match tokio::time::timeout(call.timeout, exchange).await {
+        let close_after =
+            request.destination == Destination::Agent && self.sockets.is_under_pressure();
+        let timeout = request.timeout;
+        let request = hyper_request(request, close_after)?;
+        match tokio::time::timeout(timeout, exchange(pool, request)).await {
             Ok(result) => result,
-            Err(_) => Err(SendError::NoAnswer("timed out".into())),
+            Err(_) => Err(SendError::timed_out()),
         }
     }
 }
 
+fn hyper_request(
+    request: HttpRequest,
+    close_after: bool,
+) -> Result<Request<Full<Bytes>>, SendError> {
+    let mut builder = Request::builder()
+        .method(match request.method {
+            Method::Get => "GET",
+            Method::Post => "POST",
+            Method::Delete => "DELETE",
+        })
+        .uri(format!("http://{}{}", request.address, request.path))
+        .header(header::CONTENT_TYPE, "application/json");
+    if close_after {
+        builder = builder.header(header::CONNECTION, "close");
+    }
+    builder
+        .body(Full::new(request.body))
+        .map_err(|error| SendError::NotSent(error.to_string()))
+}
+
+async fn exchange(
+    pool: &ConnectionPool,
+    request: Request<Full<Bytes>>,
+) -> Result<HttpResponse, SendError> {
+    let response = pool.request(request).await.map_err(|error| {
+        if error.is_connect() {
+            SendError::NotSent(error.to_string())
+        } else {
+            SendError::NoAnswer(error.to_string())
+        }
+    })?;
+    let status = response.status().as_u16();
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
+        .collect()
+        .await
+        .map_err(|error| SendError::NoAnswer(error.to_string()))?
+        .to_bytes();
+    Ok(HttpResponse { status, body })
+}
+
 impl Network for HttpNetwork {
-    fn http(&self, call: Call) -> BoxFuture<'_, Result<Reply, SendError>> {
-        self.send(call).boxed()
+    fn http(&self, request: HttpRequest) -> BoxFuture<'_, Result<HttpResponse, SendError>> {
+        self.send(request).boxed()
     }
 
     fn frame<'a>(
@@ -153,9 +186,9 @@
         timeout: Duration,
     ) -> BoxFuture<'a, Result<Vec<u8>, SendError>> {
         async move {
-            match tokio::time::timeout(timeout, self.liveness.exchange(address, frame)).await {
+            match tokio::time::timeout(timeout, self.peers.exchange(address, frame)).await {
                 Ok(result) => result,
-                Err(_) => Err(SendError::NoAnswer("timed out".into())),
+                Err(_) => Err(SendError::timed_out()),
             }
         }
         .boxed()
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,5 +1,6 @@
-//! Sockets: the server for users and agents, HTTP clients, peer links, and
-//! admission.
+//! The network side of a controller: the server for users and agents, the clients of the
+//! key-value store, the cloud, the agents and the other controllers, the budget of
+//! sockets that both share, and admission control.
 
 pub mod admission;
 pub mod http;
@@ -9,4 +10,4 @@
 pub mod server;
 pub mod sockets;
 
-pub use network::{Call, Network, Reply, SendError};
+pub use network::{HttpRequest, HttpResponse, Network, SendError};
--- /dev/null
+++ b/src/transport/network_clients/agents.rs
@@ -0,0 +1,90 @@
+//! The client of the agents, over HTTP.
+
+use std::{sync::Arc, time::Duration};
+
+use bytes::Bytes;
+use futures::future::{BoxFuture, FutureExt};
+
+use super::to_json;
+use crate::{
+    coordination::clients::{AgentClient, Command, CommandResponse, Heartbeat, NoAnswer},
+    protocol::agents::{CommandRequest, parse_heartbeat},
+    storage::{AgentEpoch, Token},
+    transport::network::{Destination, HttpRequest, HttpResponse, Method, Network, status},
+};
+
+/// Time for the answer to commands.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time for the answer to an inspection.
+const INSPECT_TIMEOUT: Duration = Duration::from_millis(1000);
+
+/// The client of all agents.
+pub(super) struct HttpAgentClient {
+    /// Carries the requests.
+    pub(super) network: Arc<dyn Network>,
+}
+
+impl HttpAgentClient {
+    async fn send(
+        &self,
+        method: Method,
+        address: &str,
+        path: &str,
+        body: Bytes,
+        timeout: Duration,
+    ) -> Result<HttpResponse, NoAnswer> {
+        let request = HttpRequest {
+            destination: Destination::Agent,
+            address: address.to_owned(),
+            method,
+            path: path.to_owned(),
+            body,
+            timeout,
+        };
+        let response = self.network.http(request).await;
+        response.map_err(|error| NoAnswer(error.to_string()))
+    }
+}
+
+fn read_heartbeat(response: &HttpResponse) -> Result<Heartbeat, NoAnswer> {
+    parse_heartbeat(&response.body)
+        .map_err(|_| NoAnswer(format!("status {} without a report", response.status)))
+}
+
+impl AgentClient for HttpAgentClient {
+    fn send_commands<'a>(
+        &'a self,
+        address: &'a str,
+        token: Token,
+        epoch: AgentEpoch,
+        commands: &'a [Command],
+    ) -> BoxFuture<'a, Result<CommandResponse, NoAnswer>> {
+        async move {
+            let body = to_json(&CommandRequest::new(token, epoch, commands));
+            let response = self
+                .send(Method::Post, address, "/orders", body, COMMAND_TIMEOUT)
+                .await?;
+            Ok(CommandResponse {
+                executed: response.status == status::OK,
+                heartbeat: read_heartbeat(&response)?,
+            })
+        }
+        .boxed()
+    }
+
+    fn inspect<'a>(&'a self, address: &'a str) -> BoxFuture<'a, Result<Heartbeat, NoAnswer>> {
+        async move {
+            let response = self
+                .send(
+                    Method::Get,
+                    address,
+                    "/inspect",
+                    Bytes::new(),
+                    INSPECT_TIMEOUT,
+                )
+                .await?;
+            read_heartbeat(&response)
+        }
+        .boxed()
+    }
+}
--- /dev/null
+++ b/src/transport/network_clients/cloud.rs
@@ -0,0 +1,156 @@
+//! The client of the cloud, over HTTP.
+
+use std::{sync::Arc, time::Duration};
+
+use bytes::Bytes;
+use futures::future::{BoxFuture, FutureExt};
+use serde::de::DeserializeOwned;
+
+use super::{from_json, to_json};
+use crate::{
+    coordination::clients::{CloudClient, CloudError, ListedMachine, ProvisionRequest},
+    protocol::cloud::{
+        CatalogResponse, CloudErrorBody, InventoryPage, MachineIdsMessage, ProvisionRequestBody,
+    },
+    storage::{MachineId, MachineType, ProvisionId},
+    transport::network::{
+        Destination, HttpRequest, HttpResponse, Method, Network, SendError, status,
+    },
+};
+
+/// Time for an answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
+/// Pages of the inventory read at most: 32,000 machines.
+const MAX_INVENTORY_PAGES: usize = 64;
+/// Bytes of a rejection that are passed on.
+const MAX_REJECTION_BYTES: usize = 200;
+
+/// The client of the cloud.
+pub(super) struct HttpCloudClient {
+    /// Carries the requests.
+    pub(super) network: Arc<dyn Network>,
+    /// The cloud, as IP:PORT.
+    pub(super) address: String,
+}
+
+impl HttpCloudClient {
+    async fn get(&self, path: String) -> Result<HttpResponse, CloudError> {
+        self.send(Method::Get, path, Bytes::new()).await
+    }
+
+    async fn post(&self, path: &str, body: Bytes) -> Result<HttpResponse, CloudError> {
+        self.send(Method::Post, path.to_owned(), body).await
+    }
+
+    async fn send(
+        &self,
+        method: Method,
+        path: String,
+        body: Bytes,
+    ) -> Result<HttpResponse, CloudError> {
+        let request = HttpRequest {
+            destination: Destination::Service,
+            address: self.address.clone(),
+            method,
+            path,
+            body,
+            timeout: REQUEST_TIMEOUT,
+        };
+        let response = self.network.http(request).await;
+        let response = response.map_err(|error| match error {
+            SendError::NotSent(_) => CloudError::Unavailable,
+            SendError::NoAnswer(_) => CloudError::NoAnswer,
+        })?;
+        check_status(response)
+    }
+}
+
+/// The response, if the cloud executed the request.
+fn check_status(response: HttpResponse) -> Result<HttpResponse, CloudError> {
+    match response.status {
+        status::OK => Ok(response),
+        status::SERVICE_UNAVAILABLE => match from_json::<CloudErrorBody>(&response) {
+            Ok(body) if body.error == CloudErrorBody::NO_CAPACITY => Err(CloudError::NoCapacity),
+            _ => Err(CloudError::Unavailable),
+        },
+        status::TOO_MANY_REQUESTS => Err(CloudError::Unavailable),
+        status::BAD_REQUEST..status::INTERNAL_SERVER_ERROR => {
+            let shown = response.body.len().min(MAX_REJECTION_BYTES);
+            let text = String::from_utf8_lossy(&response.body[..shown]);
+            Err(CloudError::Rejected(text.into_owned()))
+        }
+        _ => Err(CloudError::NoAnswer),
+    }
+}
+
+fn read<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, CloudError> {
+    from_json(response).map_err(|error| CloudError::Rejected(error.to_string()))
+}
+
+impl CloudClient for HttpCloudClient {
+    fn catalog(&self) -> BoxFuture<'_, Result<Vec<MachineType>, CloudError>> {
+        async move {
+            let response = self.get("/catalog".into()).await?;
+            let catalog = read::<CatalogResponse>(&response)?;
+            let machine_types = catalog.machine_types.into_iter();
+            // A type that cannot be used keeps none of the others from use.
+            Ok(machine_types
+                .filter_map(|message| message.try_into().ok())
+                .collect())
+        }
+        .boxed()
+    }
+
+    fn provision<'a>(
+        &'a self,
+        name: &'a ProvisionId,
+        request: &'a ProvisionRequest,
+    ) -> BoxFuture<'a, Result<Vec<MachineId>, CloudError>> {
+        async move {
+            let body = to_json(&ProvisionRequestBody::new(name, request));
+            let response = self.post("/machines", body).await?;
+            let provisioned = read::<MachineIdsMessage>(&response)?;
+            Ok(provisioned
+                .machines
+                .into_iter()
+                .map(MachineId::new)
+                .collect())
+        }
+        .boxed()
+    }
+
+    fn release<'a>(&'a self, machines: &'a [MachineId]) -> BoxFuture<'a, Result<(), CloudError>> {
+        async move {
+            let body = to_json(&MachineIdsMessage {
+                machines: machines.iter().map(ToString::to_string).collect(),
+            });
+            self.post("/machines/return", body).await.map(drop)
+        }
+        .boxed()
+    }
+
+    fn list_machines(&self) -> BoxFuture<'_, Result<Vec<ListedMachine>, CloudError>> {
+        async move {
+            let mut machines: Vec<ListedMachine> = Vec::new();
+            for _ in 0..MAX_INVENTORY_PAGES {
+                let from = machines
+                    .last()
+                    .map(|last| format!("&from={}", last.id))
+                    .unwrap_or_default();
+                let response = self.get(format!("/machines?most=500{from}")).await?;
+                let page = read::<InventoryPage>(&response)?;
+                let has_more = page.has_more && !page.machines.is_empty();
+                machines.extend(page.machines.into_iter().map(ListedMachine::from));
+                if !has_more {
+                    return Ok(machines);
+                }
+            }
+            tracing::info!(
+                machines = machines.len(),
+                "the machine list is too long to be read"
+            );
+            Ok(machines)
+        }
+        .boxed()
+    }
+}
--- /dev/null
+++ b/src/transport/network_clients/key_value_store.rs
@@ -0,0 +1,188 @@
+//! The client of the key-value store, over HTTP.
+
+use std::{sync::Arc, time::Duration};
+
+use bytes::Bytes;
+use futures::future::{BoxFuture, FutureExt};
+use serde::de::DeserializeOwned;
+
+use super::{from_json, to_json};
+use crate::{
+    protocol::key_value_store::{
+        ConflictResponse, KeyValueMessage, LeaseRequest, LeaseResponse, RangeResponse,
+        StoreErrorBody, TransactionRequest, TransactionResponse, WatchResponse,
+    },
+    storage::{
+        CommitError, KeyValueStore, Revision, StateError, Transaction,
+        client::{KeyValue, LeaseId, RangePage, WatchEvent},
+    },
+    transport::network::{
+        Destination, HttpRequest, HttpResponse, Method, Network, SendError, status,
+    },
+};
+
+/// Time for an answer; a watch has it beyond the time that it waits for events.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time for a page of a range, which is larger than other answers.
+const RANGE_TIMEOUT: Duration = Duration::from_millis(3000);
+
+/// The client of the key-value store.
+pub(super) struct HttpKeyValueStore {
+    /// Carries the requests.
+    pub(super) network: Arc<dyn Network>,
+    /// The store, as IP:PORT.
+    pub(super) address: String,
+}
+
+impl HttpKeyValueStore {
+    async fn get_path(&self, path: String, timeout: Duration) -> Result<HttpResponse, StateError> {
+        self.send(Method::Get, path, Bytes::new(), timeout).await
+    }
+
+    async fn post(&self, path: String, body: Bytes) -> Result<HttpResponse, StateError> {
+        self.send(Method::Post, path, body, REQUEST_TIMEOUT).await
+    }
+
+    async fn send(
+        &self,
+        method: Method,
+        path: String,
+        body: Bytes,
+        timeout: Duration,
+    ) -> Result<HttpResponse, StateError> {
+        let request = HttpRequest {
+            destination: Destination::Service,
+            address: self.address.clone(),
+            method,
+            path,
+            body,
+            timeout,
+        };
+        match self.network.http(request).await {
+            Ok(response) => match response.status {
+                status::TOO_MANY_REQUESTS => Err(StateError::Throttled),
+                status::SERVICE_UNAVAILABLE => Err(StateError::Unavailable),
+                // Nobody says what these mean for what was asked.
+                status::INTERNAL_SERVER_ERROR.. => Err(StateError::NoAnswer),
+                _ => Ok(response),
+            },
+            Err(SendError::NotSent(_)) => Err(StateError::Unavailable),
+            Err(SendError::NoAnswer(_)) => Err(StateError::NoAnswer),
+        }
+    }
+}
+
+fn rejected(response: &HttpResponse) -> StateError {
+    let error = from_json::<StoreErrorBody>(response)
+        .map_or_else(|_| format!("status {}", response.status), |body| body.error);
+    if error == StoreErrorBody::NO_SUCH_LEASE {
+        StateError::LeaseExpired
+    } else {
+        StateError::Rejected(error)
+    }
+}
+
+fn malformed(error: serde_json::Error) -> StateError {
+    StateError::Rejected(error.to_string())
+}
+
+/// The message of a response that reports success.
+fn read<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, StateError> {
+    if response.status != status::OK {
+        return Err(rejected(response));
+    }
+    from_json(response).map_err(malformed)
+}
+
+impl KeyValueStore for HttpKeyValueStore {
+    fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<KeyValue>, StateError>> {
+        async move {
+            let path = format!("/kv/{key}");
+            let response = self.get_path(path, REQUEST_TIMEOUT).await?;
+            if response.status == status::NOT_FOUND {
+                return Ok(None);
+            }
+            read::<KeyValueMessage>(&response).map(|message| Some(message.into()))
+        }
+        .boxed()
+    }
+
+    fn range<'a>(
+        &'a self,
+        prefix: &'a str,
+        after: Option<&'a str>,
+    ) -> BoxFuture<'a, Result<RangePage, StateError>> {
+        async move {
+            let mut path = format!("/kv?starts={prefix}&most=500");
+            if let Some(after) = after {
+                path.push_str("&from=");
+                path.push_str(after);
+            }
+            let response = self.get_path(path, RANGE_TIMEOUT).await?;
+            read::<RangeResponse>(&response).map(RangePage::from)
+        }
+        .boxed()
+    }
+
+    fn commit<'a>(
+        &'a self,
+        transaction: &'a Transaction,
+    ) -> BoxFuture<'a, Result<Revision, CommitError>> {
+        async move {
+            let body = to_json(&TransactionRequest::from(transaction));
+            let response = self.post("/commit".into(), body).await?;
+            if response.status == status::CONFLICT {
+                let conflict = from_json::<ConflictResponse>(&response).map_err(malformed)?;
+                return Err(CommitError::Conflict(conflict.keys));
+            }
+            let committed = read::<TransactionResponse>(&response)?;
+            Ok(Revision(committed.revision))
+        }
+        .boxed()
+    }
+
+    fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StateError>> {
+        async move {
+            let body = to_json(&LeaseRequest {
+                ttl_ms: ttl.as_millis() as u64,
+            });
+            let response = self.post("/grants".into(), body).await?;
+            read::<LeaseResponse>(&response).map(|granted| LeaseId(granted.lease))
+        }
+        .boxed()
+    }
+
+    fn renew_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StateError>> {
+        async move {
+            let path = format!("/grants/{}/touch", lease.0);
+            let response = self.post(path, Bytes::new()).await?;
+            match response.status {
+                status::OK => Ok(()),
+                status::NOT_FOUND => Err(StateError::LeaseExpired),
+                _ => Err(rejected(&response)),
+            }
+        }
+        .boxed()
+    }
+
+    fn watch(
+        &self,
+        from: Revision,
+        max_wait: Duration,
+    ) -> BoxFuture<'_, Result<(Revision, Vec<WatchEvent>), StateError>> {
+        async move {
+            let path = format!(
+                "/follow?starts=&from={from}&hold_ms={}",
+                max_wait.as_millis()
+            );
+            let response = self.get_path(path, max_wait + REQUEST_TIMEOUT).await?;
+            if response.status == status::GONE {
+                return Err(StateError::TooOld);
+            }
+            let watched = read::<WatchResponse>(&response)?;
+            let events = watched.events.into_iter().map(WatchEvent::from);
+            Ok((Revision(watched.revision), events.collect()))
+        }
+        .boxed()
+    }
+}
--- a/src/transport/peer_connections.rs
+++ b/src/transport/peer_connections.rs
@@ -1,10 +1,11 @@
-//! Links between controllers: length-framed messages over TCP, one question and
-//! one answer at a time on a connection.
+//! Connections between controllers: length-framed messages over TCP, one request and one
+//! response at a time on a connection. [`PeerConnectionPool`] is the client's side, [`serve`]
+//! the server's.
 
 use std::{
     collections::HashMap,
     io,
-    sync::{Arc, Mutex},
+    sync::{Arc, Mutex, MutexGuard, PoisonError},
     time::Duration,
 };
 
@@ -21,95 +22,121 @@
 
 use super::{
     network::SendError,
-    sockets::{Sockets, Taken, Use},
+    sockets::{ConnectionPurpose, SocketBudget, SocketPermit},
 };
 use crate::{
     coordination::{Controller, clients::PeerResponse},
     protocol::peer_frames::{self, FRAME_LIMIT},
 };
 
-type PeerConnection = (Framed<TcpStream, LengthDelimitedCodec>, Taken);
-
+/// Idle connections kept for each address.
 const MAX_IDLE_CONNECTIONS: usize = 4;
+/// Connections served at a time.
 const MAX_INBOUND_CONNECTIONS: usize = 64;
-const IDLE: Duration = Duration::from_secs(30);
-
-fn framed(stream: TcpStream, taken: Taken) -> PeerConnection {
-    // Small messages that somebody waits for.
-    let _ = stream.set_nodelay(true);
-    let framed = LengthDelimitedCodec::builder()
-        .max_frame_length(FRAME_LIMIT)
-        .new_framed(stream);
-    (framed, taken)
+/// A connection without a request is closed after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Pause after a connection could not be accepted.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+
+/// A connection and its share of the budget of sockets.
+struct PeerConnection {
+    frames: Framed<TcpStream, LengthDelimitedCodec>,
+    _permit: SocketPermit,
+}
+
+impl PeerConnection {
+    fn new(stream: TcpStream, permit: SocketPermit) -> Self {
+        // Small messages that somebody waits for. Without the option they are but slower.
+        let _ = stream.set_nodelay(true);
+        let frames = LengthDelimitedCodec::builder()
+            .max_frame_length(FRAME_LIMIT)
+            .new_framed(stream);
+        Self {
+            frames,
+            _permit: permit,
+        }
+    }
+
+    /// Sends a request and waits for the response.
+    async fn exchange(&mut self, request: Bytes) -> io::Result<Vec<u8>> {
+        self.frames.send(request).await?;
+        match self.frames.next().await {
+            Some(response) => Ok(response?.to_vec()),
+            None => Err(io::ErrorKind::UnexpectedEof.into()),
+        }
+    }
 }
 
-/// Idle links by address.
+/// Idle connections to the other controllers, by address.
 pub struct PeerConnectionPool {
     idle: Mutex<HashMap<String, Vec<PeerConnection>>>,
-    sockets: Sockets,
+    sockets: SocketBudget,
 }
 
 impl PeerConnectionPool {
-    pub fn new(sockets: Sockets) -> Self {
+    /// An empty pool; each connection will count against the budget.
+    pub fn new(sockets: SocketBudget) -> Self {
         Self {
             idle: Mutex::default(),
             sockets,
         }
     }
 
+    fn idle(&self) -> MutexGuard<'_, HashMap<String, Vec<PeerConnection>>> {
+        // No operation on the map leaves it half changed.
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
     fn take(&self, address: &str) -> Option<PeerConnection> {
-        let mut pool = self.idle.lock().unwrap_or_else(|e| e.into_inner());
-        pool.get_mut(address)?.pop()
+        self.idle().get_mut(address)?.pop()
     }
 
-    fn put(&self, address: &str, link: PeerConnection) {
-        let mut pool = self.idle.lock().unwrap_or_else(|e| e.into_inner());
-        let idle = pool.entry(address.to_owned()).or_default();
-        if idle.len() < MAX_IDLE_CONNECTIONS {
-            idle.push(link);
+    fn put(&self, address: &str, connection: PeerConnection) {
+        let mut idle = self.idle();
+        let connections = idle.entry(address.to_owned()).or_default();
+        if connections.len() < MAX_IDLE_CONNECTIONS {
+            connections.push(connection);
         }
     }
 
+    /// Sends a frame to the controller at the address and waits for the response.
     pub async fn exchange(&self, address: &str, frame: Vec<u8>) -> Result<Vec<u8>, SendError> {
         let frame = Bytes::from(frame);
-        // A kept link may have been closed meanwhile, by a restart for example;
+        // An idle connection may have been closed meanwhile, by a restart for example;
         // then one more try on a new one.
-        while let Some(mut link) = self.take(address) {
-            if let Ok(answer) = ask(&mut link, frame.clone()).await {
-                self.put(address, link);
-                return Ok(answer);
+        while let Some(mut connection) = self.take(address) {
+            if let Ok(response) = connection.exchange(frame.clone()).await {
+                self.put(address, connection);
+                return Ok(response);
             }
         }
-        let taken = self.sockets.take(Use::Service);
-        let taken = taken.ok_or_else(|| SendError::NotSent("no socket left".into()))?;
-        let stream = TcpStream::connect(address)
-            .await
-            .map_err(|error| SendError::NotSent(error.to_string()))?;
-        let mut link = framed(stream, taken);
-        let answer = ask(&mut link, frame)
+        let mut connection = self.connect(address).await?;
+        let response = connection
+            .exchange(frame)
             .await
             .map_err(|error| SendError::NoAnswer(error.to_string()))?;
-        self.put(address, link);
-        Ok(answer)
+        self.put(address, connection);
+        Ok(response)
     }
-}
 
-async fn ask((link, _): &mut PeerConnection, frame: Bytes) -> io::Result<Vec<u8>> {
-    link.send(frame).await?;
-    match link.next().await {
-        Some(answer) => Ok(answer?.to_vec()),
-        None => Err(io::ErrorKind::UnexpectedEof.into()),
+    async fn connect(&self, address: &str) -> Result<PeerConnection, SendError> {
+        let permit = self.sockets.acquire(ConnectionPurpose::Service);
+        let permit = permit.ok_or_else(|| SendError::NotSent("no socket left".into()))?;
+        let stream = TcpStream::connect(address)
+            .await
+            .map_err(|error| SendError::NotSent(error.to_string()))?;
+        Ok(PeerConnection::new(stream, permit))
     }
 }
 
-/// Serves the peers' links until told to stop.
+/// Serves the other controllers' connections until told to stop.
 pub async fn serve(
     controller: Arc<Controller>,
     listener: TcpListener,
-    sockets: Sockets,
+    sockets: SocketBudget,
     stop: CancellationToken,
 ) {
-    let places = Arc::new(Semaphore::new(MAX_INBOUND_CONNECTIONS));
+    let inbound_slots = Arc::new(Semaphore::new(MAX_INBOUND_CONNECTIONS));
     loop {
         let accepted = tokio::select! {
             biased;
@@ -117,47 +144,49 @@
             accepted = listener.accept() => accepted,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(Duration::from_millis(50)).await;
+            tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
-        let Ok(place) = places.clone().try_acquire_owned() else {
+        let Ok(slot) = inbound_slots.clone().try_acquire_owned() else {
             continue;
         };
-        let Some(taken) = sockets.take(Use::Service) else {
+        let Some(permit) = sockets.acquire(ConnectionPurpose::Service) else {
             continue;
         };
         let (controller, stop) = (controller.clone(), stop.clone());
         tokio::spawn(async move {
-            let _place = place;
+            let _slot = slot;
             tokio::select! {
                 biased;
                 _ = stop.cancelled() => {}
-                _ = serve_link(&controller, framed(stream, taken)) => {}
+                _ = serve_connection(&controller, PeerConnection::new(stream, permit)) => {}
             }
         });
     }
 }
 
-async fn serve_link(controller: &Arc<Controller>, (mut link, _taken): PeerConnection) {
-    while let Ok(Some(Ok(frame))) = tokio::time::timeout(IDLE, link.next()).await {
-        let Some(answer) = answer(controller, &frame).await else {
+async fn serve_connection(controller: &Arc<Controller>, mut connection: PeerConnection) {
+    let frames = &mut connection.frames;
+    while let Ok(Some(Ok(request))) = tokio::time::timeout(IDLE_TIMEOUT, frames.next()).await {
+        let Some(response) = answer(controller, &request).await else {
             return;
         };
-        if link.send(Bytes::from(answer)).await.is_err() {
+        if frames.send(Bytes::from(response)).await.is_err() {
             return;
         }
     }
 }
 
-/// Answers a peer's message. One that this version can't read is answered too: a
-/// dropped link would look like a controller that is gone.
+/// The response to another controller's request; none if it cannot be written. A request
+/// that this version can't read is answered too: a dropped connection would look like a
+/// controller that is down.
 pub async fn answer(controller: &Arc<Controller>, frame: &[u8]) -> Option<Vec<u8>> {
-    let answer = match peer_frames::decode_request(frame) {
-        Ok(call) => controller.peer_exchange.handle_request(call).await,
+    let response = match peer_frames::decode_request(frame) {
+        Ok(request) => controller.peer_exchange.handle_request(request).await,
         Err(error) => {
             tracing::debug!(%error, "unreadable peer message");
             PeerResponse::Unknown
         }
     };
-    peer_frames::encode_response(answer).ok()
+    peer_frames::encode_response(response).ok()
 }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,4 +1,6 @@
-//! The server for users, agents and health checks.
+//! The HTTP server for users, agents and health checks: reads the requests' messages, asks
+//! the [`Controller`], and writes the answers. Users' requests pass [`Admission`] first;
+//! every connection counts against the [`SocketBudget`].
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,12 +15,12 @@
 };
 use hyper_util::{rt::TokioIo, rt::TokioTimer, service::TowerToHyperService};
 use serde::Serialize;
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
 use super::{
     admission::Admission,
-    sockets::{Sockets, Use},
+    sockets::{ConnectionPurpose, SocketBudget, SocketPermit},
 };
 use crate::{
     coordination::{
@@ -28,7 +30,7 @@
     },
     protocol::{
         BODY_LIMIT, agents,
-        users::{self, Stance},
+        users::{self, ErrorBody, JobStatusResponse, SubmittedJob},
     },
     storage::JobId,
 };
@@ -37,21 +39,27 @@
 const BODY_TIMEOUT: Duration = Duration::from_secs(4);
 /// A request's head must come within this time; idle connections end by it.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(40);
-const HEAD_LIMIT: usize = 16 * 1024;
+/// Largest head of a request, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// A user's request is answered within this time, one way or the other.
 const USER_TIMEOUT: Duration = Duration::from_millis(1800);
-/// Seconds after which a refused user may come again.
-const RETRY_SOON: &str = "1";
-const RETRY_LATER: &str = "2";
+/// Seconds after which a request refused for lack of time or room may be sent again.
+const RETRY_SOON_SECONDS: &str = "1";
+/// Seconds after which a request that cannot be answered now may be sent again.
+const RETRY_LATER_SECONDS: &str = "2";
+/// Pause after a connection could not be accepted.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
+/// What the handlers share.
 #[derive(Clone)]
-struct App {
+struct AppState {
     controller: Arc<Controller>,
     admission: Admission,
 }
 
-pub fn router(controller: Arc<Controller>, sockets: Sockets) -> Router {
-    let app = App {
+/// The handlers of all requests to a controller.
+pub fn router(controller: Arc<Controller>, sockets: SocketBudget) -> Router {
+    let app = AppState {
         controller,
         admission: Admission::default(),
     };
@@ -62,19 +70,22 @@
         .route("/ready", get(ready))
         .route("/hello", post(heartbeat))
         .with_state(app)
-        .layer(middleware::from_fn_with_state(sockets, close_if_pressed))
+        .layer(middleware::from_fn_with_state(
+            sockets,
+            close_under_pressure,
+        ))
 }
 
 /// With few sockets left, connections end with their answer. Each agent comes
 /// again with its next heartbeat, so that idle ones are given up within one heartbeat
 /// interval, and all agents can be heard by one controller.
-async fn close_if_pressed(
-    State(sockets): State<Sockets>,
+async fn close_under_pressure(
+    State(sockets): State<SocketBudget>,
     request: Request,
     next: Next,
 ) -> Response {
     let mut response = next.run(request).await;
-    if sockets.is_pressed() {
+    if sockets.is_under_pressure() {
         response
             .headers_mut()
             .insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -83,6 +94,7 @@
 }
 
 fn json(status: StatusCode, body: &impl Serialize) -> Response {
+    // Messages are plain data with string keys; they always serialise.
     let bytes = serde_json::to_vec(body).unwrap_or_default();
     let mut response = Response::new(Body::from(bytes));
     *response.status_mut() = status;
@@ -93,11 +105,6 @@
     response
 }
 
-#[derive(Serialize)]
-struct ErrorBody<'a> {
-    error: &'a str,
-}
-
 fn error_response(status: StatusCode, error: &str) -> Response {
     json(status, &ErrorBody { error })
 }
@@ -112,7 +119,7 @@
 
 fn job_error_response(error: JobError) -> Response {
     match &error {
-        JobError::Unavailable => retry_later("cannot tell now", RETRY_LATER),
+        JobError::Unavailable => retry_later("cannot tell now", RETRY_LATER_SECONDS),
         JobError::Unknown => error_response(StatusCode::NOT_FOUND, "no such job"),
         JobError::Infeasible(_) => {
             error_response(StatusCode::UNPROCESSABLE_ENTITY, &error.to_string())
@@ -133,64 +140,70 @@
     }
 }
 
-/// Runs a user's request within the admission limit and its time.
-async fn admitted(app: &App, work: impl Future<Output = Response>) -> Response {
-    let Some(_place) = app.admission.enter() else {
-        return retry_later("too many requests in progress", RETRY_SOON);
+/// Handles a user's request within the admission limit and its time.
+async fn with_admission(app: &AppState, handle: impl Future<Output = Response>) -> Response {
+    let Some(_admitted) = app.admission.try_admit() else {
+        return retry_later("too many requests in progress", RETRY_SOON_SECONDS);
     };
-    tokio::time::timeout(USER_TIMEOUT, work)
+    tokio::time::timeout(USER_TIMEOUT, handle)
         .await
-        .unwrap_or_else(|_| retry_later("took too long", RETRY_SOON))
+        .unwrap_or_else(|_| retry_later("took too long", RETRY_SOON_SECONDS))
 }
 
-async fn submit(State(app): State<App>, request: Request) -> Response {
+async fn submit(State(app): State<AppState>, request: Request) -> Response {
     let body = match read_body(request).await {
         Ok(body) => body,
         Err(response) => return response,
     };
-    let (id, spec) = match users::read_job(&body) {
+    let SubmittedJob { id, spec } = match users::parse_submission(&body) {
         Ok(job) => job,
         Err(error) => return error_response(StatusCode::BAD_REQUEST, &error.to_string()),
     };
-    admitted(&app, async {
+    with_admission(&app, async {
         match app.controller.jobs.submit(id.clone(), spec).await {
-            Ok(Submitted::Accepted) => {
-                json(StatusCode::CREATED, &Stance::brief(&id, JobState::Queued))
+            Ok(Submitted::Accepted) => json(
+                StatusCode::CREATED,
+                &JobStatusResponse::state_only(&id, JobState::Queued),
+            ),
+            Ok(Submitted::Known(status)) => {
+                json(StatusCode::OK, &JobStatusResponse::with_counts(&id, status))
             }
-            Ok(Submitted::Known(status)) => json(StatusCode::OK, &Stance::of(&id, status)),
             Err(error) => job_error_response(error),
         }
     })
     .await
 }
 
-async fn job_status(State(app): State<App>, Path(id): Path<String>) -> Response {
+async fn job_status(State(app): State<AppState>, Path(id): Path<String>) -> Response {
     let Some(id) = JobId::parse(&id) else {
         return error_response(StatusCode::NOT_FOUND, "no such job");
     };
-    admitted(&app, async {
+    with_admission(&app, async {
         match app.controller.jobs.status(&id).await {
-            Ok(status) => json(StatusCode::OK, &Stance::of(&id, status)),
+            Ok(status) => json(StatusCode::OK, &JobStatusResponse::with_counts(&id, status)),
             Err(error) => job_error_response(error),
         }
     })
     .await
 }
 
-async fn cancel(State(app): State<App>, Path(id): Path<String>) -> Response {
+async fn cancel(State(app): State<AppState>, Path(id): Path<String>) -> Response {
     let Some(id) = JobId::parse(&id) else {
         return error_response(StatusCode::NOT_FOUND, "no such job");
     };
-    admitted(&app, async {
+    with_admission(&app, async {
         match app.controller.jobs.cancel(&id).await {
-            Ok(status) => json(StatusCode::OK, &Stance::brief(&id, status.state)),
+            Ok(status) => json(
+                StatusCode::OK,
+                &JobStatusResponse::state_only(&id, status.state),
+            ),
             Err(error) => job_error_response(error),
         }
     })
     .await
 }
 
-async fn ready(State(app): State<App>) -> Response {
+async fn ready(State(app): State<AppState>) -> Response {
     if app.controller.is_ready() {
         StatusCode::OK.into_response()
     } else {
@@ -198,40 +211,32 @@
     }
 }
 
-async fn heartbeat(State(app): State<App>, request: Request) -> Response {
+async fn heartbeat(State(app): State<AppState>, request: Request) -> Response {
     let body = match read_body(request).await {
         Ok(body) => body,
         Err(response) => return response,
     };
-    let heartbeat = serde_json::from_slice::<agents::Hello>(&body)
-        .ok()
-        .and_then(agents::Hello::into_heartbeat);
-    let Some(heartbeat) = heartbeat else {
+    let Ok(heartbeat) = agents::parse_heartbeat(&body) else {
         return error_response(StatusCode::BAD_REQUEST, "not a report");
     };
     match app.controller.heartbeats.handle(&heartbeat) {
         HeartbeatResponse::Accepted { token, commands } => json(
             StatusCode::OK,
-            &agents::Answer {
-                bridle: token.0,
-                calls: commands.iter().map(agents::Call::from).collect(),
-            },
+            &agents::HeartbeatReply::new(token, &commands),
         ),
         HeartbeatResponse::NotHere(controller) => json(
             StatusCode::MISDIRECTED_REQUEST,
-            &agents::Elsewhere {
-                groom: controller.as_ref().map(|controller| controller.as_str()),
-            },
+            &agents::Redirect::from(controller.as_ref()),
         ),
-        HeartbeatResponse::Unavailable => retry_later("cannot tell now", RETRY_SOON),
+        HeartbeatResponse::Unavailable => retry_later("cannot tell now", RETRY_SOON_SECONDS),
     }
 }
 
-/// Serves until told to stop.
+/// Serves inbound connections until told to stop.
 pub async fn serve(
     router: Router,
     listener: TcpListener,
-    sockets: Sockets,
+    sockets: SocketBudget,
     stop: CancellationToken,
 ) {
     loop {
@@ -244,31 +249,38 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 tracing::debug!(%error, "accept failed");
-                tokio::time::sleep(Duration::from_millis(20)).await;
+                tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
             }
         };
         // Beyond the limit the connection is closed at once, so that the load
         // balancer goes on to another controller.
-        let Some(taken) = sockets.take(Use::Served) else {
+        let Some(permit) = sockets.acquire(ConnectionPurpose::Inbound) else {
             continue;
         };
+        // Without the option answers are but slower.
         let _ = stream.set_nodelay(true);
         let service = TowerToHyperService::new(router.clone());
-        let stop = stop.clone();
-        tokio::spawn(async move {
-            let _taken = taken;
-            let connection = hyper::server::conn::http1::Builder::new()
-                .timer(TokioTimer::new())
-                .header_read_timeout(HEAD_TIMEOUT)
-                .max_buf_size(HEAD_LIMIT)
-                .serve_connection(TokioIo::new(stream), service);
-            tokio::pin!(connection);
-            tokio::select! {
-                biased;
-                _ = connection.as_mut() => {}
-                _ = stop.cancelled() => connection.graceful_shutdown(),
-            }
-        });
+        tokio::spawn(serve_connection(stream, permit, service, stop.clone()));
+    }
+}
+
+async fn serve_connection(
+    stream: TcpStream,
+    _permit: SocketPermit,
+    service: TowerToHyperService<Router>,
+    stop: CancellationToken,
+) {
+    let connection = hyper::server::conn::http1::Builder::new()
+        .timer(TokioTimer::new())
+        .header_read_timeout(HEAD_TIMEOUT)
+        .max_buf_size(MAX_HEAD_BYTES)
+        .serve_connection(TokioIo::new(stream), service);
+    tokio::pin!(connection);
+    tokio::select! {
+        biased;
+        // A connection that breaks is the other side's to report.
+        _ = connection.as_mut() => {}
+        _ = stop.cancelled() => connection.graceful_shutdown(),
     }
 }
