--- a/src/protocol/agents.rs
+++ b/src/protocol/agents.rs
@@ -35,7 +35,7 @@
     /// Which life of the agent.
     #[serde(rename = "tenure")]
     pub epoch: u64,
-    /// Number of the heartbeat within the epoch.
+    /// Rises with every heartbeat and every answer of the agent within the epoch.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// Highest fencing token that the agent has obeyed.
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -40,7 +40,7 @@
     /// Price of a spot machine; absent: that of an on-demand one.
     #[serde(default, rename = "market_price")]
     pub spot_price: Option<f64>,
-    /// Seconds from the provision request to the first heartbeat.
+    /// Usual time from the provision request to the first heartbeat, in seconds.
     #[serde(rename = "boot_s")]
     pub boot_seconds: f64,
     /// Zones that offer the type.
@@ -118,7 +118,7 @@
 /// A page of the inventory: answer to `GET /machines`.
 #[derive(Debug, Deserialize)]
 pub struct InventoryPage {
-    /// In the order of their ids.
+    /// In the order that `from` continues: after the last one's id.
     #[serde(rename = "mounts")]
     pub machines: Vec<ListedMachineMessage>,
     /// More machines follow the last one.
@@ -144,7 +144,7 @@
     /// Stage of its life; unknown words count as running.
     #[serde(rename = "stance")]
     pub stage: String,
-    /// Seconds since it was provisioned.
+    /// Seconds since the provision request.
     #[serde(default, rename = "age_s")]
     pub age_seconds: f64,
 }
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -1,9 +1,13 @@
 //! The operators' own settings: an optional file in protobuf text format over
-//! compiled-in defaults. An unknown field is an error.
+//! compiled-in defaults. An unknown field is an error. The program reads it once, when it
+//! starts.
 
 use std::time::Duration;
 
-use super::{seconds, settings::SettingsError};
+use self::generated::operator::{Band, Operator, Renting, Timing};
+use super::settings::{
+    FieldError, InvalidSettings, Requirement, SettingsError, validation::positive_duration,
+};
 use crate::coordination::Tuning;
 
 mod generated {
@@ -11,8 +15,10 @@
     include!(concat!(env!("OUT_DIR"), "/operator/mod.rs"));
 }
 
-use generated::operator::Operator;
+/// Shortest lease of a controller.
+const MIN_CONTROLLER_LEASE: Duration = Duration::from_secs(1);
 
+/// Reads and checks an operators' file.
 pub fn load(path: &str) -> Result<Tuning, SettingsError> {
     let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
         path: path.into(),
@@ -24,108 +30,140 @@
     })
 }
 
-pub fn parse(text: &str) -> Result<Tuning, String> {
-    let operator: Operator =
-        protobuf::text_format::parse_from_str(text).map_err(|error| error.to_string())?;
+/// Reads and checks the text of an operators' file.
+pub fn parse(text: &str) -> Result<Tuning, InvalidSettings> {
+    let operator: Operator = protobuf::text_format::parse_from_str(text)?;
     let mut tuning = Tuning::default();
-    let share = |name: &str, value: Option<f64>, slot: &mut f64| match value {
-        Some(value) if (0.0..=1.0).contains(&value) => {
-            *slot = value;
-            Ok(())
-        }
-        Some(value) => Err(format!("{name} must be between 0 and 1, not {value}")),
-        None => Ok(()),
-    };
-    let span = |name: &str, value: Option<f64>, slot: &mut Duration| match value {
-        Some(value) => match seconds(value).filter(|span| !span.is_zero()) {
-            Some(span) => {
-                *slot = span;
-                Ok(())
-            }
-            None => Err(format!("{name} must be a positive number of seconds")),
-        },
-        None => Ok(()),
-    };
     if let Some(band) = operator.band.as_ref() {
-        share("band.alpha", band.alpha, &mut tuning.alpha)?;
-        share("band.beta", band.beta, &mut tuning.beta)?;
-        span("band.round_s", band.round_s, &mut tuning.round)?;
-        span(
-            "band.start_target_s",
-            band.start_target_s,
-            &mut tuning.start_target,
-        )?;
-        span("band.window_s", band.window_s, &mut tuning.window)?;
+        apply_band(band, &mut tuning)?;
     }
     if let Some(renting) = operator.renting.as_ref() {
-        share(
-            "renting.miss_weight",
-            renting.miss_weight,
-            &mut tuning.miss_weight,
-        )?;
-        share(
-            "renting.demand_threshold",
-            renting.demand_threshold,
-            &mut tuning.demand_threshold,
-        )?;
-        share(
-            "renting.utilisation_threshold",
-            renting.utilisation_threshold,
-            &mut tuning.utilisation_threshold,
-        )?;
-        share(
-            "renting.suitability_k",
-            renting.suitability_k,
-            &mut tuning.suitability_k,
-        )?;
-        share(
-            "renting.evenness_threshold",
-            renting.evenness_threshold,
-            &mut tuning.evenness_threshold,
-        )?;
-        if let Some(theta) = renting.remedial_theta {
-            if !(theta.is_finite() && theta > 0.0) {
-                return Err("renting.remedial_theta must be positive".into());
-            }
-            tuning.remedial_theta = theta;
-        }
-        span(
-            "renting.paid_period_s",
-            renting.paid_period_s,
-            &mut tuning.paid.first,
-        )?;
-        span(
-            "renting.paid_step_s",
-            renting.paid_step_s,
-            &mut tuning.paid.then,
-        )?;
+        apply_renting(renting, &mut tuning)?;
     }
     if let Some(timing) = operator.timing.as_ref() {
-        span(
-            "timing.node_lease_s",
-            timing.node_lease_s,
-            &mut tuning.controller_lease,
-        )?;
-        span("timing.offer_s", timing.offer_s, &mut tuning.offer)?;
-        if timing.silent_s.is_some() {
-            let mut silent = Duration::ZERO;
-            span("timing.silent_s", timing.silent_s, &mut silent)?;
-            tuning.unresponsive_after = Some(silent);
-        }
+        apply_timing(timing, &mut tuning)?;
     }
     if let Some(quota) = operator.quota.as_ref() {
         tuning.quota_transfers = quota.transfers.unwrap_or(tuning.quota_transfers);
     }
+    check_together(&tuning)?;
+    Ok(tuning)
+}
+
+fn apply_band(band: &Band, tuning: &mut Tuning) -> Result<(), FieldError> {
+    set_share("band.alpha", band.alpha, &mut tuning.alpha)?;
+    set_share("band.beta", band.beta, &mut tuning.beta)?;
+    set_duration("band.round_s", band.round_s, &mut tuning.round)?;
+    set_duration(
+        "band.start_target_s",
+        band.start_target_s,
+        &mut tuning.start_target,
+    )?;
+    set_duration("band.window_s", band.window_s, &mut tuning.window)
+}
+
+fn apply_renting(renting: &Renting, tuning: &mut Tuning) -> Result<(), FieldError> {
+    set_share(
+        "renting.miss_weight",
+        renting.miss_weight,
+        &mut tuning.miss_weight,
+    )?;
+    set_share(
+        "renting.demand_threshold",
+        renting.demand_threshold,
+        &mut tuning.demand_threshold,
+    )?;
+    set_share(
+        "renting.utilisation_threshold",
+        renting.utilisation_threshold,
+        &mut tuning.utilisation_threshold,
+    )?;
+    set_share(
+        "renting.suitability_k",
+        renting.suitability_k,
+        &mut tuning.suitability_k,
+    )?;
+    set_share(
+        "renting.evenness_threshold",
+        renting.evenness_threshold,
+        &mut tuning.evenness_threshold,
+    )?;
+    set_positive(
+        "renting.remedial_theta",
+        renting.remedial_theta,
+        &mut tuning.remedial_theta,
+    )?;
+    set_duration(
+        "renting.paid_period_s",
+        renting.paid_period_s,
+        &mut tuning.paid.first,
+    )?;
+    set_duration(
+        "renting.paid_step_s",
+        renting.paid_step_s,
+        &mut tuning.paid.then,
+    )
+}
+
+fn apply_timing(timing: &Timing, tuning: &mut Tuning) -> Result<(), FieldError> {
+    set_duration(
+        "timing.node_lease_s",
+        timing.node_lease_s,
+        &mut tuning.controller_lease,
+    )?;
+    set_duration("timing.offer_s", timing.offer_s, &mut tuning.offer)?;
+    if let Some(value) = timing.silent_s {
+        tuning.unresponsive_after = Some(positive_duration("timing.silent_s", value)?);
+    }
+    Ok(())
+}
+
+/// Checks that concern the defaults as well, or several fields.
+fn check_together(tuning: &Tuning) -> Result<(), FieldError> {
     if tuning.alpha > tuning.beta {
-        return Err("band.alpha must not exceed band.beta".into());
+        let requirement = Requirement::NotAbove("band.beta");
+        return Err(FieldError::new("band.alpha", requirement));
     }
     if tuning.beta <= 0.0 {
-        return Err("band.beta must be positive".into());
+        return Err(FieldError::new("band.beta", Requirement::Positive));
     }
-    if tuning.controller_lease < Duration::from_millis(1000) {
-        return Err("timing.node_lease_s must be at least 1".into());
+    if tuning.controller_lease < MIN_CONTROLLER_LEASE {
+        let requirement = Requirement::AtLeast(MIN_CONTROLLER_LEASE.as_secs_f64());
+        return Err(FieldError::new("timing.node_lease_s", requirement));
     }
-    Ok(tuning)
+    Ok(())
+}
+
+/// Replaces a default if the file has the field.
+fn set_share(field: &str, value: Option<f64>, target: &mut f64) -> Result<(), FieldError> {
+    let Some(value) = value else {
+        return Ok(());
+    };
+    if !(0.0..=1.0).contains(&value) {
+        return Err(FieldError::new(field, Requirement::Share(value)));
+    }
+    *target = value;
+    Ok(())
+}
+
+/// Replaces a default if the file has the field.
+fn set_positive(field: &str, value: Option<f64>, target: &mut f64) -> Result<(), FieldError> {
+    let Some(value) = value else {
+        return Ok(());
+    };
+    if !(value.is_finite() && value > 0.0) {
+        return Err(FieldError::new(field, Requirement::Positive));
+    }
+    *target = value;
+    Ok(())
+}
+
+/// Replaces a default if the file has the field, in seconds.
+fn set_duration(field: &str, value: Option<f64>, target: &mut Duration) -> Result<(), FieldError> {
+    if let Some(value) = value {
+        *target = positive_duration(field, value)?;
+    }
+    Ok(())
 }
 
 #[cfg(test)]
--- a/src/protocol/operator/tests.rs
+++ b/src/protocol/operator/tests.rs
@@ -16,6 +16,36 @@
     assert_eq!(tuning.beta, Tuning::default().beta);
 }
 
+/// Operators see these texts.
+#[test]
+fn what_is_wrong_is_named() {
+    for (bad, expected) in [
+        (
+            "band { alpha: 1.5 }",
+            "band.alpha must be between 0 and 1, not 1.5",
+        ),
+        (
+            "band { alpha: 0.5 beta: 0.2 }",
+            "band.alpha must not exceed band.beta",
+        ),
+        ("band { alpha: 0 beta: 0 }", "band.beta must be positive"),
+        (
+            "band { round_s: 0 }",
+            "band.round_s must be a positive number of seconds",
+        ),
+        (
+            "renting { remedial_theta: -1 }",
+            "renting.remedial_theta must be positive",
+        ),
+        (
+            "timing { node_lease_s: 0.2 }",
+            "timing.node_lease_s must be at least 1",
+        ),
+    ] {
+        assert_eq!(parse(bad).expect_err(bad).to_string(), expected);
+    }
+}
+
 #[test]
 fn what_is_wrong_is_an_error() {
     for bad in [
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -61,7 +61,88 @@
         ("\"area\": \"a\",", "", "area"),
     ] {
         let error = Settings::parse(&EXAMPLE.replace(from, to)).expect_err(to);
-        assert!(error.contains(names), "{error}");
+        assert!(error.to_string().contains(names), "{error}");
+    }
+}
+
+/// Operators see these texts.
+#[test]
+fn what_is_wrong_is_said_in_full() {
+    for (from, to, expected) in [
+        (
+            "\"lease_s\": 20.0",
+            "\"lease_s\": -1",
+            "settings.workers.lease_s must be a positive number of seconds",
+        ),
+        (
+            "\"lease_s\": 20.0",
+            "\"lease_s\": 48.0",
+            "settings.workers.cancel_s must exceed lease_s by 6 s or more",
+        ),
+        (
+            "\"cpus\": 4.0",
+            "\"cpus\": -4.0",
+            "settings.teams t: cpus must not be negative",
+        ),
+        (
+            "127.0.0.1:8080",
+            "localhost:8080",
+            "serve_on must be IP:PORT, not \"localhost:8080\"",
+        ),
+        (
+            "\"txn_ops\": 32",
+            "\"txn_ops\": 2",
+            "settings.state.txn_ops must be at least 4",
+        ),
+        (
+            "\"value_kb\": 8.0",
+            "\"value_kb\": 1.0",
+            "settings.state.value_kb must be at least 2",
+        ),
+        (
+            "\"rps\": 200.0",
+            "\"rps\": 0",
+            "settings.state.rps must be a positive number",
+        ),
+        (
+            "\"max_connections\": 1500",
+            "\"max_connections\": 63",
+            "settings.limits.max_connections must be at least 64",
+        ),
+        (
+            "\"node_name\": \"n-0\"",
+            "\"node_name\": \"\"",
+            "node_name must be a name without spaces",
+        ),
+        (
+            "\"peers\": []",
+            r#""peers": [{"node_name": "n-0", "area": "a", "address": "127.0.0.1:1"}]"#,
+            "peers must not name this node",
+        ),
+    ] {
+        let error = Settings::parse(&EXAMPLE.replace(from, to)).expect_err(to);
+        assert_eq!(error.to_string(), expected);
+    }
+    let warnings = |next: &str| {
+        let settings = Settings::parse(&with_next(next)).expect(next);
+        settings.warnings()
+    };
+    for (next, expected) in [
+        ("7", "settings.state.next must be an object"),
+        (
+            r#"{"rps": -1}"#,
+            "settings.state.next rps must be a positive number",
+        ),
+        (
+            r#"{"txn_ops": "five"}"#,
+            "settings.state.next txn_ops must be a number",
+        ),
+        (
+            r#"{"value_kb": 1.9}"#,
+            "settings.state.next value_kb must be at least 2",
+        ),
+    ] {
+        assert_eq!(warnings(next)[0].to_string(), expected);
     }
 }
 
@@ -111,11 +192,11 @@
         let settings = Settings::parse(&with_next(next)).expect(next);
         let warnings = settings.warnings();
         assert_eq!(warnings.len(), 1, "{next}: {warnings:?}");
-        assert!(warnings[0].contains(names), "{warnings:?}");
+        assert!(warnings[0].to_string().contains(names), "{warnings:?}");
     }
     for next in ["null", "{}", r#"{"txn_ops": null, "other": "x"}"#] {
         let settings = Settings::parse(&with_next(next)).expect(next);
-        assert_eq!(settings.warnings(), [""; 0], "{next}");
+        assert_eq!(settings.warnings(), [], "{next}");
     }
 }
 
@@ -149,19 +230,19 @@
     let list = &mut settings["settings"]["teams"];
     // A limit of zero is no limit.
     *list = serde_json::json!([team("one", 64.0, 0.0), team("two", 8.0, 8.0)]);
-    assert_eq!(teams(&settings), [""; 0]);
+    assert_eq!(teams(&settings), []);
     let list = &mut settings["settings"]["teams"];
     *list = serde_json::json!([team("one", 64.0, 60.0), team("two", 8.0, 9.0)]);
     let found = teams(&settings);
     assert!(
-        found.len() == 1 && found[0].contains("one: cpus guarantees 64"),
+        found.len() == 1 && found[0].to_string().contains("one: cpus guarantees 64"),
         "{found:?}"
     );
     let list = &mut settings["settings"]["teams"];
     *list = serde_json::json!([team("one", 1.0, 60.0), team("one", 8.0, 9.0)]);
     let found = teams(&settings);
     assert!(
-        found.len() == 1 && found[0].contains("one: stands twice"),
+        found.len() == 1 && found[0].to_string().contains("one: stands twice"),
         "{found:?}"
     );
     let many: Vec<_> = (0..400)
@@ -170,7 +251,7 @@
     settings["settings"]["teams"] = many.into();
     let found = teams(&settings);
     assert!(
-        found.len() == 1 && found[0].contains("value_kb"),
+        found.len() == 1 && found[0].to_string().contains("value_kb"),
         "{found:?}"
     );
 }
@@ -180,7 +261,7 @@
 fn the_shipped_example_is_valid() {
     let settings = Settings::parse(include_str!("../deploy/example-settings.json"));
     let settings = settings.expect("valid");
-    assert_eq!(settings.warnings(), [""; 0]);
+    assert_eq!(settings.warnings(), []);
     let state = settings.config(Incarnation(1), Tuning::default()).state;
     assert_eq!((state.txn_ops, state.next_write_rps), (8, 30.0));
 }
