--- a/src/protocol/peer_frames/tests.rs
+++ b/src/protocol/peer_frames/tests.rs
@@ -1,6 +1,17 @@
 //! Tests of `protocol::peer_frames`.
 
+use std::{collections::BTreeMap, sync::Arc, time::Duration};
+
+use ::quota::Refusal;
+
 use super::*;
+use crate::{
+    coordination::clients::*,
+    storage::{
+        AgentEpoch, ControllerName, ImageName, Incarnation, JobId, MachineId, Quota, Resources,
+        Revision, TeamName, TypeName, ZoneName,
+    },
+};
 
 /// Guards against an owner of all machines whose status is too long to be sent:
 /// its machines would count as lost.
@@ -98,3 +109,51 @@
         assert_eq!(decode_response(&frame).expect("ours"), answer);
     }
 }
+
+fn hex(frame: &[u8]) -> String {
+    frame.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Bytes that versions before the frames of requests had modules of their own wrote.
+const QUOTA_REQUEST: &str = concat!(
+    "6f746865722d7465616d2d6f662d612d6c6f6e672d6e616d650000000000000099000000e0ffffff",
+    "0000000000000c4000000000000000007465616dffffffff000000000000f83f0000000000000040",
+    "05000000000000006e2d31ffffffffff07000000000000000300000000000000b0ffffff02000000",
+    "000000000000000000000000000000000000000000000000",
+);
+const QUOTA_TARGETS: &str = concat!(
+    "6f746865722d7465616d2d6f662d612d6c6f6e672d6e616d650000000000000099000000e0ffffff",
+    "0000000000000c4000000000000000007465616dffffffff000000000000f83f0000000000000040",
+    "06000000000000000c00000000000000c0ffffff0200000000000000000000000000000000000000",
+    "000000000000000000000000000000000000000000000000",
+);
+const QUOTA_GRANTED: &str = concat!(
+    "6f746865722d7465616d2d6f662d612d6c6f6e672d6e616d650000000000000099000000e0ffffff",
+    "0000000000000c4000000000000000007465616dffffffff000000000000f83f0000000000000040",
+    "05000000ccffffff0200000000000000000000000000000000000000000000000000000000000000",
+    "000000000000000000000000000000000000000000000000",
+);
+
+/// Controllers of several versions transfer quota to each other while an upgrade rolls.
+#[test]
+fn messages_about_quota_keep_their_bytes() {
+    let quota = |cpus: f64, gpus: f64| Quota { cpus, gpus };
+    let quotas = BTreeMap::from([
+        (TeamName::new("team"), quota(1.5, 2.0)),
+        (TeamName::new("other-team-of-a-long-name"), quota(3.5, 0.0)),
+    ]);
+    let request = encode_request(PeerRequest::RequestQuota(QuotaRequest {
+        recipient: ControllerName::new("n-1"),
+        process: 7,
+        number: 3,
+        wanted: quotas.clone(),
+    }));
+    assert_eq!(hex(&request.expect("plain data")), QUOTA_REQUEST);
+    let targets = encode_request(PeerRequest::SetQuotaTargets(QuotaTargets {
+        leader: Revision(12),
+        budgets: quotas.clone(),
+    }));
+    assert_eq!(hex(&targets.expect("plain data")), QUOTA_TARGETS);
+    let granted = encode_response(PeerResponse::Quota(QuotaResponse::Granted(quotas)));
+    assert_eq!(hex(&granted.expect("plain data")), QUOTA_GRANTED);
+}
