--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -107,7 +107,7 @@
             body: body.into(),
             timeout: REQUEST_TIMEOUT,
         };
-        let reply = self.client.http(call).await.ok()?;
+        let reply = self.client.send_request(call).await.ok()?;
         Some((
             reply.status,
             String::from_utf8_lossy(&reply.body).into_owned(),
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -145,7 +145,7 @@
 }
 
 impl Network for SimNet {
-    fn http(&self, call: HttpRequest) -> BoxFuture<'_, Result<HttpResponse, SendError>> {
+    fn send_request(&self, call: HttpRequest) -> BoxFuture<'_, Result<HttpResponse, SendError>> {
         async move {
             self.simulation.thawed(&self.controller).await;
             let timeout = call.timeout;
@@ -166,7 +166,7 @@
         .boxed()
     }
 
-    fn frame<'a>(
+    fn send_frame<'a>(
         &'a self,
         address: &'a str,
         frame: Vec<u8>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! stallcove: a cluster scheduler for small sites. Several controllers run the
 //! same program; together they take jobs from users, provision machines, place tasks
-//! on them and keep all state in a small state service.
+//! on them and keep all state in a small consensus-backed key-value store.
 //!
 //! Layers, each using those below it only: [`transport`], [`protocol`],
 //! [`coordination`], [`storage`].
--- a/src/main.rs
+++ b/src/main.rs
@@ -77,8 +77,6 @@
         address: String,
         source: std::io::Error,
     },
-    /// Duties go on until the process is told to stop, which nobody does: one that ends
-    /// has failed.
     #[error("the duty \"{0}\" has ended")]
     DutyEnded(&'static str),
     #[error("a duty has failed: {0}")]
@@ -174,6 +172,8 @@
         log_sockets(&sockets).await;
         "log of sockets"
     });
+    // Duties go on until the process is told to stop, which nobody does here:
+    // one that ends has failed.
     let ended = duties.join_next().await;
     stop.cancel();
     Err(match ended {
--- a/src/protocol/agents.rs
+++ b/src/protocol/agents.rs
@@ -10,11 +10,17 @@
     storage::{AgentEpoch, Attempt, ControllerName, MachineId, TaskId, Token, TypeName, ZoneName},
 };
 
+/// Where agents send heartbeats.
+pub const HEARTBEAT_PATH: &str = "/hello";
+/// Where an agent takes commands.
+pub const COMMAND_PATH: &str = "/orders";
+/// Where an agent shows its status.
+pub const INSPECT_PATH: &str = "/inspect";
+
 /// Longest machine id and address, in bytes.
 const MAX_IDENTIFIER_BYTES: usize = 100;
 
-/// A heartbeat: body of `POST /hello`, and an agent's answer to `GET /inspect` and
-/// `POST /orders`.
+/// A heartbeat; also an agent's answer to commands and inspections.
 #[derive(Debug, Deserialize)]
 pub struct HeartbeatRequest {
     /// Id of the machine.
@@ -232,7 +238,7 @@
     }
 }
 
-/// Commands sent straight to an agent: body of `POST /orders`.
+/// Commands sent straight to an agent.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CommandRequest {
     /// The owner's fencing token: commands of a lower one than the agent knows are refused.
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -9,7 +9,26 @@
     storage::{MachineId, MachineType, ProvisionId, Resources, TypeName, ZoneName},
 };
 
-/// Answer to `GET /catalog`.
+/// Where the catalog of machine types is.
+pub const CATALOG_PATH: &str = "/catalog";
+/// Where machines are provisioned, and listed.
+pub const MACHINES_PATH: &str = "/machines";
+/// Where machines are released.
+pub const RELEASE_PATH: &str = "/machines/return";
+/// Machines in a page of the inventory, at most.
+const INVENTORY_PAGE_SIZE: usize = 500;
+
+/// Where the page of the inventory is that follows a machine; without one, the first.
+pub fn inventory_path(after: Option<&MachineId>) -> String {
+    let mut path = format!("{MACHINES_PATH}?most={INVENTORY_PAGE_SIZE}");
+    if let Some(machine) = after {
+        path.push_str("&from=");
+        path.push_str(machine.as_str());
+    }
+    path
+}
+
+/// The catalog.
 #[derive(Debug, Deserialize)]
 pub struct CatalogResponse {
     /// All machine types that can be provisioned.
@@ -74,7 +93,7 @@
     }
 }
 
-/// Body of `POST /machines`.
+/// Body of a request to provision machines.
 #[derive(Debug, Serialize)]
 pub struct ProvisionRequestBody {
     /// Makes the request idempotent.
@@ -107,7 +126,7 @@
     }
 }
 
-/// Machines by id: answer to `POST /machines`, and body of `POST /machines/return`.
+/// Machines by id: those provisioned, or those to be released.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct MachineIdsMessage {
     /// Ids of the machines provisioned or to be released.
@@ -115,7 +134,7 @@
     pub machines: Vec<String>,
 }
 
-/// A page of the inventory: answer to `GET /machines`.
+/// A page of the inventory.
 #[derive(Debug, Deserialize)]
 pub struct InventoryPage {
     /// In the order that `from` continues: after the last one's id.
--- a/src/protocol/key_value_store.rs
+++ b/src/protocol/key_value_store.rs
@@ -1,15 +1,51 @@
 //! Messages of the key-value store. The transport layer's client of the store reads and
 //! writes them; the simulator's store is the other side.
 
+use std::time::Duration;
+
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
 use crate::storage::{
-    client::{KeyValue, Operation, RangePage, Transaction, WatchEvent},
+    client::{KeyValue, LeaseId, Operation, RangePage, Transaction, WatchEvent},
     *,
 };
 
-/// A key with its value: answer to `GET /kv/KEY`, and part of a range.
+/// Where transactions are executed.
+pub const TRANSACTION_PATH: &str = "/commit";
+/// Where leases are granted.
+pub const LEASES_PATH: &str = "/grants";
+/// Keys in a page of a range, at most.
+const RANGE_PAGE_SIZE: usize = 500;
+
+/// Where a key is read.
+pub fn key_path(key: &str) -> String {
+    format!("/kv/{key}")
+}
+
+/// Where the page of the keys with a prefix is that follows a key; without one, the first.
+pub fn range_path(prefix: &str, after: Option<&str>) -> String {
+    let mut path = format!("/kv?starts={prefix}&most={RANGE_PAGE_SIZE}");
+    if let Some(after) = after {
+        path.push_str("&from=");
+        path.push_str(after);
+    }
+    path
+}
+
+/// Where a lease is renewed.
+pub fn renewal_path(lease: LeaseId) -> String {
+    format!("{LEASES_PATH}/{}/touch", lease.0)
+}
+
+/// Where all changes after a revision are watched; without any, the answer comes after
+/// `max_wait`.
+pub fn watch_path(from: Revision, max_wait: Duration) -> String {
+    let max_wait_ms = max_wait.as_millis();
+    format!("/follow?starts=&from={from}&hold_ms={max_wait_ms}")
+}
+
+/// A key with its value.
 #[derive(Debug, Deserialize)]
 pub struct KeyValueMessage {
     /// The key.
@@ -33,7 +69,7 @@
     }
 }
 
-/// A page of keys with a common prefix: answer to `GET /kv`.
+/// A page of keys with a common prefix.
 #[derive(Debug, Deserialize)]
 pub struct RangeResponse {
     /// In the order of their keys.
@@ -104,7 +140,7 @@
     }
 }
 
-/// A compare-and-swap: body of `POST /commit`.
+/// A compare-and-swap.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TransactionRequest {
     /// All must hold, or nothing is changed.
@@ -146,7 +182,7 @@
     pub keys: Vec<String>,
 }
 
-/// Body of `POST /grants`.
+/// Request for a lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// Time to live after each renewal, in milliseconds.
@@ -154,7 +190,7 @@
     pub ttl_ms: u64,
 }
 
-/// Answer to `POST /grants`.
+/// The lease that was granted.
 #[derive(Debug, Deserialize)]
 pub struct LeaseResponse {
     /// Id of the new lease.
@@ -162,7 +198,7 @@
     pub lease: u64,
 }
 
-/// Answer to `GET /follow`.
+/// Changes that a watch has found.
 #[derive(Debug, Deserialize)]
 pub struct WatchResponse {
     /// Revision up to which the events are complete.
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,6 +1,11 @@
-//! The wire's words: messages of users, agents, the cloud, the state service
-//! and the other controllers, and the two settings files. Elsewhere the
-//! program uses the field's standard terms.
+//! Everything that other programs name: messages and paths of users, agents, the cloud, the
+//! key-value store and the other controllers, and the two settings files. The names on the
+//! wire are mapped here to the terms of `docs/GLOSSARY.md`, which the rest of the program
+//! uses.
+//!
+//! The modules own no state. The transport layer reads and writes the messages; `main` loads
+//! the settings. No form on the wire may change: users, agents, services and controllers of
+//! other versions depend on it.
 
 pub mod agents;
 pub mod cloud;
@@ -12,13 +17,13 @@
 
 use std::time::Duration;
 
-/// Longest duration that anyone may name, in seconds (ten years).
-const LONGEST_S: f64 = 315_360_000.0;
+/// Longest duration that a message or a settings file may name, in seconds (ten years).
+const MAX_SECONDS: f64 = 315_360_000.0;
 
-/// A duration in seconds off the wire: a finite number, not negative, not absurd.
+/// A duration off the wire; none if the number is not finite, negative or absurdly large.
 pub fn seconds(value: f64) -> Option<Duration> {
-    ((0.0..=LONGEST_S).contains(&value)).then(|| Duration::from_secs_f64(value))
+    ((0.0..=MAX_SECONDS).contains(&value)).then(|| Duration::from_secs_f64(value))
 }
 
-/// The largest body that may be sent to us.
-pub const BODY_LIMIT: usize = 64 * 1024;
+/// Largest body of a request to a controller, in bytes.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/src/protocol/peer_frames.rs
+++ b/src/protocol/peer_frames.rs
@@ -18,7 +18,7 @@
 
 /// Frames beyond this are not read. The largest tells of all machines: of 8,192 owned and
 /// 8,192 with indirect heartbeats, see the test.
-pub const FRAME_LIMIT: usize = 8 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 /// A frame that cannot be written, or is no message of a controller.
 #[derive(Debug, thiserror::Error)]
--- a/src/protocol/peer_frames/tests.rs
+++ b/src/protocol/peer_frames/tests.rs
@@ -58,7 +58,7 @@
         failing: Vec::new(),
     };
     let frame = encode_request(PeerRequest::Status(status.clone())).expect("plain data");
-    assert!(frame.len() < FRAME_LIMIT, "{}", frame.len());
+    assert!(frame.len() < MAX_FRAME_BYTES, "{}", frame.len());
     assert_eq!(
         decode_request(&frame).expect("ours"),
         PeerRequest::Status(status)
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -14,6 +14,13 @@
     },
 };
 
+/// Where jobs are submitted.
+pub const JOBS_PATH: &str = "/api/jobs";
+/// Where a job's status is, as a route.
+pub const JOB_PATH: &str = "/api/jobs/{id}";
+/// Where a job is cancelled, as a route.
+pub const CANCEL_PATH: &str = "/api/jobs/{id}/abort";
+
 /// Longest name, in bytes. Names are short words; longer ones are somebody's mistake.
 const MAX_NAME_BYTES: usize = 128;
 /// Machine types that a job may name.
@@ -23,7 +30,7 @@
 /// Tasks that a job may have.
 pub const MAX_TASKS: u64 = 100_000;
 
-/// Body of `POST /api/jobs`. Errors that users see name the type.
+/// Body of a submission. Errors that users see name the type.
 #[derive(Debug, Deserialize)]
 struct Job {
     #[serde(rename = "uid")]
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -175,11 +175,11 @@
 }
 
 impl Network for HttpNetwork {
-    fn http(&self, request: HttpRequest) -> BoxFuture<'_, Result<HttpResponse, SendError>> {
+    fn send_request(&self, request: HttpRequest) -> BoxFuture<'_, Result<HttpResponse, SendError>> {
         self.send(request).boxed()
     }
 
-    fn frame<'a>(
+    fn send_frame<'a>(
         &'a self,
         address: &'a str,
         frame: Vec<u8>,
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -93,10 +93,10 @@
 /// Carries the requests of a controller's clients.
 pub trait Network: Send + Sync {
     /// Sends a request and waits for the response, whatever its status is.
-    fn http(&self, request: HttpRequest) -> BoxFuture<'_, Result<HttpResponse, SendError>>;
+    fn send_request(&self, request: HttpRequest) -> BoxFuture<'_, Result<HttpResponse, SendError>>;
 
     /// Sends a frame to another controller and waits for the answering one.
-    fn frame<'a>(
+    fn send_frame<'a>(
         &'a self,
         address: &'a str,
         frame: Vec<u8>,
--- a/src/transport/network_clients/agents.rs
+++ b/src/transport/network_clients/agents.rs
@@ -8,7 +8,7 @@
 use super::to_json;
 use crate::{
     coordination::clients::{AgentClient, Command, CommandResponse, Heartbeat, NoAnswer},
-    protocol::agents::{CommandRequest, parse_heartbeat},
+    protocol::agents::{COMMAND_PATH, CommandRequest, INSPECT_PATH, parse_heartbeat},
     storage::{AgentEpoch, Token},
     transport::network::{Destination, HttpRequest, HttpResponse, Method, Network, status},
 };
@@ -41,7 +41,7 @@
             body,
             timeout,
         };
-        let response = self.network.http(request).await;
+        let response = self.network.send_request(request).await;
         response.map_err(|error| NoAnswer(error.to_string()))
     }
 }
@@ -62,7 +62,7 @@
         async move {
             let body = to_json(&CommandRequest::new(token, epoch, commands));
             let response = self
-                .send(Method::Post, address, "/orders", body, COMMAND_TIMEOUT)
+                .send(Method::Post, address, COMMAND_PATH, body, COMMAND_TIMEOUT)
                 .await?;
             Ok(CommandResponse {
                 executed: response.status == status::OK,
@@ -78,7 +78,7 @@
                 .send(
                     Method::Get,
                     address,
-                    "/inspect",
+                    INSPECT_PATH,
                     Bytes::new(),
                     INSPECT_TIMEOUT,
                 )
--- a/src/transport/network_clients/cloud.rs
+++ b/src/transport/network_clients/cloud.rs
@@ -10,7 +10,8 @@
 use crate::{
     coordination::clients::{CloudClient, CloudError, ListedMachine, ProvisionRequest},
     protocol::cloud::{
-        CatalogResponse, CloudErrorBody, InventoryPage, MachineIdsMessage, ProvisionRequestBody,
+        CATALOG_PATH, CatalogResponse, CloudErrorBody, InventoryPage, MACHINES_PATH,
+        MachineIdsMessage, ProvisionRequestBody, RELEASE_PATH, inventory_path,
     },
     storage::{MachineId, MachineType, ProvisionId},
     transport::network::{
@@ -56,7 +57,7 @@
             body,
             timeout: REQUEST_TIMEOUT,
         };
-        let response = self.network.http(request).await;
+        let response = self.network.send_request(request).await;
         let response = response.map_err(|error| match error {
             SendError::NotSent(_) => CloudError::Unavailable,
             SendError::NoAnswer(_) => CloudError::NoAnswer,
@@ -90,7 +91,7 @@
 impl CloudClient for HttpCloudClient {
     fn catalog(&self) -> BoxFuture<'_, Result<Vec<MachineType>, CloudError>> {
         async move {
-            let response = self.get("/catalog".into()).await?;
+            let response = self.get(CATALOG_PATH.into()).await?;
             let catalog = read::<CatalogResponse>(&response)?;
             let machine_types = catalog.machine_types.into_iter();
             // A type that cannot be used keeps none of the others from use.
@@ -108,7 +109,7 @@
     ) -> BoxFuture<'a, Result<Vec<MachineId>, CloudError>> {
         async move {
             let body = to_json(&ProvisionRequestBody::new(name, request));
-            let response = self.post("/machines", body).await?;
+            let response = self.post(MACHINES_PATH, body).await?;
             let provisioned = read::<MachineIdsMessage>(&response)?;
             Ok(provisioned
                 .machines
@@ -124,7 +125,7 @@
             let body = to_json(&MachineIdsMessage {
                 machines: machines.iter().map(ToString::to_string).collect(),
             });
-            self.post("/machines/return", body).await.map(drop)
+            self.post(RELEASE_PATH, body).await.map(drop)
         }
         .boxed()
     }
@@ -133,11 +134,8 @@
         async move {
             let mut machines: Vec<ListedMachine> = Vec::new();
             for _ in 0..MAX_INVENTORY_PAGES {
-                let from = machines
-                    .last()
-                    .map(|last| format!("&from={}", last.id))
-                    .unwrap_or_default();
-                let response = self.get(format!("/machines?most=500{from}")).await?;
+                let last = machines.last().map(|machine| &machine.id);
+                let response = self.get(inventory_path(last)).await?;
                 let page = read::<InventoryPage>(&response)?;
                 let has_more = page.has_more && !page.machines.is_empty();
                 machines.extend(page.machines.into_iter().map(ListedMachine::from));
--- a/src/transport/network_clients/key_value_store.rs
+++ b/src/transport/network_clients/key_value_store.rs
@@ -9,8 +9,9 @@
 use super::{from_json, to_json};
 use crate::{
     protocol::key_value_store::{
-        ConflictResponse, KeyValueMessage, LeaseRequest, LeaseResponse, RangeResponse,
-        StoreErrorBody, TransactionRequest, TransactionResponse, WatchResponse,
+        ConflictResponse, KeyValueMessage, LEASES_PATH, LeaseRequest, LeaseResponse, RangeResponse,
+        StoreErrorBody, TRANSACTION_PATH, TransactionRequest, TransactionResponse, WatchResponse,
+        key_path, range_path, renewal_path, watch_path,
     },
     storage::{
         CommitError, KeyValueStore, Revision, StateError, Transaction,
@@ -58,7 +59,7 @@
             body,
             timeout,
         };
-        match self.network.http(request).await {
+        match self.network.send_request(request).await {
             Ok(response) => match response.status {
                 status::TOO_MANY_REQUESTS => Err(StateError::Throttled),
                 status::SERVICE_UNAVAILABLE => Err(StateError::Unavailable),
@@ -97,8 +98,7 @@
 impl KeyValueStore for HttpKeyValueStore {
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<KeyValue>, StateError>> {
         async move {
-            let path = format!("/kv/{key}");
-            let response = self.get_path(path, REQUEST_TIMEOUT).await?;
+            let response = self.get_path(key_path(key), REQUEST_TIMEOUT).await?;
             if response.status == status::NOT_FOUND {
                 return Ok(None);
             }
@@ -113,11 +113,7 @@
         after: Option<&'a str>,
     ) -> BoxFuture<'a, Result<RangePage, StateError>> {
         async move {
-            let mut path = format!("/kv?starts={prefix}&most=500");
-            if let Some(after) = after {
-                path.push_str("&from=");
-                path.push_str(after);
-            }
+            let path = range_path(prefix, after);
             let response = self.get_path(path, RANGE_TIMEOUT).await?;
             read::<RangeResponse>(&response).map(RangePage::from)
         }
@@ -130,7 +126,7 @@
     ) -> BoxFuture<'a, Result<Revision, CommitError>> {
         async move {
             let body = to_json(&TransactionRequest::from(transaction));
-            let response = self.post("/commit".into(), body).await?;
+            let response = self.post(TRANSACTION_PATH.into(), body).await?;
             if response.status == status::CONFLICT {
                 let conflict = from_json::<ConflictResponse>(&response).map_err(malformed)?;
                 return Err(CommitError::Conflict(conflict.keys));
@@ -146,7 +142,7 @@
             let body = to_json(&LeaseRequest {
                 ttl_ms: ttl.as_millis() as u64,
             });
-            let response = self.post("/grants".into(), body).await?;
+            let response = self.post(LEASES_PATH.into(), body).await?;
             read::<LeaseResponse>(&response).map(|granted| LeaseId(granted.lease))
         }
         .boxed()
@@ -154,8 +150,7 @@
 
     fn renew_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StateError>> {
         async move {
-            let path = format!("/grants/{}/touch", lease.0);
-            let response = self.post(path, Bytes::new()).await?;
+            let response = self.post(renewal_path(lease), Bytes::new()).await?;
             match response.status {
                 status::OK => Ok(()),
                 status::NOT_FOUND => Err(StateError::LeaseExpired),
@@ -171,10 +166,7 @@
         max_wait: Duration,
     ) -> BoxFuture<'_, Result<(Revision, Vec<WatchEvent>), StateError>> {
         async move {
-            let path = format!(
-                "/follow?starts=&from={from}&hold_ms={}",
-                max_wait.as_millis()
-            );
+            let path = watch_path(from, max_wait);
             let response = self.get_path(path, max_wait + REQUEST_TIMEOUT).await?;
             if response.status == status::GONE {
                 return Err(StateError::TooOld);
--- a/src/transport/network_clients/peers.rs
+++ b/src/transport/network_clients/peers.rs
@@ -45,7 +45,10 @@
         let address = self.addresses.get(controller);
         let address = address.ok_or(PeerCallError::NotAPeer)?;
         let frame = peer_frames::encode_request(request)?;
-        let answer = self.network.frame(address, frame, REQUEST_TIMEOUT).await?;
+        let answer = self
+            .network
+            .send_frame(address, frame, REQUEST_TIMEOUT)
+            .await?;
         Ok(peer_frames::decode_response(&answer)?)
     }
 }
--- a/src/transport/peer_connections.rs
+++ b/src/transport/peer_connections.rs
@@ -26,7 +26,7 @@
 };
 use crate::{
     coordination::{Controller, clients::PeerResponse},
-    protocol::peer_frames::{self, FRAME_LIMIT},
+    protocol::peer_frames::{self, MAX_FRAME_BYTES},
 };
 
 /// Idle connections kept for each address.
@@ -49,7 +49,7 @@
         // Small messages that somebody waits for. Without the option they are but slower.
         let _ = stream.set_nodelay(true);
         let frames = LengthDelimitedCodec::builder()
-            .max_frame_length(FRAME_LIMIT)
+            .max_frame_length(MAX_FRAME_BYTES)
             .new_framed(stream);
         Self {
             frames,
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -29,12 +29,14 @@
         jobs::{JobError, JobState, Submitted},
     },
     protocol::{
-        BODY_LIMIT, agents,
+        MAX_BODY_BYTES, agents,
         users::{self, ErrorBody, JobStatusResponse, SubmittedJob},
     },
     storage::JobId,
 };
 
+/// Health check of the load balancer.
+const READY_PATH: &str = "/ready";
 /// A request's body must come within this time.
 const BODY_TIMEOUT: Duration = Duration::from_secs(4);
 /// A request's head must come within this time; idle connections end by it.
@@ -64,11 +66,11 @@
         admission: Admission::default(),
     };
     Router::new()
-        .route("/api/jobs", post(submit))
-        .route("/api/jobs/{id}", get(job_status))
-        .route("/api/jobs/{id}/abort", post(cancel))
-        .route("/ready", get(ready))
-        .route("/hello", post(heartbeat))
+        .route(users::JOBS_PATH, post(submit))
+        .route(users::JOB_PATH, get(job_status))
+        .route(users::CANCEL_PATH, post(cancel))
+        .route(READY_PATH, get(ready))
+        .route(agents::HEARTBEAT_PATH, post(heartbeat))
         .with_state(app)
         .layer(middleware::from_fn_with_state(
             sockets,
@@ -129,7 +131,7 @@
 
 /// The whole body, if it is not too large and comes in time.
 async fn read_body(request: Request) -> Result<Bytes, Response> {
-    let body = axum::body::to_bytes(request.into_body(), BODY_LIMIT);
+    let body = axum::body::to_bytes(request.into_body(), MAX_BODY_BYTES);
     match tokio::time::timeout(BODY_TIMEOUT, body).await {
         Ok(Ok(bytes)) => Ok(bytes),
         Ok(Err(_)) => Err(error_response(
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -91,20 +91,36 @@
 }
 
 fn check_frames(version: &Version) {
-    let job = || JobId::new("job-000412");
+    let frames = frames(version.data);
+    let requests = requests(version.protocol_version);
+    let responses = responses(version.protocol_version);
+    assert_eq!(frames.len(), requests.len() + responses.len());
+    for (name, request) in requests {
+        let frame = &frames[name];
+        assert_eq!(peer_frames::decode_request(frame).expect(name), request);
+        let written = peer_frames::encode_request(request).expect(name);
+        assert_eq!(written, *frame, "{name}");
+    }
+    for (name, response) in responses {
+        let frame = &frames[name];
+        assert_eq!(peer_frames::decode_response(frame).expect(name), response);
+        let written = peer_frames::encode_response(response).expect(name);
+        assert_eq!(written, *frame, "{name}");
+    }
+}
+
+fn job() -> JobId {
+    JobId::new("job-000412")
+}
+
+/// Requests by the names of their recorded frames.
+fn requests(protocol_version: ProtocolVersion) -> Vec<(&'static str, PeerRequest)> {
     let offer = Offer {
         job: job(),
         tasks: vec![0, 3],
     };
-    let cancellations = Cancellations {
-        seen: Revision(500),
-        jobs: Some(vec![job()]),
-    };
-    let calls = [
-        (
-            "call status",
-            PeerRequest::Status(status(version.protocol_version)),
-        ),
+    vec![
+        ("call status", PeerRequest::Status(status(protocol_version))),
         ("call offers", PeerRequest::Offers(vec![offer])),
         (
             "call preempt",
@@ -115,11 +131,19 @@
             "call cancelled-since",
             PeerRequest::CancelledSince(Revision(412)),
         ),
-    ];
-    let answers = [
+    ]
+}
+
+/// Responses by the names of their recorded frames.
+fn responses(protocol_version: ProtocolVersion) -> Vec<(&'static str, PeerResponse)> {
+    let cancellations = Cancellations {
+        seen: Revision(500),
+        jobs: Some(vec![job()]),
+    };
+    vec![
         (
             "answer status",
-            PeerResponse::Status(status(version.protocol_version)),
+            PeerResponse::Status(status(protocol_version)),
         ),
         ("answer taken", PeerResponse::Accepted),
         ("answer probed", PeerResponse::ProbeResult(true)),
@@ -128,28 +152,7 @@
             PeerResponse::CancelledSince(cancellations),
         ),
         ("answer unknown", PeerResponse::Unknown),
-    ];
-    let frames = frames(version.data);
-    assert_eq!(frames.len(), calls.len() + answers.len());
-    for (name, call) in calls {
-        assert_eq!(
-            peer_frames::decode_request(&frames[name]).expect(name),
-            call
-        );
-        assert_eq!(
-            peer_frames::encode_request(call).expect(name),
-            frames[name],
-            "{name}"
-        );
-    }
-    for (name, answer) in answers {
-        assert_eq!(
-            peer_frames::decode_response(&frames[name]).expect(name),
-            answer
-        );
-        let written = peer_frames::encode_response(answer).expect(name);
-        assert_eq!(written, frames[name], "{name}");
-    }
+    ]
 }
 
 fn same<T: serde::Serialize + serde::de::DeserializeOwned>(key: &str, value: &Value) {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -65,68 +65,77 @@
     }
 }
 
-/// Operators see these texts.
+/// A mistake: what of the example is replaced, by what, and the text that operators see.
+struct Mistake {
+    from: &'static str,
+    to: &'static str,
+    expected: &'static str,
+}
+
+const MISTAKES: [Mistake; 10] = [
+    Mistake {
+        from: r#""lease_s": 20.0"#,
+        to: r#""lease_s": -1"#,
+        expected: "settings.workers.lease_s must be a positive number of seconds",
+    },
+    Mistake {
+        from: r#""lease_s": 20.0"#,
+        to: r#""lease_s": 48.0"#,
+        expected: "settings.workers.cancel_s must exceed lease_s by 6 s or more",
+    },
+    Mistake {
+        from: r#""cpus": 4.0"#,
+        to: r#""cpus": -4.0"#,
+        expected: "settings.teams t: cpus must not be negative",
+    },
+    Mistake {
+        from: "127.0.0.1:8080",
+        to: "localhost:8080",
+        expected: r#"serve_on must be IP:PORT, not "localhost:8080""#,
+    },
+    Mistake {
+        from: r#""txn_ops": 32"#,
+        to: r#""txn_ops": 2"#,
+        expected: "settings.state.txn_ops must be at least 4",
+    },
+    Mistake {
+        from: r#""value_kb": 8.0"#,
+        to: r#""value_kb": 1.0"#,
+        expected: "settings.state.value_kb must be at least 2",
+    },
+    Mistake {
+        from: r#""rps": 200.0"#,
+        to: r#""rps": 0"#,
+        expected: "settings.state.rps must be a positive number",
+    },
+    Mistake {
+        from: r#""max_connections": 1500"#,
+        to: r#""max_connections": 63"#,
+        expected: "settings.limits.max_connections must be at least 64",
+    },
+    Mistake {
+        from: r#""node_name": "n-0""#,
+        to: r#""node_name": """#,
+        expected: "node_name must be a name without spaces",
+    },
+    Mistake {
+        from: r#""peers": []"#,
+        to: r#""peers": [{"node_name": "n-0", "area": "a", "address": "127.0.0.1:1"}]"#,
+        expected: "peers must not name this node",
+    },
+];
+
 #[test]
-fn what_is_wrong_is_said_in_full() {
-    for (from, to, expected) in [
-        (
-            "\"lease_s\": 20.0",
-            "\"lease_s\": -1",
-            "settings.workers.lease_s must be a positive number of seconds",
-        ),
-        (
-            "\"lease_s\": 20.0",
-            "\"lease_s\": 48.0",
-            "settings.workers.cancel_s must exceed lease_s by 6 s or more",
-        ),
-        (
-            "\"cpus\": 4.0",
-            "\"cpus\": -4.0",
-            "settings.teams t: cpus must not be negative",
-        ),
-        (
-            "127.0.0.1:8080",
-            "localhost:8080",
-            "serve_on must be IP:PORT, not \"localhost:8080\"",
-        ),
-        (
-            "\"txn_ops\": 32",
-            "\"txn_ops\": 2",
-            "settings.state.txn_ops must be at least 4",
-        ),
-        (
-            "\"value_kb\": 8.0",
-            "\"value_kb\": 1.0",
-            "settings.state.value_kb must be at least 2",
-        ),
-        (
-            "\"rps\": 200.0",
-            "\"rps\": 0",
-            "settings.state.rps must be a positive number",
-        ),
-        (
-            "\"max_connections\": 1500",
-            "\"max_connections\": 63",
-            "settings.limits.max_connections must be at least 64",
-        ),
-        (
-            "\"node_name\": \"n-0\"",
-            "\"node_name\": \"\"",
-            "node_name must be a name without spaces",
-        ),
-        (
-            "\"peers\": []",
-            r#""peers": [{"node_name": "n-0", "area": "a", "address": "127.0.0.1:1"}]"#,
-            "peers must not name this node",
-        ),
-    ] {
-        let error = Settings::parse(&EXAMPLE.replace(from, to)).expect_err(to);
-        assert_eq!(error.to_string(), expected);
+fn mistakes_are_reported_in_full() {
+    for mistake in MISTAKES {
+        let text = EXAMPLE.replace(mistake.from, mistake.to);
+        let error = Settings::parse(&text).expect_err(mistake.to);
+        assert_eq!(error.to_string(), mistake.expected);
     }
-    let warnings = |next: &str| {
-        let settings = Settings::parse(&with_next(next)).expect(next);
-        settings.warnings()
-    };
+}
+
+#[test]
+fn warnings_are_reported_in_full() {
     for (next, expected) in [
         ("7", "settings.state.next must be an object"),
         (
@@ -142,7 +151,8 @@
             "settings.state.next value_kb must be at least 2",
         ),
     ] {
-        assert_eq!(warnings(next)[0].to_string(), expected);
+        let settings = Settings::parse(&with_next(next)).expect(next);
+        assert_eq!(settings.warnings()[0].to_string(), expected);
     }
 }
 
