--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -143,66 +143,68 @@
 }
 
 /// Handles a user's request within the admission limit and its time.
-async fn with_admission(app: &AppState, handle: impl Future<Output = Response>) -> Response {
+async fn with_admission(
+    app: &AppState,
+    handle: impl Future<Output = Result<Response, JobError>>,
+) -> Response {
     let Some(_admitted) = app.admission.try_admit() else {
         return retry_later("too many requests in progress", RETRY_SOON_SECONDS);
     };
-    tokio::time::timeout(USER_TIMEOUT, handle)
-        .await
-        .unwrap_or_else(|_| retry_later("took too long", RETRY_SOON_SECONDS))
+    match tokio::time::timeout(USER_TIMEOUT, handle).await {
+        Ok(Ok(response)) => response,
+        Ok(Err(error)) => job_error_response(error),
+        Err(_) => retry_later("took too long", RETRY_SOON_SECONDS),
+    }
 }
 
-async fn submit(State(app): State<AppState>, request: Request) -> Response {
-    let body = match read_body(request).await {
-        Ok(body) => body,
-        Err(response) => return response,
-    };
-    let SubmittedJob { id, spec } = match users::parse_submission(&body) {
-        Ok(job) => job,
-        Err(error) => return error_response(StatusCode::BAD_REQUEST, &error.to_string()),
-    };
-    with_admission(&app, async {
-        match app.controller.jobs.submit(id.clone(), spec).await {
-            Ok(Submitted::Accepted) => json(
+async fn submit(State(app): State<AppState>, request: Request) -> Result<Response, Response> {
+    let body = read_body(request).await?;
+    let SubmittedJob { id, spec } = users::parse_submission(&body)
+        .map_err(|error| error_response(StatusCode::BAD_REQUEST, &error.to_string()))?;
+    let response = with_admission(&app, async {
+        Ok(match app.controller.jobs.submit(id.clone(), spec).await? {
+            Submitted::Accepted => json(
                 StatusCode::CREATED,
                 &JobStatusResponse::state_only(&id, JobState::Queued),
             ),
-            Ok(Submitted::Known(status)) => {
+            Submitted::Known(status) => {
                 json(StatusCode::OK, &JobStatusResponse::with_counts(&id, status))
             }
-            Err(error) => job_error_response(error),
-        }
-    })
-    .await
+        })
+    });
+    Ok(response.await)
 }
 
-async fn job_status(State(app): State<AppState>, Path(id): Path<String>) -> Response {
-    let Some(id) = JobId::parse(&id) else {
-        return error_response(StatusCode::NOT_FOUND, "no such job");
-    };
-    with_admission(&app, async {
-        match app.controller.jobs.status(&id).await {
-            Ok(status) => json(StatusCode::OK, &JobStatusResponse::with_counts(&id, status)),
-            Err(error) => job_error_response(error),
-        }
-    })
-    .await
+/// A path that names no possible job names an unknown one.
+fn parse_job_id(id: &str) -> Result<JobId, JobError> {
+    JobId::parse(id).ok_or(JobError::Unknown)
 }
 
-async fn cancel(State(app): State<AppState>, Path(id): Path<String>) -> Response {
-    let Some(id) = JobId::parse(&id) else {
-        return error_response(StatusCode::NOT_FOUND, "no such job");
-    };
-    with_admission(&app, async {
-        match app.controller.jobs.cancel(&id).await {
-            Ok(status) => json(
-                StatusCode::OK,
-                &JobStatusResponse::state_only(&id, status.state),
-            ),
-            Err(error) => job_error_response(error),
-        }
-    })
-    .await
+async fn job_status(
+    State(app): State<AppState>,
+    Path(id): Path<String>,
+) -> Result<Response, Response> {
+    let id = parse_job_id(&id).map_err(job_error_response)?;
+    let response = with_admission(&app, async {
+        let status = app.controller.jobs.status(&id).await?;
+        Ok(json(
+            StatusCode::OK,
+            &JobStatusResponse::with_counts(&id, status),
+        ))
+    });
+    Ok(response.await)
+}
+
+async fn cancel(State(app): State<AppState>, Path(id): Path<String>) -> Result<Response, Response> {
+    let id = parse_job_id(&id).map_err(job_error_response)?;
+    let response = with_admission(&app, async {
+        let status = app.controller.jobs.cancel(&id).await?;
+        Ok(json(
+            StatusCode::OK,
+            &JobStatusResponse::state_only(&id, status.state),
+        ))
+    });
+    Ok(response.await)
 }
 
 async fn ready(State(app): State<AppState>) -> Response {
@@ -213,15 +215,11 @@
     }
 }
 
-async fn heartbeat(State(app): State<AppState>, request: Request) -> Response {
-    let body = match read_body(request).await {
-        Ok(body) => body,
-        Err(response) => return response,
-    };
-    let Ok(heartbeat) = agents::parse_heartbeat(&body) else {
-        return error_response(StatusCode::BAD_REQUEST, "not a report");
-    };
-    match app.controller.heartbeats.handle(&heartbeat) {
+async fn heartbeat(State(app): State<AppState>, request: Request) -> Result<Response, Response> {
+    let body = read_body(request).await?;
+    let heartbeat = agents::parse_heartbeat(&body)
+        .map_err(|_| error_response(StatusCode::BAD_REQUEST, "not a report"))?;
+    Ok(match app.controller.heartbeats.handle(&heartbeat) {
         HeartbeatResponse::Accepted { token, commands } => json(
             StatusCode::OK,
             &agents::HeartbeatReply::new(token, &commands),
@@ -231,7 +229,7 @@
             &agents::Redirect::from(controller.as_ref()),
         ),
         HeartbeatResponse::Unavailable => retry_later("cannot tell now", RETRY_SOON_SECONDS),
-    }
+    })
 }
 
 /// Serves inbound connections until told to stop.
