--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -61,7 +61,98 @@
         ("\"area\": \"a\",", "", "area"),
     ] {
         let error = Settings::parse(&EXAMPLE.replace(from, to)).expect_err(to);
-        assert!(error.contains(names), "{error}");
+        assert!(error.to_string().contains(names), "{error}");
+    }
+}
+
+/// A mistake: what of the example is replaced, by what, and the text that operators see.
+struct Mistake {
+    from: &'static str,
+    to: &'static str,
+    expected: &'static str,
+}
+
+const MISTAKES: [Mistake; 10] = [
+    Mistake {
+        from: r#""lease_s": 20.0"#,
+        to: r#""lease_s": -1"#,
+        expected: "settings.workers.lease_s must be a positive number of seconds",
+    },
+    Mistake {
+        from: r#""lease_s": 20.0"#,
+        to: r#""lease_s": 48.0"#,
+        expected: "settings.workers.cancel_s must exceed lease_s by 6 s or more",
+    },
+    Mistake {
+        from: r#""cpus": 4.0"#,
+        to: r#""cpus": -4.0"#,
+        expected: "settings.teams t: cpus must not be negative",
+    },
+    Mistake {
+        from: "127.0.0.1:8080",
+        to: "localhost:8080",
+        expected: r#"serve_on must be IP:PORT, not "localhost:8080""#,
+    },
+    Mistake {
+        from: r#""txn_ops": 32"#,
+        to: r#""txn_ops": 2"#,
+        expected: "settings.state.txn_ops must be at least 4",
+    },
+    Mistake {
+        from: r#""value_kb": 8.0"#,
+        to: r#""value_kb": 1.0"#,
+        expected: "settings.state.value_kb must be at least 2",
+    },
+    Mistake {
+        from: r#""rps": 200.0"#,
+        to: r#""rps": 0"#,
+        expected: "settings.state.rps must be a positive number",
+    },
+    Mistake {
+        from: r#""max_connections": 1500"#,
+        to: r#""max_connections": 63"#,
+        expected: "settings.limits.max_connections must be at least 64",
+    },
+    Mistake {
+        from: r#""node_name": "n-0""#,
+        to: r#""node_name": """#,
+        expected: "node_name must be a name without spaces",
+    },
+    Mistake {
+        from: r#""peers": []"#,
+        to: r#""peers": [{"node_name": "n-0", "area": "a", "address": "127.0.0.1:1"}]"#,
+        expected: "peers must not name this node",
+    },
+];
+
+#[test]
+fn mistakes_are_reported_in_full() {
+    for mistake in MISTAKES {
+        let text = EXAMPLE.replace(mistake.from, mistake.to);
+        let error = Settings::parse(&text).expect_err(mistake.to);
+        assert_eq!(error.to_string(), mistake.expected);
+    }
+}
+
+#[test]
+fn warnings_are_reported_in_full() {
+    for (next, expected) in [
+        ("7", "settings.state.next must be an object"),
+        (
+            r#"{"rps": -1}"#,
+            "settings.state.next rps must be a positive number",
+        ),
+        (
+            r#"{"txn_ops": "five"}"#,
+            "settings.state.next txn_ops must be a number",
+        ),
+        (
+            r#"{"value_kb": 1.9}"#,
+            "settings.state.next value_kb must be at least 2",
+        ),
+    ] {
+        let settings = Settings::parse(&with_next(next)).expect(next);
+        assert_eq!(settings.warnings()[0].to_string(), expected);
     }
 }
 
@@ -111,11 +202,11 @@
         let settings = Settings::parse(&with_next(next)).expect(next);
         let warnings = settings.warnings();
         assert_eq!(warnings.len(), 1, "{next}: {warnings:?}");
-        assert!(warnings[0].contains(names), "{warnings:?}");
+        assert!(warnings[0].to_string().contains(names), "{warnings:?}");
     }
     for next in ["null", "{}", r#"{"txn_ops": null, "other": "x"}"#] {
         let settings = Settings::parse(&with_next(next)).expect(next);
-        assert_eq!(settings.warnings(), [""; 0], "{next}");
+        assert_eq!(settings.warnings(), [], "{next}");
     }
 }
 
@@ -149,19 +240,19 @@
     let list = &mut settings["settings"]["teams"];
     // A limit of zero is no limit.
     *list = serde_json::json!([team("one", 64.0, 0.0), team("two", 8.0, 8.0)]);
-    assert_eq!(teams(&settings), [""; 0]);
+    assert_eq!(teams(&settings), []);
     let list = &mut settings["settings"]["teams"];
     *list = serde_json::json!([team("one", 64.0, 60.0), team("two", 8.0, 9.0)]);
     let found = teams(&settings);
     assert!(
-        found.len() == 1 && found[0].contains("one: cpus guarantees 64"),
+        found.len() == 1 && found[0].to_string().contains("one: cpus guarantees 64"),
         "{found:?}"
     );
     let list = &mut settings["settings"]["teams"];
     *list = serde_json::json!([team("one", 1.0, 60.0), team("one", 8.0, 9.0)]);
     let found = teams(&settings);
     assert!(
-        found.len() == 1 && found[0].contains("one: stands twice"),
+        found.len() == 1 && found[0].to_string().contains("one: stands twice"),
         "{found:?}"
     );
     let many: Vec<_> = (0..400)
@@ -170,7 +261,7 @@
     settings["settings"]["teams"] = many.into();
     let found = teams(&settings);
     assert!(
-        found.len() == 1 && found[0].contains("value_kb"),
+        found.len() == 1 && found[0].to_string().contains("value_kb"),
         "{found:?}"
     );
 }
@@ -180,7 +271,7 @@
 fn the_shipped_example_is_valid() {
     let settings = Settings::parse(include_str!("../deploy/example-settings.json"));
     let settings = settings.expect("valid");
-    assert_eq!(settings.warnings(), [""; 0]);
+    assert_eq!(settings.warnings(), []);
     let state = settings.config(Incarnation(1), Tuning::default()).state;
     assert_eq!((state.txn_ops, state.next_write_rps), (8, 30.0));
 }
