--- /dev/null
+++ b/src/coordination/leader/commit.rs
@@ -0,0 +1,65 @@
+//! Commits of the leader, fenced by its claim to leadership.
+//!
+//! Every change that the leader writes is conditional on the revision of its claim, so that
+//! it is void once another process leads. A commit whose outcome is unknown may still take
+//! effect: until it is resolved, the leader decides nothing.
+
+use super::Leader;
+use crate::{
+    coordination::context::lock,
+    storage::{
+        CommitError, Revision, Transaction, keys, rate_limiter::RequestPriority,
+        records::LeaderRecord,
+    },
+};
+
+impl Leader {
+    /// Commits as the leader: void once another leads.
+    pub(in crate::coordination) async fn commit_as_leader(
+        &self,
+        transaction: Transaction,
+        priority: RequestPriority,
+    ) -> Result<Revision, CommitError> {
+        let Some(revision) = self.context.leadership() else {
+            return Err(CommitError::Conflict(vec![keys::LEADER.into()]));
+        };
+        let transaction = transaction.require(keys::LEADER.into(), revision);
+        let result = self.context.store.commit(&transaction, priority).await;
+        if let Err(error) = &result {
+            tracing::debug!(%error, "leader's commit failed");
+            if error.is_unknown() {
+                lock(&self.state).has_commit_in_doubt = true;
+            }
+        }
+        result
+    }
+
+    /// Writes our record anew: commits of ours that may still be on their way
+    /// are conditional on the old one. Returns whether none is in doubt any more.
+    pub(super) async fn resolve_commit_in_doubt(&self) -> bool {
+        let Some(lease) = lock(&self.state).lease else {
+            return false;
+        };
+        let Some(revision) = self.context.leadership() else {
+            return false;
+        };
+        let record = LeaderRecord {
+            controller: self.context.config.name.clone(),
+            incarnation: self.context.config.incarnation,
+        };
+        let transaction = Transaction::default()
+            .require(keys::LEADER.into(), revision)
+            .set_with(keys::LEADER.into(), &record, Some(lease));
+        let is_written = self
+            .context
+            .store
+            .commit(&transaction, RequestPriority::Fencing)
+            .await
+            .is_ok();
+        if is_written && self.context.store.read_barrier().await {
+            lock(&self.state).has_commit_in_doubt = false;
+            return true;
+        }
+        false
+    }
+}
--- a/src/coordination/leader/fleet/autoscaler.rs
+++ b/src/coordination/leader/fleet/autoscaler.rs
@@ -11,10 +11,11 @@
 use crate::{
     coordination::{
         leader::{
-            Leader, LeaderState,
+            Leader,
             fleet::FleetState,
             pool::{Pool, ProvisionPlan, Suited},
             routing::Unplaced,
+            state::LeaderState,
         },
         policy::{band, remedial, scale_in},
     },
@@ -55,7 +56,7 @@
             miss_rate,
             unplaced,
             routing_counts,
-            since,
+            elected_at,
             ..
         } = state;
         let refused = fleet.refused.clone();
@@ -86,7 +87,7 @@
         let mut need = market.need(unplaced, &mut booting);
         let round_due = fleet
             .last_round
-            .or(*since)
+            .or(*elected_at)
             .is_none_or(|at| now.duration_since(at) >= tuning.round);
         let remedial_due = fleet
             .last_remedial
--- a/src/coordination/leader/fleet/failure_detector.rs
+++ b/src/coordination/leader/fleet/failure_detector.rs
@@ -13,8 +13,9 @@
         clients::{PeerRequest, PeerResponse},
         context::lock,
         leader::{
-            Leader, LeaderState,
+            Leader,
             fleet::{PendingRelease, ReleaseReason},
+            state::{LeaderState, OwnedMachineStatus, STATUS_TTL, ShardMove},
         },
     },
     storage::{ControllerName, MachineId, ShardId, StateCache, TaskId, ZoneName},
@@ -118,11 +119,7 @@
         tracing::info!(%machine, reason = ?ReleaseReason::Unresponsive, "release scheduled");
         state.releasing.insert(
             machine,
-            PendingRelease {
-                reason: ReleaseReason::Unresponsive,
-                since: now,
-                in_flight: false,
-            },
+            PendingRelease::new(ReleaseReason::Unresponsive, now),
         );
     }
 
@@ -170,14 +167,21 @@
                     refusing.insert(id.clone());
                     continue;
                 }
-                if let Some((held, since_heartbeat)) = state.owned_machine(controller, id) {
+                if let Some(OwnedMachineStatus {
+                    machine: held,
+                    since_heartbeat,
+                }) = state.owned_machine(controller, id)
+                {
                     // Only one that its owner has not heard lately is looked
                     // for elsewhere: that is work for each machine.
                     let indirectly_heard = (since_heartbeat
                         > self.context.config.heartbeat_interval)
                         .then(|| state.indirectly_heard_by(controller, id))
                         .flatten()
-                        .filter(|(_, age)| *age < self.context.config.indirect_heartbeat_max_age());
+                        .filter(|contact| {
+                            contact.age < self.context.config.indirect_heartbeat_max_age()
+                        })
+                        .map(|contact| (contact.controller, contact.age));
                     match indirectly_heard {
                         Some((other, _)) if since_heartbeat > limit.mul_f64(0.7) => {
                             match state.fleet.indirect_probes.get(id) {
@@ -308,16 +312,8 @@
         state.owner_unreachable = Self::move_lost_shards(cache, state, owner_unreachable, now);
         state.fleet.refusing = refusing;
         for (id, reason) in found {
-            if !state.releasing.contains_key(&id) {
+            if state.schedule_release(&id, reason, now) {
                 tracing::info!(machine = %id, ?reason, "release scheduled");
-                state.releasing.insert(
-                    id.clone(),
-                    PendingRelease {
-                        reason,
-                        since: now,
-                        in_flight: false,
-                    },
-                );
             }
             state.fleet.draining_machines.remove(&id);
         }
@@ -369,7 +365,13 @@
             if !state.moving.contains_key(id) {
                 tracing::info!(shard = %id, from = %shard.controller, to = %target, lost,
                     "shard owner lost its agents");
-                state.moving.insert(*id, (target, now));
+                state.moving.insert(
+                    *id,
+                    ShardMove {
+                        to: target,
+                        since: now,
+                    },
+                );
             }
         }
         owner_unreachable
@@ -458,8 +460,8 @@
         }
         let is_stable = |controller: &ControllerName| {
             state.statuses.get(controller).is_some_and(|peer| {
-                peer.at.elapsed() < super::super::STATUS_TTL
-                    && peer.since.elapsed() > MIN_UPTIME
+                peer.age() < STATUS_TTL
+                    && peer.first_received_at.elapsed() > MIN_UPTIME
                     && Some(peer.incarnation)
                         == cache
                             .controllers
@@ -507,7 +509,13 @@
         }
         if let Some((_, id, other)) = best {
             tracing::info!(shard = %id, to = %other, "shard rebalanced");
-            state.moving.insert(id, (other, now));
+            state.moving.insert(
+                id,
+                ShardMove {
+                    to: other,
+                    since: now,
+                },
+            );
         }
     }
 
--- a/src/coordination/leader/fleet/inventory.rs
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -10,7 +10,8 @@
         context::lock,
         leader::{
             Leader,
-            fleet::{FleetState, PendingRelease, ReleaseReason},
+            fleet::{FleetState, ReleaseReason},
+            state::STATUS_TTL,
         },
     },
     storage::{
@@ -102,17 +103,9 @@
             for machine in list {
                 if cache.machines.contains_key(&machine.id) {
                     if machine.stage == MachineStage::Failed
-                        && !state.releasing.contains_key(&machine.id)
+                        && state.schedule_release(&machine.id, ReleaseReason::Failed, now)
                     {
                         tracing::info!(machine = %machine.id, "listed as failed");
-                        state.releasing.insert(
-                            machine.id.clone(),
-                            PendingRelease {
-                                reason: ReleaseReason::Failed,
-                                since: now,
-                                in_flight: false,
-                            },
-                        );
                     }
                     continue;
                 }
@@ -134,7 +127,7 @@
             let has_heartbeat: Vec<IndirectHeartbeat> = state
                 .statuses
                 .values()
-                .filter(|peer| peer.at.elapsed() < super::super::STATUS_TTL)
+                .filter(|peer| peer.age() < STATUS_TTL)
                 .flat_map(|peer| peer.indirect_heartbeats.values().cloned())
                 .collect();
             for seen in has_heartbeat {
--- a/src/coordination/leader/fleet/mod.rs
+++ b/src/coordination/leader/fleet/mod.rs
@@ -51,6 +51,15 @@
 }
 
 impl PendingRelease {
+    /// A release that is to be sent to the cloud.
+    pub fn new(reason: ReleaseReason, since: Instant) -> Self {
+        Self {
+            reason,
+            since,
+            in_flight: false,
+        }
+    }
+
     /// Whether it is emptied before it goes.
     pub fn drains_first(&self) -> bool {
         matches!(
--- a/src/coordination/leader/quota_targets.rs
+++ b/src/coordination/leader/quota_targets.rs
@@ -1,11 +1,13 @@
-//! What the leader tells the controllers of their budgets, if they transfer quota to each
-//! other.
+//! Sends the controllers what their budgets should be, if they transfer quota to each other.
+//!
+//! Targets are not written: a controller that misses one gets it again, as long as some team's
+//! quota is lacking somewhere.
 
 use std::{sync::Arc, time::Duration};
 
 use tokio::time::Instant;
 
-use super::{Leader, shards::Targets};
+use super::{Leader, shards::Targets, state::SentTargets};
 use crate::{
     coordination::{
         clients::{PeerRequest, QuotaTargets},
@@ -14,8 +16,8 @@
     storage::StateCache,
 };
 
-/// Targets that have not changed are told again after this long.
-const REPEATED_AFTER: Duration = Duration::from_millis(500);
+/// Targets that have not changed are sent again after this long.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Leader {
     /// Whether every living controller transfers quota. Otherwise the leader takes and
@@ -39,7 +41,7 @@
         claim.is_some_and(|claim| cache.revision >= claim)
     }
 
-    /// Tells each controller its targets.
+    /// Sends each controller its targets, unless the same were sent a moment ago.
     pub(super) fn send_quota_targets(self: &Arc<Self>, targets: &Targets) {
         if targets.is_empty() {
             return;
@@ -49,14 +51,16 @@
         };
         {
             let mut state = lock(&self.state);
-            let is_known = state
-                .sent_targets
-                .as_ref()
-                .is_some_and(|(peer, at)| peer == targets && at.elapsed() < REPEATED_AFTER);
-            if is_known {
+            let is_repetition = state.sent_targets.as_ref().is_some_and(|sent| {
+                sent.targets == *targets && sent.at.elapsed() < REPEAT_INTERVAL
+            });
+            if is_repetition {
                 return;
             }
-            state.sent_targets = Some((targets.clone(), Instant::now()));
+            state.sent_targets = Some(SentTargets {
+                targets: targets.clone(),
+                at: Instant::now(),
+            });
         }
         for (controller, budgets) in targets {
             let budgets = budgets.clone();
@@ -65,12 +69,9 @@
                 self.quota.accept_targets(targets);
                 continue;
             }
-            let (this, controller) = (self.clone(), controller.clone());
-            tokio::spawn(async move {
-                // Unanswered: they are told again as long as quota is lacking.
-                let call = PeerRequest::SetQuotaTargets(targets);
-                let _ = this.context.peers.call(&controller, call).await;
-            });
+            // Unanswered: they are sent again as long as quota is lacking.
+            let request = PeerRequest::SetQuotaTargets(targets);
+            self.spawn_peer_request(controller.clone(), request, |_, _| {});
         }
     }
 }
--- a/src/coordination/leader/zone_assignment.rs
+++ b/src/coordination/leader/zone_assignment.rs
@@ -19,7 +19,7 @@
 
 /// Between two changes of a job's zone, so that it does not go to and fro between zones
 /// that others fill.
-const REST: Duration = Duration::from_secs(5);
+const ASSIGNMENT_CHANGE_INTERVAL: Duration = Duration::from_secs(5);
 /// Zones written in one pass.
 const ASSIGNMENTS_PER_PASS: usize = 4;
 
@@ -27,11 +27,7 @@
     /// Writes the zones that routing has chosen, or takes them back.
     pub(super) async fn write_zone_assignments(&self, changes: Vec<ZoneAssignment>) {
         for change in changes.into_iter().take(ASSIGNMENTS_PER_PASS) {
-            if self
-                .context
-                .store
-                .commit_wait(RequestPriority::Placement)
-                .is_some()
+            if !self.may_commit_now(RequestPriority::Placement)
                 || !self.may_change_assignment(&change)
             {
                 continue;
@@ -57,7 +53,9 @@
     /// A zone may follow at once on the one that was taken back.
     fn may_change_assignment(&self, change: &ZoneAssignment) -> bool {
         let mut state = lock(&self.state);
-        state.zone_assignments.retain(|_, at| at.elapsed() < REST);
+        state
+            .zone_assignments
+            .retain(|_, at| at.elapsed() < ASSIGNMENT_CHANGE_INTERVAL);
         change.zone.is_some() || !state.zone_assignments.contains_key(&change.job)
     }
 }
@@ -88,7 +86,7 @@
 
 /// Whether no task of the job can be in another zone: every placement made under an
 /// earlier spec is in the replica, and so is every machine that is still provisioned.
-fn may_assign(cache: &StateCache, job: &Job, spec: Revision, zone: &ZoneName) -> bool {
+fn may_assign(cache: &StateCache, job: &Job, spec_revision: Revision, zone: &ZoneName) -> bool {
     let caught_up = cache
         .machine_groups
         .values()
@@ -97,6 +95,6 @@
         .present_placements()
         .map(|(_, placement)| cache.machines.get(&placement.machine));
     caught_up
-        && spec <= cache.revision
+        && spec_revision <= cache.revision
         && zones.all(|machine| machine.is_some_and(|machine| machine.zone == *zone))
 }
