--- a/src/coordination/leader/fleet/autoscaler.rs
+++ b/src/coordination/leader/fleet/autoscaler.rs
@@ -1,4 +1,8 @@
-//! The band's rounds and the remedial rule between them.
+//! Decides what to provision: by the miss-rate band in rounds, and by the remedial rule
+//! between them.
+//!
+//! Called in each pass of the fleet manager with the state locked. What it returns is written
+//! down as provision requests before anything is sent to the cloud.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,36 +11,42 @@
 
 use tokio::time::Instant;
 
-use super::market::{Demand, Market, booting_candidates, empty_candidate, used_machines};
+use super::market::{Demand, Market, booting_candidates, requested_candidates, used_machines};
 use crate::{
     coordination::{
+        Tuning,
         leader::{
             Leader,
-            fleet::FleetState,
-            pool::{Pool, ProvisionPlan, Suited},
+            miss_rate::MissRateWindow,
+            pool::{Pool, ProvisionPlan, WantedMachines},
             routing::Unplaced,
             state::LeaderState,
         },
-        policy::{band, remedial, scale_in},
+        policy::remedial,
     },
     storage::{MachineId, StateCache},
 };
 
 /// Machines provisioned with one request.
-pub(super) const MACHINES_PER_REQUEST: u32 = 50;
+const MACHINES_PER_REQUEST: u32 = 50;
 /// Requests that one pass writes down.
 const MAX_REQUESTS_PER_PASS: usize = 24;
-/// One of so many machines is marked in a round.
-const MACHINES_PER_DRAIN: usize = 16;
-/// One of so many machines that stand idle is marked in a round.
-const IDLE_MACHINES_PER_DRAIN: usize = 3;
-/// One of so many machines may stand idle for the next jobs.
-const RESERVE_FRACTION: usize = 4;
-/// Machines for which replicas' room elsewhere is looked for in one round.
-const MAX_RELOCATION_CHECKS: usize = 24;
+/// Between two evaluations of the remedial rule.
+const REMEDIAL_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The machines that the waiting tasks need.
+pub(super) struct MachineNeed<'a> {
+    /// Waiting tasks that found no room.
+    pub(super) unplaced: &'a [Unplaced],
+    /// Machines of each pool that these would fill beyond those booting.
+    pub(super) by_pool: BTreeMap<Pool, f64>,
+    /// Machines booting or requested.
+    pub(super) booting_count: u32,
+}
 
 impl Leader {
-    /// The band's round, and the remedial rule between rounds.
+    /// Evaluates the miss-rate band if its round is due, else the remedial rule if that is
+    /// due. Returns what is to be provisioned.
     pub(super) fn evaluate_scaling(
         &self,
         cache: &StateCache,
@@ -44,7 +54,7 @@
         now: Instant,
     ) -> Vec<ProvisionPlan> {
         let tuning = &self.context.config.tuning;
-        let wall = (self.context.config.wall)();
+        let now_ms = self.context.config.now_ms();
         let up: BTreeSet<MachineId> = cache
             .machines
             .keys()
@@ -60,248 +70,136 @@
             ..
         } = state;
         let refused = fleet.refused.clone();
+        let wall = (self.context.config.wall)();
         let market = Market::new(cache, &refused, tuning, now, wall);
-        miss_rate.add_starvation(unplaced.iter().map(|item| &item.job), now);
-        miss_rate.observe(
-            cache,
-            now,
-            wall,
-            tuning.start_target,
-            tuning.window,
-            |spec| {
-                let suited = market.suited(Demand::of_spec(spec), spec.tasks, false);
-                suited.into_iter().next().map(|suited| suited.pool)
-            },
-        );
-        let mut booting =
-            booting_candidates(cache, self.context.config.now_ms(), |id| up.contains(id));
-        // Provision requests on their way count as well.
-        for entry in cache.provision_requests.values() {
-            if let Some(kind) = cache.machine_type(&entry.value.kind) {
-                for _ in 0..entry.value.count {
-                    booting.push(empty_candidate(kind, &entry.value.zone, entry.value.spot));
-                }
-            }
-        }
-        let booting_count = booting.len() as u32;
-        let mut need = market.need(unplaced, &mut booting);
-        let round_due = fleet
+        observe_miss_rate(miss_rate, &market, unplaced, tuning);
+        let need = machine_need(&market, unplaced, now_ms, &up);
+        let is_round_due = fleet
             .last_round
             .or(*elected_at)
             .is_none_or(|at| now.duration_since(at) >= tuning.round);
-        let remedial_due = fleet
+        let is_remedial_due = fleet
             .last_remedial
-            .is_none_or(|at| now.duration_since(at) >= Duration::from_secs(1));
-        let mut wanted: Vec<(Pool, u32)> = Vec::new();
-        if round_due {
+            .is_none_or(|at| now.duration_since(at) >= REMEDIAL_INTERVAL);
+        let mut wanted: Vec<WantedMachines> = Vec::new();
+        if is_round_due {
             fleet.last_round = Some(now);
-            let machines = used_machines(cache, tuning.paid, self.context.config.now_ms(), |id| {
-                up.contains(id)
-            });
-            wanted = self.evaluate_band(&market, fleet, miss_rate, (unplaced, &need), machines);
+            let machines = used_machines(cache, tuning.paid, now_ms, |id| up.contains(id));
+            wanted = self.evaluate_band(&market, fleet, miss_rate, &need, machines);
             tracing::info!(?routing_counts, "waiting tasks");
-        } else if remedial_due {
+        } else if is_remedial_due {
             fleet.last_remedial = Some(now);
-            // Exception to section 5.4, see docs/DESIGN.md: a job of many tasks
-            // counts as the machines that they fill.
-            let fills: f64 = market.need(unplaced, &mut []).values().sum();
-            let mut left = remedial::scale_out(
-                unplaced.len().max(fills.ceil() as usize),
-                tuning.remedial_theta,
-                tuning.beta,
-                booting_count,
-            );
-            left = left.max(std::mem::take(&mut fleet.unfilled));
-            // Exception to section 5.4, see docs/DESIGN.md: never more than the
-            // waiting tasks would fill.
-            while left > 0
-                && let Some((pool, most)) = need
-                    .iter()
-                    .max_by(|a, b| a.1.total_cmp(b.1))
-                    .map(|(pool, most)| (pool.clone(), *most))
-                && most > 0.0
-            {
-                let count = (most.ceil() as u32).min(left);
-                left -= count;
-                need.remove(&pool);
-                tracing::info!(%pool, count, jobs = unplaced.len(),
-                    booting = booting_count, "remedial scale-out");
-                wanted.push((pool, count));
-            }
+            let unfilled = std::mem::take(&mut fleet.unfilled);
+            wanted = evaluate_remedial(&market, need, unfilled, tuning);
         }
         if !wanted.is_empty() {
             fleet.draining_machines.clear();
         }
-        let mut provision_requests = Vec::new();
-        for (pool, count) in wanted {
-            for (zone, mut count) in market.split(&pool, count) {
-                while count > 0 && provision_requests.len() < MAX_REQUESTS_PER_PASS {
-                    let part = count.min(MACHINES_PER_REQUEST);
-                    provision_requests.push(ProvisionPlan {
-                        pool: pool.clone(),
-                        zone: zone.clone(),
-                        count: part,
-                    });
-                    count -= part;
-                }
-            }
-        }
-        provision_requests
+        provision_plans(&market, wanted)
     }
+}
 
-    fn evaluate_band(
-        &self,
-        market: &Market<'_>,
-        fleet: &mut FleetState,
-        miss_rate: &super::super::miss_rate::MissRateWindow,
-        (unplaced, need): (&[Unplaced], &BTreeMap<Pool, f64>),
-        machines: Vec<(scale_in::MachineUtilisation<MachineId>, bool)>,
-    ) -> Vec<(Pool, u32)> {
-        let cache = market.cache;
-        let tuning = &self.context.config.tuning;
-        let mut queue: BTreeMap<Pool, f64> = BTreeMap::new();
-        let mut overdue = Vec::new();
-        let mut waiting = 0;
-        for item in unplaced {
-            if !cache.jobs.contains_key(&item.job) {
-                continue;
-            }
-            waiting += item.tasks;
-            let mut nowhere = item.tasks;
-            for Suited { pool, tasks } in market.suited_waiting(item) {
-                nowhere -= tasks;
-                *queue.entry(pool.clone()).or_default() += f64::from(tasks);
-                if item.overdue {
-                    overdue.push((Some(pool), tasks));
-                }
-            }
-            if item.overdue && nowhere > 0 {
-                overdue.push((None, nowhere));
-            }
-        }
-        let misses = miss_rate.misses(&overdue);
-        let mut pools: BTreeSet<Pool> = queue.keys().cloned().collect();
-        pools.extend(misses.shares.keys().cloned());
-        let pools: Vec<Pool> = pools.into_iter().collect();
-        let loads: Vec<band::TypeLoad> = pools
-            .iter()
-            .map(|pool| band::TypeLoad {
-                miss_share: misses.shares.get(pool).copied().unwrap_or(0.0),
-                queue_share: queue.get(pool).copied().unwrap_or(0.0) / f64::from(waiting.max(1)),
-                least_utilisation: machines
-                    .iter()
-                    .filter(|(used, _)| {
-                        let machine = cache.machines.get(&used.id);
-                        machine.is_some_and(|machine| pool.contains(machine))
-                    })
-                    .map(|(used, _)| used.utilisation)
-                    .min_by(f64::total_cmp),
-                need: need.get(pool).map_or(0, |need| need.ceil() as u32),
-            })
-            .collect();
-        let arrivals = miss_rate.arrival_rate(tuning.window);
-        let provision_requests = band::scale_out(
-            misses.rate,
-            arrivals,
-            &loads,
-            &band::Thresholds {
-                beta: tuning.beta,
-                miss_weight: tuning.miss_weight,
-                demand: tuning.demand_threshold,
-                utilisation: tuning.utilisation_threshold,
-            },
-        );
-        let total: u32 = provision_requests.iter().sum();
-        let used: f64 = machines.iter().map(|(m, _)| m.utilisation * m.power).sum();
-        let size: f64 = machines.iter().map(|(m, _)| m.power).sum();
-        tracing::info!(
-            miss_rate = misses.rate,
-            arrivals,
-            waiting,
-            machines = machines.len(),
-            utilisation = used / size.max(1.0),
-            marked = fleet.draining_machines.len(),
-            renting = total,
-            "band"
-        );
-        let kinds = cache
-            .catalog
-            .as_ref()
-            .map_or(1, |entry| entry.value.types.len());
-        // Exception to section 5.3.2, see docs/DESIGN.md: one machine a round would
-        // take hours for a large fleet. Of those that stand idle beyond a reserve
-        // for the next jobs more are marked, which takes nothing from anybody now.
-        let idle = machines
-            .iter()
-            .filter(|(used, _)| {
-                used.utilisation <= 0.0 && !fleet.draining_machines.contains(&used.id)
-            })
-            .count();
-        let spare = idle.saturating_sub(machines.len() / RESERVE_FRACTION);
-        let most = (machines.len() / MACHINES_PER_DRAIN)
-            .max(spare / IDLE_MACHINES_PER_DRAIN)
-            .max(1);
-        // A draining machine that is idle already only waits for its paid period's
-        // end, which need not keep others from being marked.
-        let emptying = fleet
-            .draining_machines
-            .iter()
-            .filter(|id| cache.on_machine.contains_key(*id))
-            .count();
-        let most = most.saturating_sub(emptying);
-        if total == 0 && most > 0 {
-            let mut services: BTreeSet<MachineId> = BTreeSet::new();
-            let mut candidates: Vec<scale_in::MachineUtilisation<MachineId>> = Vec::new();
-            for (used, service) in machines {
-                if fleet.draining_machines.contains(&used.id) {
-                    continue;
-                }
-                if service {
-                    services.insert(used.id.clone());
-                }
-                candidates.push(used);
-            }
-            let mut except = fleet.refusing.clone();
-            except.extend(fleet.draining_machines.iter().cloned());
-            let mut tried = 0;
-            let mut newly_draining = 0;
-            while newly_draining < most && tried < MAX_RELOCATION_CHECKS {
-                let selected = scale_in::select_machine(
-                    misses.rate,
-                    waiting as usize,
-                    &candidates,
-                    kinds,
-                    &scale_in::Thresholds {
-                        alpha: tuning.alpha,
-                        evenness: tuning.evenness_threshold,
-                        utilisation: tuning.utilisation_threshold,
-                    },
-                )
-                .cloned();
-                let Some(used) = selected else {
-                    break;
-                };
-                candidates.retain(|other| other.id != used.id);
-                // A replica runs until its job is cancelled, so that a machine
-                // with one never goes empty by itself: it is marked only if its
-                // replicas have room elsewhere, to where they are moved.
-                if services.contains(&used.id) {
-                    tried += 1;
-                    if !self.can_relocate_replicas(cache, &used.id, &except) {
-                        continue;
-                    }
-                }
-                tracing::info!(machine = %used.id, utilisation = used.utilisation,
-                    "scale-in: machine draining");
-                except.insert(used.id.clone());
-                fleet.draining_machines.insert(used.id);
-                newly_draining += 1;
+/// Takes note of which tasks have started, ended and waited since the last pass.
+fn observe_miss_rate(
+    miss_rate: &mut MissRateWindow,
+    market: &Market<'_>,
+    unplaced: &[Unplaced],
+    tuning: &Tuning,
+) {
+    miss_rate.add_starvation(unplaced.iter().map(|waiting| &waiting.job), market.now());
+    miss_rate.observe(
+        market.cache,
+        market.now(),
+        market.wall(),
+        tuning.start_target,
+        tuning.window,
+        |spec| {
+            let suited = market.suited(Demand::of_spec(spec), spec.tasks, false);
+            suited.into_iter().next().map(|suited| suited.pool)
+        },
+    );
+}
+
+fn machine_need<'a>(
+    market: &Market<'_>,
+    unplaced: &'a [Unplaced],
+    now_ms: u64,
+    up: &BTreeSet<MachineId>,
+) -> MachineNeed<'a> {
+    let mut booting = booting_candidates(market.cache, now_ms, |id| up.contains(id));
+    booting.extend(requested_candidates(market.cache));
+    let booting_count = booting.len() as u32;
+    MachineNeed {
+        unplaced,
+        by_pool: market.need(unplaced, &mut booting),
+        booting_count,
+    }
+}
+
+/// The remedial rule (paper, section 5.4). `unfilled` machines were asked for and no place
+/// had them.
+fn evaluate_remedial(
+    market: &Market<'_>,
+    need: MachineNeed<'_>,
+    unfilled: u32,
+    tuning: &Tuning,
+) -> Vec<WantedMachines> {
+    let MachineNeed {
+        unplaced,
+        mut by_pool,
+        booting_count,
+    } = need;
+    // Exception to section 5.4, see docs/DESIGN.md: a job of many tasks
+    // counts as the machines that they fill.
+    let filled_machines: f64 = market.need(unplaced, &mut []).values().sum();
+    let mut left = remedial::scale_out(
+        unplaced.len().max(filled_machines.ceil() as usize),
+        tuning.remedial_theta,
+        tuning.beta,
+        booting_count,
+    )
+    .max(unfilled);
+    // Exception to section 5.4, see docs/DESIGN.md: never more than the
+    // waiting tasks would fill.
+    let mut wanted = Vec::new();
+    while left > 0
+        && let Some((pool, machines)) = greatest_need(&by_pool)
+    {
+        let count = (machines.ceil() as u32).min(left);
+        left -= count;
+        by_pool.remove(&pool);
+        tracing::info!(%pool, count, jobs = unplaced.len(),
+            booting = booting_count, "remedial scale-out");
+        wanted.push(WantedMachines { pool, count });
+    }
+    wanted
+}
+
+/// The pool of which most machines are needed, with their number.
+fn greatest_need(by_pool: &BTreeMap<Pool, f64>) -> Option<(Pool, f64)> {
+    by_pool
+        .iter()
+        .max_by(|(_, left), (_, right)| left.total_cmp(right))
+        .map(|(pool, machines)| (pool.clone(), *machines))
+        .filter(|(_, machines)| *machines > 0.0)
+}
+
+/// Spreads what is wanted over zones and requests, as many as one pass writes down.
+fn provision_plans(market: &Market<'_>, wanted: Vec<WantedMachines>) -> Vec<ProvisionPlan> {
+    let mut plans = Vec::new();
+    for WantedMachines { pool, count } in wanted {
+        for share in market.split(&pool, count) {
+            let mut left = share.count;
+            while left > 0 && plans.len() < MAX_REQUESTS_PER_PASS {
+                let count = left.min(MACHINES_PER_REQUEST);
+                plans.push(ProvisionPlan {
+                    pool: pool.clone(),
+                    zone: share.zone.clone(),
+                    count,
+                });
+                left -= count;
             }
         }
-        pools
-            .into_iter()
-            .zip(provision_requests)
-            .filter(|(_, count)| *count > 0)
-            .collect()
     }
+    plans
 }
--- a/src/coordination/leader/fleet/inventory.rs
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -1,79 +1,54 @@
-//! Reads the cloud's catalog and machine list.
+//! Reconciles the records with the cloud's list of machines.
+//!
+//! The list lags behind: it may still show machines that were released, and not yet show
+//! those that were provisioned. Machines that it shows for long enough while no record names
+//! them are adopted; those that it shows as failed are released.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use tokio::time::Instant;
 
+use super::market::ProvisionTarget;
 use crate::{
     coordination::{
-        clients::{IndirectHeartbeat, ListedMachine, MachineStage},
+        clients::{ListedMachine, MachineStage},
         context::lock,
         leader::{
             Leader,
             fleet::{FleetState, ReleaseReason},
-            state::STATUS_TTL,
+            state::{LeaderState, STATUS_TTL},
         },
     },
     storage::{
-        ProvisionId, Revision, Transaction, TypeName, ZoneName, keys,
+        MachineId, Revision, StateCache, Transaction, keys,
         rate_limiter::{RateLimiter, RequestPriority},
-        records::{CatalogRecord, MachineGroupRecord},
+        records::MachineGroupRecord,
     },
 };
 
-impl Leader {
-    pub(super) async fn poll_catalog(&self, budget: &RateLimiter) {
-        {
-            let state = lock(&self.state);
-            let known = self.context.store.cache().catalog.is_some();
-            let every = Duration::from_secs(if known { 30 } else { 1 });
-            if state
-                .fleet
-                .last_catalog
-                .is_some_and(|at| at.elapsed() < every)
-            {
-                return;
-            }
-        }
-        lock(&self.state).fleet.last_catalog = Some(Instant::now());
-        budget.acquire(1.0, RequestPriority::Fencing).await;
-        let types = match self.context.cloud.catalog().await {
-            Ok(types) => types,
-            Err(error) => {
-                tracing::info!(%error, "the cloud's catalog cannot be read");
-                return;
-            }
-        };
-        let record = CatalogRecord { types };
-        let revision = {
-            let cache = self.context.store.cache();
-            match &cache.catalog {
-                Some(entry) if entry.value == record => return,
-                Some(entry) => entry.revision,
-                None => Revision(0),
-            }
-        };
-        let transaction = Transaction::default()
-            .require(keys::CATALOG.into(), revision)
-            .set(keys::CATALOG.into(), &record);
-        let _ = self
-            .commit_as_leader(transaction, RequestPriority::Fencing)
-            .await;
-    }
+/// Unknown machines of one kind and place taken on at a time.
+const ADOPTED_AT_ONCE: usize = 50;
+/// Prefix of the names of groups of adopted machines.
+const ADOPTED_ID_PREFIX: &str = "x";
+/// Returned machines are remembered for so long: copies of heartbeats come well over a lease late.
+const RELEASED_TTL: Duration = Duration::from_secs(600);
+/// The least time between two readings of the list.
+const MIN_POLL_INTERVAL: Duration = Duration::from_secs(5);
+/// The list may lag twice its time: it may still show machines
+/// that an earlier leader returned.
+const MAX_LAG_FACTOR: f64 = 2.5;
 
+/// A machine that no record names.
+struct UnknownMachine {
+    id: MachineId,
+    target: ProvisionTarget,
+}
+
+impl Leader {
+    /// Reads the list of machines if that is due, and reconciles it in a task of its own.
     pub(super) fn poll_inventory(self: &Arc<Self>, budget: &Arc<RateLimiter>) {
-        {
-            let mut state = lock(&self.state);
-            // It is behind by the lag anyway, and each page costs time.
-            let every = (self.context.config.list_lag / 2).max(Duration::from_secs(5));
-            if state
-                .fleet
-                .last_inventory
-                .is_some_and(|at| at.elapsed() < every)
-            {
-                return;
-            }
-            state.fleet.last_inventory = Some(Instant::now());
+        if !self.begin_inventory_poll() {
+            return;
         }
         let leader = self.clone();
         let budget = budget.clone();
@@ -86,115 +61,170 @@
         });
     }
 
+    /// Whether the list is to be read now.
+    fn begin_inventory_poll(&self) -> bool {
+        let mut state = lock(&self.state);
+        // It is behind by the lag anyway, and each page costs time.
+        let interval = (self.context.config.list_lag / 2).max(MIN_POLL_INTERVAL);
+        let is_recent = state
+            .fleet
+            .last_inventory
+            .is_some_and(|at| at.elapsed() < interval);
+        if is_recent {
+            return false;
+        }
+        state.fleet.last_inventory = Some(Instant::now());
+        true
+    }
+
     /// Machines that the cloud lists, or whose agents send heartbeats, but that are not
     /// in the cache: provisioned by a request that was executed late, perhaps.
-    pub(super) async fn reconcile_inventory(&self, list: Vec<ListedMachine>) {
-        let adopt: Vec<MachineGroupRecord> = {
+    async fn reconcile_inventory(&self, list: Vec<ListedMachine>) {
+        let groups = {
             let cache = self.context.store.cache();
             let mut state = lock(&self.state);
             let now = Instant::now();
-            let lag = self.context.config.list_lag;
             state
                 .fleet
                 .forget_released(self.context.config.machines_tracked, now);
-            let mut adopt = Vec::new();
-            let mut still = BTreeMap::new();
-            state.fleet.listed = list.iter().map(|machine| machine.id.clone()).collect();
-            for machine in list {
-                if cache.machines.contains_key(&machine.id) {
-                    if machine.stage == MachineStage::Failed
-                        && state.schedule_release(&machine.id, ReleaseReason::Failed, now)
-                    {
-                        tracing::info!(machine = %machine.id, "listed as failed");
-                    }
-                    continue;
-                }
-                if state.fleet.released.contains_key(&machine.id) {
-                    continue;
-                }
-                let since = state.fleet.unknown.get(&machine.id).copied().unwrap_or(now);
-                // The list may lag twice its time: it may still show machines
-                // that an earlier leader returned.
-                if now.duration_since(since) > lag.mul_f64(2.5) {
-                    adopt.push((machine.id, machine.kind, machine.zone, machine.spot));
-                } else {
-                    still.insert(machine.id, since);
-                }
-            }
-            state.fleet.unknown = still;
-            // Heard by some controller and listed: a heartbeat alone may be a copy
-            // of one from a machine that went back long ago.
-            let has_heartbeat: Vec<IndirectHeartbeat> = state
-                .statuses
-                .values()
-                .filter(|peer| peer.age() < STATUS_TTL)
-                .flat_map(|peer| peer.indirect_heartbeats.values().cloned())
-                .collect();
-            for seen in has_heartbeat {
-                let known = cache.machines.contains_key(&seen.machine)
-                    || state.fleet.released.contains_key(&seen.machine);
-                let listed = state.fleet.unknown.contains_key(&seen.machine);
-                if !known && listed && cache.provision_requests.is_empty() {
-                    adopt.push((seen.machine, seen.kind, seen.zone, seen.spot));
-                }
-            }
-            let at = self.context.config.now_ms();
-            let mut groups: BTreeMap<(TypeName, ZoneName, bool), MachineGroupRecord> =
-                BTreeMap::new();
-            for (id, kind, zone, spot) in adopt {
-                let key = (kind.clone(), zone.clone(), spot);
-                let group = groups.entry(key).or_insert_with(|| MachineGroupRecord {
-                    kind,
-                    zone,
-                    spot,
-                    provisioned_ms: at,
-                    machines: BTreeMap::new(),
-                });
-                if group.machines.len() < ADOPTED_AT_ONCE {
-                    group.machines.insert(id, None);
-                }
-            }
-            groups.into_values().collect()
+            release_failed(&cache, &mut state, &list, now);
+            let adopt_after = self.context.config.list_lag.mul_f64(MAX_LAG_FACTOR);
+            let mut unknown = note_unknown(&cache, &mut state.fleet, list, adopt_after, now);
+            unknown.extend(unknown_with_heartbeat(&cache, &state));
+            group_machines(unknown, self.context.config.now_ms())
         };
-        for group in adopt {
-            tracing::info!(machines = ?group.machines.keys(), "adopting unknown machines");
-            let name = {
-                let mut state = lock(&self.state);
-                state.fleet.provision_count += 1;
-                ProvisionId::new(format!(
-                    "x-{:016x}-{}",
-                    self.context.config.incarnation.0, state.fleet.provision_count
-                ))
-            };
-            let key = keys::machine_group(&name);
-            let transaction = Transaction::default()
-                .require(key.clone(), Revision(0))
-                .set(key, &group);
-            let _ = self
-                .commit_as_leader(transaction, RequestPriority::Background)
-                .await;
+        for group in groups {
+            self.adopt(group).await;
         }
     }
+
+    async fn adopt(&self, group: MachineGroupRecord) {
+        tracing::info!(machines = ?group.machines.keys(), "adopting unknown machines");
+        let name = lock(&self.state)
+            .fleet
+            .next_provision_id(ADOPTED_ID_PREFIX, self.context.config.incarnation);
+        let key = keys::machine_group(&name);
+        let transaction = Transaction::default()
+            .require(key.clone(), Revision(0))
+            .set(key, &group);
+        // Machines that are not adopted now are still listed next time.
+        let _ = self
+            .commit_as_leader(transaction, RequestPriority::Background)
+            .await;
+    }
 }
 
-/// Unknown machines of one kind and place taken on at a time.
-const ADOPTED_AT_ONCE: usize = 50;
-/// Returned machines are remembered for so long: copies of heartbeats come well over a lease late.
-const RELEASED_TTL: Duration = Duration::from_secs(600);
+/// Machines of ours that the cloud lists as failed go back.
+fn release_failed(
+    cache: &StateCache,
+    state: &mut LeaderState,
+    list: &[ListedMachine],
+    now: Instant,
+) {
+    for machine in list {
+        if cache.machines.contains_key(&machine.id)
+            && machine.stage == MachineStage::Failed
+            && state.schedule_release(&machine.id, ReleaseReason::Failed, now)
+        {
+            tracing::info!(machine = %machine.id, "listed as failed");
+        }
+    }
+}
+
+/// Notes since when the list shows machines that no record names. Returns those that it has
+/// shown for longer than it may lag.
+fn note_unknown(
+    cache: &StateCache,
+    fleet: &mut FleetState,
+    list: Vec<ListedMachine>,
+    adopt_after: Duration,
+    now: Instant,
+) -> Vec<UnknownMachine> {
+    let mut adopt = Vec::new();
+    let mut unknown_since = BTreeMap::new();
+    for machine in list {
+        if cache.machines.contains_key(&machine.id) || fleet.released.contains_key(&machine.id) {
+            continue;
+        }
+        let since = fleet.unknown.get(&machine.id).copied().unwrap_or(now);
+        if now.duration_since(since) > adopt_after {
+            adopt.push(UnknownMachine {
+                id: machine.id,
+                target: ProvisionTarget {
+                    kind: machine.kind,
+                    zone: machine.zone,
+                    spot: machine.spot,
+                },
+            });
+        } else {
+            unknown_since.insert(machine.id, since);
+        }
+    }
+    fleet.unknown = unknown_since;
+    adopt
+}
+
+/// Unknown machines that some controller hears and the cloud lists: a heartbeat alone may be
+/// a copy of one from a machine that went back long ago. None while a provision request is
+/// unanswered, as they may have come of it.
+fn unknown_with_heartbeat(cache: &StateCache, state: &LeaderState) -> Vec<UnknownMachine> {
+    if !cache.provision_requests.is_empty() {
+        return Vec::new();
+    }
+    state
+        .statuses
+        .values()
+        .filter(|peer| peer.age() < STATUS_TTL)
+        .flat_map(|peer| peer.indirect_heartbeats.values())
+        .filter(|heartbeat| {
+            !cache.machines.contains_key(&heartbeat.machine)
+                && !state.fleet.released.contains_key(&heartbeat.machine)
+                && state.fleet.unknown.contains_key(&heartbeat.machine)
+        })
+        .map(|heartbeat| UnknownMachine {
+            id: heartbeat.machine.clone(),
+            target: ProvisionTarget {
+                kind: heartbeat.kind.clone(),
+                zone: heartbeat.zone.clone(),
+                spot: heartbeat.spot,
+            },
+        })
+        .collect()
+}
+
+/// Records of machine groups, each of machines of one kind and place.
+fn group_machines(machines: Vec<UnknownMachine>, now_ms: u64) -> Vec<MachineGroupRecord> {
+    let mut groups: BTreeMap<ProvisionTarget, MachineGroupRecord> = BTreeMap::new();
+    for UnknownMachine { id, target } in machines {
+        let group = groups
+            .entry(target.clone())
+            .or_insert_with(|| MachineGroupRecord {
+                kind: target.kind,
+                zone: target.zone,
+                spot: target.spot,
+                provisioned_ms: now_ms,
+                machines: BTreeMap::new(),
+            });
+        if group.machines.len() < ADOPTED_AT_ONCE {
+            group.machines.insert(id, None);
+        }
+    }
+    groups.into_values().collect()
+}
 
 impl FleetState {
-    /// Forgets machines that were returned long ago, and beyond `most` the oldest.
-    fn forget_released(&mut self, most: usize, now: Instant) {
+    /// Forgets machines that were released long ago, and beyond `max_machines` the oldest.
+    fn forget_released(&mut self, max_machines: usize, now: Instant) {
         self.released
             .retain(|_, at| now.duration_since(*at) < RELEASED_TTL);
-        let excess = self.released.len().saturating_sub(most);
+        let excess = self.released.len().saturating_sub(max_machines);
         if excess == 0 {
             return;
         }
         tracing::info!(excess, "too many released machines to remember all");
         let mut times: Vec<Instant> = self.released.values().copied().collect();
         times.sort_unstable();
-        let oldest_kept = times[excess];
-        self.released.retain(|_, at| *at >= oldest_kept);
+        let oldest_remembered = times[excess];
+        self.released.retain(|_, at| *at >= oldest_remembered);
     }
 }
--- a/src/coordination/leader/fleet/mod.rs
+++ b/src/coordination/leader/fleet/mod.rs
@@ -1,116 +1,53 @@
 //! Scaling out, repairing and scaling in machines: the policy's rounds, and the
 //! calls to the cloud that follow from them.
+//!
+//! One loop decides under the state's lock what to provision, drain, release and move, and
+//! commits it; calls to the cloud and probes run in tasks of their own. All calls to the
+//! cloud share one rate limit.
 
+mod agent_addresses;
 mod autoscaler;
-pub mod failure_detector;
+mod catalog;
+mod drain_selection;
+mod eviction;
+mod failure_detector;
 mod inventory;
+mod machine_inspection;
 mod market;
+mod miss_rate_band;
+mod probes;
 mod provisioning;
 mod release;
+mod state;
 
-use std::{
-    collections::{BTreeMap, BTreeSet},
-    sync::Arc,
-    time::Duration,
-};
+use std::{sync::Arc, time::Duration};
 
-use market::{CapacityRefusal, Place};
 use tokio::time::Instant;
 
+pub use self::{
+    release::{PendingRelease, ReleaseReason},
+    state::FleetState,
+};
+use super::rebalance::rebalance;
 use crate::{
     coordination::{context::lock, leader::Leader},
-    storage::{
-        ControllerName, MachineId, ProvisionId, Revision, Transaction, keys,
-        rate_limiter::{RateLimiter, RequestPriority},
-        records::ProvisionRecord,
-    },
+    storage::rate_limiter::RateLimiter,
 };
 
-/// Why a machine goes back.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReleaseReason {
-    /// Not needed: marked, and its paid period is over.
-    ScaledIn,
-    /// Several jobs failed on it.
-    Quarantined,
-    /// Neither sends heartbeats nor answers: releasing it proves its tasks gone.
-    Unresponsive,
-    /// It does not come up.
-    BootTimeout,
-    /// The cloud says that it has stopped.
-    Failed,
-    /// Its heartbeats arrive, but no command reaches it.
-    CommandPathLost,
-}
-
-#[derive(Clone, Copy, Debug)]
-pub struct PendingRelease {
-    reason: ReleaseReason,
-    since: Instant,
-    in_flight: bool,
-}
-
-impl PendingRelease {
-    /// A release that is to be sent to the cloud.
-    pub fn new(reason: ReleaseReason, since: Instant) -> Self {
-        Self {
-            reason,
-            since,
-            in_flight: false,
-        }
-    }
-
-    /// Whether it is emptied before it goes.
-    pub fn drains_first(&self) -> bool {
-        matches!(
-            self.reason,
-            ReleaseReason::ScaledIn | ReleaseReason::Quarantined
-        )
-    }
-}
-
-#[derive(Default)]
-pub struct FleetState {
-    /// To be released, each at the end of its paid period.
-    pub draining_machines: BTreeSet<MachineId>,
-    refused: BTreeMap<Place, CapacityRefusal>,
-    /// Machines that a round asked for and no place had: asked for elsewhere.
-    unfilled: u32,
-    in_flight: BTreeSet<ProvisionId>,
-    next_try: BTreeMap<ProvisionId, Instant>,
-    /// Names of provision requests that this process has used.
-    pub(super) provision_count: u64,
-    last_round: Option<Instant>,
-    last_remedial: Option<Instant>,
-    last_catalog: Option<Instant>,
-    last_inventory: Option<Instant>,
-    /// Machines that no task is routed to now.
-    refusing: BTreeSet<MachineId>,
-    /// Machines on which several jobs have failed, since when.
-    quarantined_since: BTreeMap<MachineId, Instant>,
-    /// Unresponsive machines being probed by all controllers, or lately found up.
-    verifying: BTreeMap<MachineId, Instant>,
-    /// Machines heard by others than their owner, and who reaches them.
-    indirect_probes: BTreeMap<MachineId, failure_detector::IndirectProbe>,
-    /// Controllers that have lost shards of theirs, since when.
-    pub avoided_owners: BTreeMap<ControllerName, Instant>,
-    unknown: BTreeMap<MachineId, Instant>,
-    /// Names are never used again: what speaks under one of these is a copy.
-    released: BTreeMap<MachineId, Instant>,
-    /// Machines that the latest list of the cloud showed.
-    listed: BTreeSet<MachineId>,
-    last_addresses: Option<Instant>,
-}
-
-const PROVISION_REQUESTS_PER_COMMIT: usize = 8;
+/// Between two passes of the fleet manager.
+const PASS_INTERVAL: Duration = Duration::from_millis(400);
+/// The part of the cloud's rate limit that the leader's calls may use.
+const CLOUD_RATE_FRACTION: f64 = 0.8;
+/// The least number of calls to the cloud per second.
+const MIN_CLOUD_RATE: f64 = 0.5;
 
 impl Leader {
     /// Duty: the leader's slower loop.
-    pub(in super::super) async fn run_fleet_manager(self: &Arc<Self>) {
+    pub(in crate::coordination) async fn run_fleet_manager(self: &Arc<Self>) {
         let budget = Arc::new(RateLimiter::new(
-            (self.context.config.cloud_rps * 0.8).max(0.5),
+            (self.context.config.cloud_rps * CLOUD_RATE_FRACTION).max(MIN_CLOUD_RATE),
         ));
-        while self.context.pause(Duration::from_millis(400)).await {
+        while self.context.pause(PASS_INTERVAL).await {
             if !self.context.store.is_loaded()
                 || !self.context.store.is_reachable()
                 || self.context.leadership().is_none()
@@ -129,61 +66,27 @@
         }
     }
 
-    /// Decides what to provision, mark, return and move, and writes the provision requests down.
+    /// Decides what to provision, drain, release and move, and writes the provision requests
+    /// down.
     async fn evaluate_fleet(self: &Arc<Self>) {
-        let (provision_requests, unresponsive) = {
+        let (provision_plans, verifications) = {
             let cache = self.context.store.cache();
             if cache.catalog.is_none() {
                 return;
             }
             let mut state = lock(&self.state);
             let now = Instant::now();
-            let unresponsive = self.detect_failures(&cache, &mut state, now);
-            self.rebalance(&cache, &mut state, now);
-            (self.evaluate_scaling(&cache, &mut state, now), unresponsive)
+            let verifications = self.detect_failures(&cache, &mut state, now);
+            rebalance(&cache, &mut state, now);
+            (
+                self.evaluate_scaling(&cache, &mut state, now),
+                verifications,
+            )
         };
-        for quarantined in unresponsive {
+        for verification in verifications {
             let leader = self.clone();
-            tokio::spawn(async move { leader.verify_unresponsive(quarantined).await });
-        }
-        // Recorded before they are sent; several in one commit.
-        let parts = provision_requests.chunks(
-            self.context
-                .config
-                .state
-                .txn_ops
-                .min(PROVISION_REQUESTS_PER_COMMIT),
-        );
-        for part in parts {
-            let mut transaction = Transaction::default();
-            for group in part {
-                let name = {
-                    let mut state = lock(&self.state);
-                    state.fleet.provision_count += 1;
-                    // The incarnation is drawn at random for each process.
-                    ProvisionId::new(format!(
-                        "r-{:016x}-{}",
-                        self.context.config.incarnation.0, state.fleet.provision_count
-                    ))
-                };
-                let record = ProvisionRecord {
-                    kind: group.pool.kind.clone(),
-                    zone: group.zone.clone(),
-                    spot: group.pool.spot,
-                    count: group.count,
-                    at_ms: self.context.config.now_ms(),
-                };
-                let key = keys::provision_request(&name);
-                transaction = transaction
-                    .require(key.clone(), Revision(0))
-                    .set(key, &record);
-            }
-            let sent = self
-                .commit_as_leader(transaction, RequestPriority::Placement)
-                .await;
-            if sent.is_err() {
-                return;
-            }
+            tokio::spawn(async move { leader.verify_unresponsive(verification).await });
         }
+        self.record_provision_requests(&provision_plans).await;
     }
 }
--- a/src/coordination/leader/fleet/provisioning.rs
+++ b/src/coordination/leader/fleet/provisioning.rs
@@ -1,15 +1,19 @@
-//! Sends provision requests and writes down what came of them.
+//! Writes down provision requests, sends them and writes down what came of them.
+//!
+//! A request is written before it is sent, under a name that is never used again. It is sent
+//! under that name until it is answered, which the cloud answers with the same machines each
+//! time; so a request outlives the leader that wrote it.
 
-use std::{collections::BTreeMap, sync::Arc, time::Duration};
+use std::sync::Arc;
 
 use tokio::time::Instant;
 
-use super::market::CapacityRefusal;
+use super::market::{CapacityRefusal, ProvisionTarget};
 use crate::{
     coordination::{
         clients::{CloudError, ProvisionRequest},
         context::lock,
-        leader::Leader,
+        leader::{Leader, pool::ProvisionPlan},
     },
     storage::{
         MachineId, ProvisionId, Revision, Transaction, jitter, keys,
@@ -20,72 +24,107 @@
 
 /// Provision calls under way at a time; the cloud's limit paces them.
 const MAX_PROVISION_CALLS: usize = 12;
-/// Machines' addresses are written together, this often.
-const ADDRESSES: Duration = Duration::from_millis(2500);
+/// Provision requests written in one commit.
+const PROVISION_REQUESTS_PER_COMMIT: usize = 8;
+/// Prefix of the names of provision requests.
+const PROVISION_ID_PREFIX: &str = "r";
+/// Pause before a request that failed is sent again, in milliseconds.
+const MIN_RETRY_PAUSE_MS: u64 = 1500;
+const MAX_RETRY_PAUSE_MS: u64 = 3000;
+
+/// A provision request that is written down, with its name.
+struct NamedRequest {
+    name: ProvisionId,
+    record: ProvisionRecord,
+}
 
 impl Leader {
+    /// Writes requests down before they are sent, several in one commit. Stops at the first
+    /// commit that fails.
+    pub(super) async fn record_provision_requests(&self, plans: &[ProvisionPlan]) {
+        let max_requests = self
+            .context
+            .config
+            .state
+            .txn_ops
+            .min(PROVISION_REQUESTS_PER_COMMIT);
+        for part in plans.chunks(max_requests) {
+            let mut transaction = Transaction::default();
+            for plan in part {
+                let name = lock(&self.state)
+                    .fleet
+                    .next_provision_id(PROVISION_ID_PREFIX, self.context.config.incarnation);
+                let record = ProvisionRecord {
+                    kind: plan.pool.kind.clone(),
+                    zone: plan.zone.clone(),
+                    spot: plan.pool.spot,
+                    count: plan.count,
+                    at_ms: self.context.config.now_ms(),
+                };
+                let key = keys::provision_request(&name);
+                transaction = transaction
+                    .require(key.clone(), Revision(0))
+                    .set(key, &record);
+            }
+            let committed = self
+                .commit_as_leader(transaction, RequestPriority::Placement)
+                .await;
+            if committed.is_err() {
+                return;
+            }
+        }
+    }
+
     /// Sends the provision requests that are written down, each under its own name until it
     /// is answered; also those that an earlier leader left.
     pub(super) fn send_provision_requests(self: &Arc<Self>, budget: &Arc<RateLimiter>) {
-        let due: Vec<(ProvisionId, ProvisionRecord)> = {
-            let cache = self.context.store.cache();
-            let mut state = lock(&self.state);
-            let now = Instant::now();
-            let fleet = &mut state.fleet;
-            fleet
-                .next_try
-                .retain(|name, _| cache.provision_requests.contains_key(name));
-            let due: Vec<_> = cache
-                .provision_requests
-                .iter()
-                .filter(|(name, _)| {
-                    !fleet.in_flight.contains(*name)
-                        && fleet.next_try.get(*name).is_none_or(|at| *at <= now)
-                })
-                .take(MAX_PROVISION_CALLS)
-                .map(|(name, entry)| (name.clone(), entry.value.clone()))
-                .collect();
-            fleet
-                .in_flight
-                .extend(due.iter().map(|(name, _)| name.clone()));
-            due
-        };
-        for (name, record) in due {
+        for request in self.take_due_requests() {
             let leader = self.clone();
             let budget = budget.clone();
             tokio::spawn(async move {
                 budget.acquire(1.0, RequestPriority::Fencing).await;
-                let wanted = ProvisionRequest {
-                    kind: record.kind.clone(),
-                    zone: record.zone.clone(),
-                    spot: record.spot,
-                    count: record.count,
-                };
-                let answer = leader.context.cloud.provision(&name, &wanted).await;
-                leader
-                    .handle_provision_response(&name, &record, answer)
-                    .await;
-                lock(&leader.state).fleet.in_flight.remove(&name);
+                leader.provision(&request).await;
+                lock(&leader.state).fleet.in_flight.remove(&request.name);
             });
         }
     }
 
-    pub(super) async fn handle_provision_response(
-        &self,
-        name: &ProvisionId,
-        record: &ProvisionRecord,
-        answer: Result<Vec<MachineId>, CloudError>,
-    ) {
-        let place = (record.kind.clone(), record.zone.clone(), record.spot);
-        let refuse = |missing: u32| {
-            let mut state = lock(&self.state);
-            let fleet = &mut state.fleet;
-            let refusal = CapacityRefusal::after(fleet.refused.get(&place), Instant::now());
-            fleet.refused.insert(place.clone(), refusal);
-            fleet.unfilled = fleet.unfilled.max(missing);
-            // The next best place is asked at once.
-            fleet.last_remedial = None;
+    fn take_due_requests(&self) -> Vec<NamedRequest> {
+        let cache = self.context.store.cache();
+        let mut state = lock(&self.state);
+        let now = Instant::now();
+        let fleet = &mut state.fleet;
+        fleet
+            .next_try
+            .retain(|name, _| cache.provision_requests.contains_key(name));
+        let is_due = |name: &ProvisionId| {
+            !fleet.in_flight.contains(name) && fleet.next_try.get(name).is_none_or(|at| *at <= now)
         };
+        let due: Vec<NamedRequest> = cache
+            .provision_requests
+            .iter()
+            .filter(|(name, _)| is_due(name))
+            .take(MAX_PROVISION_CALLS)
+            .map(|(name, entry)| NamedRequest {
+                name: name.clone(),
+                record: entry.value.clone(),
+            })
+            .collect();
+        let names = due.iter().map(|request| request.name.clone());
+        fleet.in_flight.extend(names);
+        due
+    }
+
+    /// Sends one request to the cloud, and writes down its answer.
+    async fn provision(&self, request: &NamedRequest) {
+        let NamedRequest { name, record } = request;
+        let wanted = ProvisionRequest {
+            kind: record.kind.clone(),
+            zone: record.zone.clone(),
+            spot: record.spot,
+            count: record.count,
+        };
+        let answer = self.context.cloud.provision(name, &wanted).await;
         let revision = {
             let cache = self.context.store.cache();
             match cache.provision_requests.get(name) {
@@ -94,50 +133,16 @@
             }
         };
         match answer {
-            Ok(machines) => {
-                tracing::info!(%name, kind = %record.kind, zone = %record.zone,
-                    spot = record.spot, asked = record.count, got = machines.len(), "machines provisioned");
-                if machines.len() < record.count as usize {
-                    refuse(record.count - machines.len() as u32);
-                } else {
-                    lock(&self.state).fleet.refused.remove(&place);
-                }
-                let mut transaction = Transaction::default()
-                    .require(keys::provision_request(name), revision)
-                    .remove(keys::provision_request(name));
-                if !machines.is_empty() {
-                    let group = MachineGroupRecord {
-                        kind: record.kind.clone(),
-                        zone: record.zone.clone(),
-                        spot: record.spot,
-                        provisioned_ms: record.at_ms,
-                        machines: machines.into_iter().map(|id| (id, None)).collect(),
-                    };
-                    let key = keys::machine_group(name);
-                    transaction = transaction
-                        .require(key.clone(), Revision(0))
-                        .set(key, &group);
-                }
-                // Unanswered, the request is repeated under its name, which the
-                // cloud answers with the same machines.
-                let _ = self
-                    .commit_as_leader(transaction, RequestPriority::Placement)
-                    .await;
-            }
+            Ok(machines) => self.record_provisioned(request, revision, machines).await,
             Err(CloudError::NoCapacity) => {
                 tracing::info!(%name, kind = %record.kind, zone = %record.zone,
                     spot = record.spot, "no capacity");
-                refuse(record.count);
-                let transaction = Transaction::default()
-                    .require(keys::provision_request(name), revision)
-                    .remove(keys::provision_request(name));
-                let _ = self
-                    .commit_as_leader(transaction, RequestPriority::Placement)
-                    .await;
+                self.note_refusal(record, record.count);
+                self.finish_request(name, revision, None).await;
             }
             Err(error) => {
                 tracing::info!(%name, %error, "provision request to be retried");
-                let pause = jitter::millis(1500, 3000);
+                let pause = jitter::millis(MIN_RETRY_PAUSE_MS, MAX_RETRY_PAUSE_MS);
                 lock(&self.state)
                     .fleet
                     .next_try
@@ -146,56 +151,63 @@
         }
     }
 
-    /// Writes down where agents listen, which a new owner needs to look at a
-    /// machine that it has never heard. Many come up in the same seconds, so that
-    /// these are written together.
-    pub(super) async fn write_addresses(&self) {
-        let transaction = {
-            let cache = self.context.store.cache();
-            let mut state = lock(&self.state);
-            if state
-                .fleet
-                .last_addresses
-                .is_some_and(|at| at.elapsed() < ADDRESSES)
-            {
-                return;
-            }
-            let mut changed: BTreeMap<&ProvisionId, MachineGroupRecord> = BTreeMap::new();
-            for (id, held) in state.statuses.values().flat_map(|peer| &peer.owned) {
-                let (Some(address), Some(record)) = (&held.address, cache.machines.get(id)) else {
-                    continue;
-                };
-                if record.address.as_ref() == Some(address) {
-                    continue;
-                }
-                let full = changed.len() >= self.context.config.state.txn_ops / 2;
-                if full && !changed.contains_key(&record.machine_group) {
-                    continue;
-                }
-                let Some(entry) = cache.machine_groups.get(&record.machine_group) else {
-                    continue;
-                };
-                changed
-                    .entry(&record.machine_group)
-                    .or_insert_with(|| entry.value.clone())
-                    .machines
-                    .insert(id.clone(), Some(address.clone()));
-            }
-            if changed.is_empty() {
-                return;
-            }
-            let mut transaction = Transaction::default();
-            for (name, group) in &changed {
-                let revision = cache
-                    .machine_groups
-                    .get(*name)
-                    .map_or(Revision(0), |k| k.revision);
-                let key = keys::machine_group(name);
-                transaction = transaction.require(key.clone(), revision).set(key, group);
-            }
-            state.fleet.last_addresses = Some(Instant::now());
-            transaction
-        };
+    /// The cloud has provisioned machines, perhaps fewer than were asked for.
+    async fn record_provisioned(
+        &self,
+        request: &NamedRequest,
+        revision: Revision,
+        machines: Vec<MachineId>,
+    ) {
+        let NamedRequest { name, record } = request;
+        tracing::info!(%name, kind = %record.kind, zone = %record.zone,
+            spot = record.spot, asked = record.count, got = machines.len(), "machines provisioned");
+        if machines.len() < record.count as usize {
+            self.note_refusal(record, record.count - machines.len() as u32);
+        } else {
+            let target = ProvisionTarget::from(record);
+            lock(&self.state).fleet.refused.remove(&target);
+        }
+        let group = (!machines.is_empty()).then(|| MachineGroupRecord {
+            kind: record.kind.clone(),
+            zone: record.zone.clone(),
+            spot: record.spot,
+            provisioned_ms: record.at_ms,
+            machines: machines.into_iter().map(|id| (id, None)).collect(),
+        });
+        // Unanswered, the request is repeated under its name, which the
+        // cloud answers with the same machines.
+        self.finish_request(name, revision, group).await;
+    }
+
+    /// The cloud lacks so many machines of those that a request asked for.
+    fn note_refusal(&self, record: &ProvisionRecord, missing: u32) {
+        let target = ProvisionTarget::from(record);
+        let mut state = lock(&self.state);
+        let fleet = &mut state.fleet;
+        let refusal = CapacityRefusal::after(fleet.refused.get(&target), Instant::now());
+        fleet.refused.insert(target, refusal);
+        fleet.unfilled = fleet.unfilled.max(missing);
+        // The next best place is asked at once.
+        fleet.last_remedial = None;
+    }
+
+    /// Removes an answered request, and records the machines that came of it.
+    async fn finish_request(
+        &self,
+        name: &ProvisionId,
+        revision: Revision,
+        group: Option<MachineGroupRecord>,
+    ) {
+        let mut transaction = Transaction::default()
+            .require(keys::provision_request(name), revision)
+            .remove(keys::provision_request(name));
+        if let Some(group) = group {
+            let key = keys::machine_group(name);
+            transaction = transaction
+                .require(key.clone(), Revision(0))
+                .set(key, &group);
+        }
+        // A commit that fails leaves the request as it was, to be sent again.
         let _ = self
             .commit_as_leader(transaction, RequestPriority::Placement)
             .await;
--- a/src/coordination/leader/miss_rate.rs
+++ b/src/coordination/leader/miss_rate.rs
@@ -1,5 +1,9 @@
 //! The recent share of tasks that missed their deadline or start target, and
 //! the arrival rate: what the band is judged by (paper, section 5.3).
+//!
+//! The window is kept in the leader's state and observed in each pass of the fleet manager.
+//! It is not stored: a new leader begins with an empty one, and counts nothing that happened
+//! before its first observation.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -10,42 +14,82 @@
 use tokio::time::Instant;
 
 use super::pool::Pool;
-use crate::storage::{JobId, JobSpec, StateCache};
+use crate::storage::{JobId, JobSpec, StateCache, state_cache::Job};
 
+/// Samples in a window; older ones go first. Each look makes at most two for a pool and
+/// one of arrivals, so that a minute of three looks a second and forty pools fits.
+const MAX_SAMPLES: usize = 16_384;
+
+/// A job that waited for room no longer than this would have been as late with
+/// any number of machines.
+const MIN_STARVATION: Duration = Duration::from_secs(1);
+
+/// How far a job's tasks have come.
 #[derive(Debug, Default, Clone, Copy)]
 struct Progress {
     started: u32,
     done: u32,
 }
 
+impl Progress {
+    fn of(job: &Job) -> Self {
+        Self {
+            started: job.placed + job.done,
+            done: job.done,
+        }
+    }
+}
+
+/// Tasks that have met or missed their target.
 #[derive(Debug)]
 struct MissSample {
     at: Instant,
+    /// The pool that suits them.
     pool: Option<Pool>,
-    count: u32,
+    tasks: u32,
     missed: bool,
 }
 
-/// Entries in a window; older ones go first. Each look makes at most two for a pool and
-/// one of arrivals, so that a minute of three looks a second and forty pools fits.
-const ENTRIES: usize = 16_384;
+/// Tasks of jobs that are new.
+#[derive(Debug)]
+struct ArrivalSample {
+    at: Instant,
+    tasks: u32,
+}
 
+/// Tasks of one job that have met or missed their target since the last observation.
+struct JudgedTasks {
+    tasks: u32,
+    missed: bool,
+}
+
+/// Waiting tasks that are beyond their target already.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OverdueTasks {
+    /// The pool that suits them; none: no available place does.
+    pub pool: Option<Pool>,
+    /// How many tasks.
+    pub tasks: u32,
+}
+
+/// What has happened to tasks over a window of time.
 #[derive(Debug, Default)]
 pub struct MissRateWindow {
     progress: BTreeMap<JobId, Progress>,
     judged: VecDeque<MissSample>,
-    arrivals: VecDeque<(Instant, u32)>,
-    primed: bool,
+    arrivals: VecDeque<ArrivalSample>,
+    /// Something has been observed, so that a job not known yet is new.
+    is_primed: bool,
     /// How long each job's tasks have waited for room.
     starved_for: BTreeMap<JobId, Duration>,
-    looked: Option<Instant>,
+    /// When time of waiting was added last.
+    starvation_added_at: Option<Instant>,
 }
 
-/// A job that waited for room no longer than this would have been as late with
-/// any number of machines.
-const STARVED: Duration = Duration::from_secs(1);
-
+/// The miss rate of a window.
+#[derive(Clone, Debug, PartialEq)]
 pub struct MissRate {
+    /// The share of tasks that missed their target, of 1.
     pub rate: f64,
     /// Each pool's share of the misses.
     pub shares: BTreeMap<Pool, f64>,
@@ -56,10 +100,10 @@
     /// team's limit is not in it: no machine would shorten that, and counting it
     /// kept the miss rate up and idle machines provisioned.
     pub fn add_starvation<'a>(&mut self, waiting: impl Iterator<Item = &'a JobId>, now: Instant) {
-        let since = self.looked.replace(now);
-        let step = since.map_or(Duration::ZERO, |at| now.duration_since(at));
+        let last = self.starvation_added_at.replace(now);
+        let elapsed = last.map_or(Duration::ZERO, |at| now.duration_since(at));
         for job in waiting {
-            *self.starved_for.entry(job.clone()).or_default() += step;
+            *self.starved_for.entry(job.clone()).or_default() += elapsed;
         }
     }
 
@@ -83,67 +127,85 @@
         let mut progress = BTreeMap::new();
         for (id, job) in &cache.jobs {
             let Some(spec) = job.spec() else { continue };
-            let seen = Progress {
-                started: job.placed + job.done,
-                done: job.done,
-            };
-            let before = self.progress.get(id).copied();
-            if before.is_none() && self.primed {
+            let current = Progress::of(job);
+            let known = self.progress.get(id).copied();
+            if known.is_none() && self.is_primed {
                 arrived += spec.tasks;
             }
-            let before = before.unwrap_or(if self.primed {
+            let before = known.unwrap_or(if self.is_primed {
                 Progress::default()
             } else {
                 // Found at our start; who knows when it happened.
-                seen
+                current
             });
-            let age = spec.age(wall);
-            let (count, missed) = match spec.deadline {
-                Some(deadline) => (
-                    seen.done.saturating_sub(before.done),
-                    age > deadline && self.starved_for(id) > STARVED,
-                ),
-                None => (
-                    seen.started.saturating_sub(before.started),
-                    self.starved_for(id) > start_target && !spec.is_idle_work(),
-                ),
-            };
-            if count > 0 {
-                *judged.entry((suited(spec), missed)).or_default() += count;
+            let JudgedTasks { tasks, missed } =
+                self.judge(id, spec, before, current, wall, start_target);
+            if tasks > 0 {
+                *judged.entry((suited(spec), missed)).or_default() += tasks;
             }
-            progress.insert(
-                id.clone(),
-                Progress {
-                    // A task that is started anew is not counted again.
-                    started: seen.started.max(before.started),
-                    done: seen.done,
-                },
-            );
+            let reached = Progress {
+                // A task that is started anew is not counted again.
+                started: current.started.max(before.started),
+                done: current.done,
+            };
+            progress.insert(id.clone(), reached);
         }
         self.starved_for.retain(|id, _| progress.contains_key(id));
         self.progress = progress;
-        self.primed = true;
+        self.is_primed = true;
         let judged = judged.into_iter();
         self.judged
-            .extend(judged.map(|((pool, missed), count)| MissSample {
+            .extend(judged.map(|((pool, missed), tasks)| MissSample {
                 at: now,
                 pool,
-                count,
+                tasks,
                 missed,
             }));
         if arrived > 0 {
-            self.arrivals.push_back((now, arrived));
+            self.arrivals.push_back(ArrivalSample {
+                at: now,
+                tasks: arrived,
+            });
+        }
+        self.forget_old(now, window);
+    }
+
+    /// Which of a job's tasks have met or missed their target since `before`: with a
+    /// deadline those that have ended, else those that have started.
+    fn judge(
+        &self,
+        id: &JobId,
+        spec: &JobSpec,
+        before: Progress,
+        current: Progress,
+        wall: SystemTime,
+        start_target: Duration,
+    ) -> JudgedTasks {
+        match spec.deadline {
+            Some(deadline) => JudgedTasks {
+                tasks: current.done.saturating_sub(before.done),
+                missed: spec.age(wall) > deadline && self.starved_for(id) > MIN_STARVATION,
+            },
+            None => JudgedTasks {
+                tasks: current.started.saturating_sub(before.started),
+                missed: self.starved_for(id) > start_target && !spec.is_idle_work(),
+            },
         }
-        while self.judged.len() > ENTRIES
-            || self.judged.front().is_some_and(|j| now - j.at > window)
+    }
+
+    /// Drops samples that are older than the window, and the oldest if they are too many.
+    fn forget_old(&mut self, now: Instant, window: Duration) {
+        let is_old = |at: Instant| now - at > window;
+        while self.judged.len() > MAX_SAMPLES
+            || self.judged.front().is_some_and(|sample| is_old(sample.at))
         {
             self.judged.pop_front();
         }
-        while self.arrivals.len() > ENTRIES
+        while self.arrivals.len() > MAX_SAMPLES
             || self
                 .arrivals
                 .front()
-                .is_some_and(|(at, _)| now - *at > window)
+                .is_some_and(|sample| is_old(sample.at))
         {
             self.arrivals.pop_front();
         }
@@ -151,24 +213,29 @@
 
     /// Tasks per minute.
     pub fn arrival_rate(&self, window: Duration) -> f64 {
-        let sum: u32 = self.arrivals.iter().map(|(_, tasks)| tasks).sum();
-        f64::from(sum) * 60.0 / window.as_secs_f64().max(1.0)
+        let tasks: u32 = self.arrivals.iter().map(|sample| sample.tasks).sum();
+        f64::from(tasks) * 60.0 / window.as_secs_f64().max(1.0)
     }
 
     /// The miss rate, with tasks that wait beyond their target counted as
     /// missed already.
-    pub fn misses(&self, overdue: &[(Option<Pool>, u32)]) -> MissRate {
+    pub fn misses(&self, overdue: &[OverdueTasks]) -> MissRate {
         let mut all = 0;
         let mut missed = 0;
         let mut shares: BTreeMap<Pool, f64> = BTreeMap::new();
-        let recent = self.judged.iter().map(|j| (&j.pool, j.count, j.missed));
-        let waiting = overdue.iter().map(|(pool, count)| (pool, *count, true));
-        for (pool, count, miss) in recent.chain(waiting) {
-            all += count;
-            if miss {
-                missed += count;
+        let recent = self
+            .judged
+            .iter()
+            .map(|sample| (&sample.pool, sample.tasks, sample.missed));
+        let waiting = overdue
+            .iter()
+            .map(|overdue| (&overdue.pool, overdue.tasks, true));
+        for (pool, tasks, is_missed) in recent.chain(waiting) {
+            all += tasks;
+            if is_missed {
+                missed += tasks;
                 if let Some(pool) = pool {
-                    *shares.entry(pool.clone()).or_default() += f64::from(count);
+                    *shares.entry(pool.clone()).or_default() += f64::from(tasks);
                 }
             }
         }
--- a/src/coordination/leader/miss_rate/tests.rs
+++ b/src/coordination/leader/miss_rate/tests.rs
@@ -14,13 +14,16 @@
         judged: VecDeque::from([MissSample {
             at: Instant::now(),
             pool: Some(pool.clone()),
-            count: 9,
+            tasks: 9,
             missed: false,
         }]),
         ..MissRateWindow::default()
     };
     assert_eq!(miss_rate.misses(&[]).rate, 0.0);
-    let misses = miss_rate.misses(&[(Some(pool.clone()), 1)]);
+    let misses = miss_rate.misses(&[OverdueTasks {
+        pool: Some(pool.clone()),
+        tasks: 1,
+    }]);
     assert!((misses.rate - 0.1).abs() < 1e-9);
     assert_eq!(misses.shares[&pool], 1.0);
 }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -13,6 +13,7 @@
 pub mod miss_rate;
 pub mod pool;
 mod quota_targets;
+mod rebalance;
 pub mod routing;
 mod shard_leasing;
 pub mod shards;
--- a/src/coordination/leader/pool.rs
+++ b/src/coordination/leader/pool.rs
@@ -12,7 +12,7 @@
     pub kind: TypeName,
     /// Whether its machines are spot machines.
     pub spot: bool,
-    /// The zone that its tasks need; none: they may be in any.
+    /// The zone that its tasks need. None: they may be in any.
     pub zone: Option<ZoneName>,
 }
 
@@ -36,6 +36,15 @@
     }
 }
 
+/// Machines of a pool that the policy wants.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct WantedMachines {
+    /// What to provision.
+    pub pool: Pool,
+    /// How many machines.
+    pub count: u32,
+}
+
 /// A provision request of machines of a pool that the policy wants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProvisionPlan {
