--- /dev/null
+++ b/src/coordination/leader/shards/moves.rs
@@ -0,0 +1,127 @@
+//! Moves of shards and of single machines between living controllers.
+//!
+//! What moves is cordoned first, and moves when the cache shows it so, since only then what
+//! is on it is known for good.
+
+use super::{ShardPlan, ShardPlanInputs};
+use crate::storage::{
+    ControllerName, MachineId, ShardId, ZoneName,
+    records::{MachineUse, ShardRecord},
+    state_cache::Versioned,
+};
+
+/// A single machine that moves to another controller.
+struct MachineMove<'a> {
+    machine: &'a MachineId,
+    zone: &'a ZoneName,
+    shard: ShardId,
+    from: &'a ControllerName,
+    to: &'a ControllerName,
+}
+
+impl<'a> ShardPlan<'a> {
+    /// Shards leased to another living controller: cordoned first, and moved when
+    /// the cache shows them so, since only then what is on them is known for good.
+    pub(super) fn move_shards(&mut self, inputs: &ShardPlanInputs) {
+        for (id, entry) in &self.cache.shards {
+            let target = inputs
+                .moving
+                .get(id)
+                .filter(|target| self.may_move(&entry.value, target));
+            match target {
+                Some(target) if entry.value.cordoned => self.move_shard(*id, entry, target),
+                Some(_) => self.set_cordoned(*id, true),
+                None => self.set_cordoned(*id, false),
+            }
+        }
+    }
+
+    /// Whether a shard may move to this controller: both it and the owner are alive.
+    fn may_move(&self, shard: &ShardRecord, to: &ControllerName) -> bool {
+        *to != shard.controller && self.alive.contains(to) && self.cache.has_current_owner(shard)
+    }
+
+    fn move_shard(&mut self, id: ShardId, entry: &Versioned<ShardRecord>, to: &ControllerName) {
+        let shard = &entry.value;
+        let machines: Vec<MachineId> = shard.machines.keys().cloned().collect();
+        if self.touch_move(&[id], Some(&shard.controller), to, &machines) {
+            self.lower_budgets(&shard.controller, &machines);
+            self.raise_budgets(to, &machines);
+            self.hand_over(id, to);
+        }
+    }
+
+    fn set_cordoned(&mut self, id: ShardId, cordoned: bool) {
+        let known = self.shards.get(&id);
+        let differs = known.is_some_and(|shard| shard.cordoned != cordoned);
+        if differs
+            && self.touch(id)
+            && let Some(shard) = self.shards.get_mut(&id)
+        {
+            shard.cordoned = cordoned;
+        }
+    }
+
+    /// The use leaves with machines, so must the budget for it: the old owner
+    /// could use it a second time.
+    fn lower_budgets(&mut self, from: &ControllerName, machines: &[MachineId]) {
+        let moved = self.cache.quota_used(machines.iter());
+        if let Some(allocation) = self.allocations.get_mut(from) {
+            for (team, used) in moved {
+                if let Some(budget) = allocation.budgets.get_mut(&team) {
+                    *budget = budget.minus(&used).at_least_zero();
+                }
+            }
+        }
+    }
+
+    /// Single machines that their owner has lost go to the one that hears them,
+    /// once the cache shows them cordoned.
+    pub(super) fn hand_off_unreachable(&mut self, inputs: &'a ShardPlanInputs) {
+        for (machine, target) in &inputs.owner_unreachable {
+            if let Some(hand_off) = self.hand_off(machine, target) {
+                self.move_machine(&hand_off);
+            }
+        }
+    }
+
+    /// The move of a machine, if it may happen now.
+    fn hand_off(&self, machine: &'a MachineId, to: &'a ControllerName) -> Option<MachineMove<'a>> {
+        let (shard, entry) = self.cache.shard_of(machine)?;
+        let is_cordoned = entry.value.machines.get(machine) == Some(&MachineUse::Cordoned);
+        if !is_cordoned || !self.may_move(&entry.value, to) {
+            return None;
+        }
+        let record = self.cache.machines.get(machine)?;
+        Some(MachineMove {
+            machine,
+            zone: &record.zone,
+            shard,
+            from: &entry.value.controller,
+            to,
+        })
+    }
+
+    fn move_machine(&mut self, hand_off: &MachineMove<'_>) {
+        let MachineMove {
+            machine,
+            zone,
+            shard,
+            from,
+            to,
+        } = *hand_off;
+        let Some(new_shard) = self.shard_with_space(to, zone) else {
+            return;
+        };
+        let moved = std::slice::from_ref(machine);
+        if !self.touch_move(&[shard, new_shard], Some(from), to, moved) {
+            return;
+        }
+        self.lower_budgets(from, moved);
+        self.raise_budgets(to, moved);
+        if let Some(shard) = self.shards.get_mut(&shard) {
+            shard.machines.remove(machine);
+        }
+        self.put_machine(new_shard, to, machine);
+    }
+}
--- /dev/null
+++ b/src/coordination/leader/shards/tests/quota.rs
@@ -0,0 +1,76 @@
+//! Tests of how the teams' limits are divided between the allocations.
+
+use super::{super::quota_division::RETAINED_FRACTION, *};
+use crate::coordination::leader::routing::QuotaDemand;
+
+#[test]
+fn machines_go_to_their_zone_and_limits_are_shared() {
+    let mut cache = cache();
+    settle(&mut cache, &[team(24.0)], &ShardPlanInputs::default());
+    assert_eq!(owner_of(&cache, "vm-1"), "n0");
+    let sum: f64 = cache
+        .allocations
+        .values()
+        .map(|entry| cpus(&entry.value))
+        .sum();
+    assert!(
+        sum > 24.0 * (1.0 - RETAINED_FRACTION) && sum < 24.001,
+        "{sum}"
+    );
+}
+
+#[test]
+fn a_quota_deficit_takes_two_passes_and_never_exceeds_the_limit() {
+    let mut cache = cache();
+    let teams = [team(24.0)];
+    settle(&mut cache, &teams, &ShardPlanInputs::default());
+    let before = cpus(&cache.allocations["n0"].value);
+    let mut inputs = ShardPlanInputs::default();
+    inputs.deficit.insert(
+        (ControllerName::new("n0"), TeamName::new("team")),
+        Quota {
+            cpus: 6.0,
+            gpus: 0.0,
+        },
+    );
+    let first = plan(&cache, &teams, &inputs);
+    assert!(
+        !first.allocations.contains_key("n0"),
+        "nothing is given before it is taken"
+    );
+    carry_out(&mut cache, &first);
+    let second = plan(&cache, &teams, &inputs);
+    carry_out(&mut cache, &second);
+    assert!(cpus(&cache.allocations["n0"].value) >= before + 6.0 - 0.001);
+}
+
+/// Teams of which a controller lacks quota get targets in place of what the leader takes.
+#[test]
+fn controllers_that_transfer_are_sent_targets() {
+    let mut cache = cache();
+    let teams = [team(24.0)];
+    settle(&mut cache, &teams, &ShardPlanInputs::default());
+    let key = (ControllerName::new("n0"), TeamName::new("team"));
+    let quota = |cpus: f64| Quota { cpus, gpus: 0.0 };
+    let mut inputs = ShardPlanInputs {
+        controllers_transfer: true,
+        ..ShardPlanInputs::default()
+    };
+    inputs.deficit.insert(key.clone(), quota(8.0));
+    inputs.free.insert(key.0.clone(), quota(64.0));
+    let budget = cpus(&cache.allocations["n0"].value);
+    // Five tasks of four CPUs have room; one runs.
+    inputs.demand.push(QuotaDemand {
+        team: key.1.clone(),
+        tasks: ::quota::TaskDemand {
+            parts: vec![(key.0.clone(), 5)],
+            per_task: quota(4.0),
+            is_whole: false,
+        },
+    });
+    let next = plan(&cache, &teams, &inputs);
+    assert!(next.allocations.is_empty(), "nothing is taken away");
+    let target = |controller: &str| next.targets[controller]["team"].cpus;
+    assert!(budget < 20.0 && target("n0") >= 24.0 - 0.001);
+    assert!(target("n0") + target("n1") <= 24.001);
+}
