--- a/src/coordination/leader/cleanup.rs
+++ b/src/coordination/leader/cleanup.rs
@@ -1,4 +1,5 @@
-//! Removes the records of jobs that are over, and places of tasks whose machines are gone.
+//! Removes the records of jobs that are over, and placements of tasks whose machines are
+//! terminated.
 //!
 //! Called once in each of the leader's passes, as far as the key-value store's limit of
 //! changes has room for it. Every change is conditional on the records that it was decided by.
@@ -36,8 +37,8 @@
 }
 
 impl Leader {
-    /// Removes what is left of jobs that are over, places of tasks whose
-    /// machines are gone, and ends jobs of many records.
+    /// Removes what is left of jobs that are over, placements of tasks whose
+    /// machines are terminated, and ends jobs of many records.
     pub(super) async fn clean_up(&self) {
         let transactions = self.plan_cleanup();
         let has_more = transactions.len() >= MAX_JOB_TRANSACTIONS;
@@ -111,7 +112,7 @@
     let Some(cleanup_since) = job.cleanup_since else {
         return job.all_done().then(|| end_job(id, job, max_operations));
     };
-    // Its outcome was written with the drain key, so that nothing is
+    // Its outcome was written with the cleanup mark, so that nothing is
     // placed after that; what was placed before it the cache holds
     // only once it has passed that revision.
     let is_unplaced = job.placed == 0 || (caught_up && job.present() == 0);
@@ -151,8 +152,8 @@
     transaction.remove(keys::spec(id))
 }
 
-/// Tasks whose machines have been gone for a while, by run record. Notes since when each
-/// such machine is gone.
+/// Tasks whose machines have been terminated for a while, by run record. Notes since when
+/// each such machine is.
 fn lost_tasks<'a>(
     cache: &'a StateCache,
     lost_since: &mut BTreeMap<MachineId, Instant>,
@@ -179,8 +180,8 @@
     lost
 }
 
-/// Places of tasks whose machines are gone: their records went after their
-/// return was answered, so that all that was on them is gone. Such tasks wait
+/// Frees placements of tasks whose machines are terminated: their records went after their
+/// release was answered, so that all that was on them is terminated. Such tasks wait
 /// at once, and their next placement replaces the old one; what has found none
 /// for a while uses quota for nothing and is freed here.
 fn unplace_lost_tasks(
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -21,7 +21,7 @@
 };
 
 impl Leader {
-    /// Decides which owners get which waiting tasks, and tells them.
+    /// Decides which owners get which waiting tasks, and sends these as offers.
     pub(super) async fn route(self: &Arc<Self>) {
         let Some(routed) = self.run_routing_pass() else {
             return;
--- a/src/coordination/leader/fleet/drain_selection.rs
+++ b/src/coordination/leader/fleet/drain_selection.rs
@@ -9,9 +9,9 @@
     storage::{MachineId, StateCache},
 };
 
-/// One of so many machines is marked in a round.
+/// One of so many machines is chosen in a round.
 const MACHINES_PER_DRAIN: usize = 16;
-/// One of so many machines that stand idle is marked in a round.
+/// One of so many machines that stand idle is chosen in a round.
 const IDLE_MACHINES_PER_DRAIN: usize = 3;
 /// One of so many machines may stand idle for the next jobs.
 const RESERVE_FRACTION: usize = 4;
@@ -35,25 +35,25 @@
 }
 
 impl Leader {
-    /// Marks machines as draining, as many as the round allows.
+    /// Chooses machines to drain, as many as the round allows.
     pub(super) fn select_draining(
         &self,
         round: &DrainRound<'_>,
         fleet: &mut FleetState,
         machines: Vec<UsedMachine>,
     ) {
-        let max_marked = max_newly_draining(round.cache, fleet, &machines);
+        let max_chosen = max_newly_draining(round.cache, fleet, &machines);
         let mut candidates = drain_candidates(fleet, machines);
         let mut unavailable = fleet.unavailable_machines();
         let mut relocation_checks = 0;
-        let mut marked = 0;
-        while marked < max_marked && relocation_checks < MAX_RELOCATION_CHECKS {
+        let mut chosen = 0;
+        while chosen < max_chosen && relocation_checks < MAX_RELOCATION_CHECKS {
             let Some(selected) = self.select_for_scale_in(round, &candidates) else {
                 break;
             };
             candidates.machines.retain(|other| other.id != selected.id);
             // A replica runs until its job is cancelled, so that a machine
-            // with one never goes empty by itself: it is marked only if its
+            // with one never goes empty by itself: it is chosen only if its
             // replicas have room elsewhere, to where they are moved.
             if candidates.with_services.contains(&selected.id) {
                 relocation_checks += 1;
@@ -65,11 +65,11 @@
                 "scale-in: machine draining");
             unavailable.insert(selected.id.clone());
             fleet.draining_machines.insert(selected.id);
-            marked += 1;
+            chosen += 1;
         }
     }
 
-    /// The machine that the policy would mark next, if any.
+    /// The machine that the policy would choose next, if any.
     fn select_for_scale_in(
         &self,
         round: &DrainRound<'_>,
@@ -96,11 +96,11 @@
     }
 }
 
-/// How many machines one round may mark.
+/// How many machines one round may choose.
 ///
 /// Exception to section 5.3.2, see docs/DESIGN.md: one machine a round would
 /// take hours for a large fleet. Of those that stand idle beyond a reserve
-/// for the next jobs more are marked, which takes nothing from anybody now.
+/// for the next jobs more are chosen, which takes nothing from anybody now.
 fn max_newly_draining(cache: &StateCache, fleet: &FleetState, machines: &[UsedMachine]) -> usize {
     let idle = machines
         .iter()
@@ -112,7 +112,7 @@
         .max(spare / IDLE_MACHINES_PER_DRAIN)
         .max(1);
     // A draining machine that is idle already only waits for its paid period's
-    // end, which need not keep others from being marked.
+    // end, which need not keep others from being chosen.
     let emptying = fleet
         .draining_machines
         .iter()
--- a/src/coordination/leader/fleet/failure_detector.rs
+++ b/src/coordination/leader/fleet/failure_detector.rs
@@ -44,7 +44,7 @@
 }
 
 impl Leader {
-    /// Finds machines that must go back for a reason of their own, and the
+    /// Finds machines that must be released for a reason of their own, and the
     /// draining ones whose time has come. Returns those that seem to be terminated, to be
     /// verified by [`verify_unresponsive`](Self::verify_unresponsive).
     pub(super) fn detect_failures(
@@ -133,8 +133,8 @@
     }
 }
 
-/// One unresponsive machine is a hang, and returning it is the quick proof
-/// that its tasks are gone. Many at once are rather a network partition, in which they
+/// One unresponsive machine is a hang, and releasing it is the quick proof
+/// that its tasks are terminated. Many at once are rather a network partition, in which they
 /// go on working until their leases end; only spot machines are taken in
 /// numbers. They cross the threshold one after the other, so all that
 /// cannot be reached count.
@@ -144,7 +144,7 @@
     findings.unreachable_machines() > threshold
 }
 
-/// Machines that hear nothing of us are released as well, unless there are many: then they
+/// Machines whose agents hear nothing of us are released as well, unless there are many: then they
 /// are rather cut off by a partition.
 fn release_without_command_path(cache: &StateCache, findings: &mut Findings<'_>) {
     let lost = std::mem::take(&mut findings.command_path_lost);
--- a/src/coordination/leader/fleet/inventory.rs
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -26,16 +26,16 @@
     },
 };
 
-/// Unknown machines of one kind and place taken on at a time.
+/// Unknown machines of one type and zone adopted at a time.
 const ADOPTED_AT_ONCE: usize = 50;
 /// Prefix of the names of groups of adopted machines.
 const ADOPTED_ID_PREFIX: &str = "x";
-/// Returned machines are remembered for so long: copies of heartbeats come well over a lease late.
+/// Released machines are remembered for so long: copies of heartbeats come well over a lease late.
 const RELEASED_TTL: Duration = Duration::from_secs(600);
 /// The least time between two readings of the list.
 const MIN_POLL_INTERVAL: Duration = Duration::from_secs(5);
 /// The list may lag twice its time: it may still show machines
-/// that an earlier leader returned.
+/// that an earlier leader released.
 const MAX_LAG_FACTOR: f64 = 2.5;
 
 /// A machine that no record names.
@@ -114,7 +114,7 @@
     }
 }
 
-/// Machines of ours that the cloud lists as failed go back.
+/// Releases machines of ours that the cloud lists as failed.
 fn release_failed(
     cache: &StateCache,
     state: &mut LeaderState,
@@ -165,7 +165,7 @@
 }
 
 /// Unknown machines that some controller hears and the cloud lists: a heartbeat alone may be
-/// a copy of one from a machine that went back long ago. None while a provision request is
+/// a copy of one from a machine that was released long ago. None while a provision request is
 /// unanswered, as they may have come of it.
 fn unknown_with_heartbeat(cache: &StateCache, state: &LeaderState) -> Vec<UnknownMachine> {
     if !cache.provision_requests.is_empty() {
@@ -192,7 +192,7 @@
         .collect()
 }
 
-/// Records of machine groups, each of machines of one kind and place.
+/// Records of machine groups, each of machines of one type and zone.
 fn group_machines(machines: Vec<UnknownMachine>, now_ms: u64) -> Vec<MachineGroupRecord> {
     let mut groups: BTreeMap<ProvisionTarget, MachineGroupRecord> = BTreeMap::new();
     for UnknownMachine { id, target } in machines {
--- a/src/coordination/leader/fleet/miss_rate_band.rs
+++ b/src/coordination/leader/fleet/miss_rate_band.rs
@@ -11,6 +11,7 @@
 };
 use crate::{
     coordination::{
+        Tuning,
         leader::{
             Leader,
             miss_rate::{MissRate, MissRateWindow, OverdueTasks},
@@ -83,17 +84,7 @@
             .map(|pool| type_load(market.cache, pool, &waiting, &misses, need, &machines))
             .collect();
         let arrivals = miss_rate.arrival_rate(tuning.window);
-        let counts = band::scale_out(
-            misses.rate,
-            arrivals,
-            &loads,
-            &band::Thresholds {
-                beta: tuning.beta,
-                miss_weight: tuning.miss_weight,
-                demand: tuning.demand_threshold,
-                utilisation: tuning.utilisation_threshold,
-            },
-        );
+        let counts = band::scale_out(misses.rate, arrivals, &loads, &band_thresholds(tuning));
         let total: u32 = counts.iter().sum();
         tracing::info!(
             miss_rate = misses.rate,
@@ -122,6 +113,15 @@
     }
 }
 
+fn band_thresholds(tuning: &Tuning) -> band::Thresholds {
+    band::Thresholds {
+        beta: tuning.beta,
+        miss_weight: tuning.miss_weight,
+        demand: tuning.demand_threshold,
+        utilisation: tuning.utilisation_threshold,
+    }
+}
+
 /// Pools that suit waiting tasks, or tasks that missed their target.
 fn pools_in_demand(waiting: &WaitingTasks, misses: &MissRate) -> Vec<Pool> {
     let mut pools: BTreeSet<Pool> = waiting.by_pool.keys().cloned().collect();
--- a/src/coordination/leader/fleet/probes.rs
+++ b/src/coordination/leader/fleet/probes.rs
@@ -65,7 +65,7 @@
 
 impl Leader {
     /// Every controller probes a machine that is unresponsive to its owner: only
-    /// one that nobody reaches is returned. If most of its neighbours do not
+    /// one that nobody reaches is released. If most of its neighbours do not
     /// answer either, that is a network partition which the others have not shown yet, since
     /// heartbeats come at different times.
     pub(super) async fn verify_unresponsive(&self, verification: Verification) {
--- a/src/coordination/leader/fleet/release.rs
+++ b/src/coordination/leader/fleet/release.rs
@@ -26,11 +26,11 @@
 /// Why a machine goes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseReason {
-    /// Not needed: marked, and its paid period is over.
+    /// Not needed: idle, and its paid period is nearly over.
     ScaledIn,
     /// Several jobs failed on it.
     Quarantined,
-    /// Neither sends heartbeats nor answers: releasing it proves its tasks gone.
+    /// Neither sends heartbeats nor answers: releasing it proves its tasks terminated.
     Unresponsive,
     /// It does not come up.
     BootTimeout,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Their return was answered: they and all on them are gone.
+    /// The cloud has confirmed the release: the machines and all on them are terminated.
     async fn record_terminated(&self, machines: &[MachineId]) {
         let max_groups = (self.context.config.state.txn_ops / 2).max(1);
         let transactions = {
@@ -163,7 +163,7 @@
                 .commit_as_leader(transaction, RequestPriority::Placement)
                 .await;
             if committed.is_err() {
-                // They are returned again, which changes nothing, until the
+                // They are released again, which changes nothing, until the
                 // records say so.
                 self.context.store.read_barrier().await;
             }
--- a/src/coordination/leader/miss_rate.rs
+++ b/src/coordination/leader/miss_rate.rs
@@ -16,8 +16,9 @@
 use super::pool::Pool;
 use crate::storage::{JobId, JobSpec, StateCache, state_cache::Job};
 
-/// Samples in a window; older ones go first. Each look makes at most two for a pool and
-/// one of arrivals, so that a minute of three looks a second and forty pools fits.
+/// Samples in a window; older ones go first. Each observation makes at most two for a
+/// pool and one of arrivals, so that a minute of three observations a second and forty pools
+/// fits.
 const MAX_SAMPLES: usize = 16_384;
 
 /// A job that waited for room no longer than this would have been as late with
@@ -38,6 +39,15 @@
             done: job.done,
         }
     }
+
+    /// What is to be remembered after `before`: a task that is started anew is not counted
+    /// again.
+    fn following(self, before: Self) -> Self {
+        Self {
+            started: self.started.max(before.started),
+            done: self.done,
+        }
+    }
 }
 
 /// Tasks that have met or missed their target.
@@ -75,6 +85,7 @@
 /// What has happened to tasks over a window of time.
 #[derive(Debug, Default)]
 pub struct MissRateWindow {
+    /// How far each job had come at the last observation.
     progress: BTreeMap<JobId, Progress>,
     judged: VecDeque<MissSample>,
     arrivals: VecDeque<ArrivalSample>,
@@ -128,39 +139,29 @@
         for (id, job) in &cache.jobs {
             let Some(spec) = job.spec() else { continue };
             let current = Progress::of(job);
-            let known = self.progress.get(id).copied();
-            if known.is_none() && self.is_primed {
+            if self.is_primed && !self.progress.contains_key(id) {
                 arrived += spec.tasks;
             }
-            let before = known.unwrap_or(if self.is_primed {
-                Progress::default()
-            } else {
-                // Found at our start; who knows when it happened.
-                current
-            });
+            let before = self.progress_before(id, current);
             let JudgedTasks { tasks, missed } =
                 self.judge(id, spec, before, current, wall, start_target);
             if tasks > 0 {
                 *judged.entry((suited(spec), missed)).or_default() += tasks;
             }
-            let reached = Progress {
-                // A task that is started anew is not counted again.
-                started: current.started.max(before.started),
-                done: current.done,
-            };
-            progress.insert(id.clone(), reached);
+            progress.insert(id.clone(), current.following(before));
         }
         self.starved_for.retain(|id, _| progress.contains_key(id));
         self.progress = progress;
         self.is_primed = true;
-        let judged = judged.into_iter();
-        self.judged
-            .extend(judged.map(|((pool, missed), tasks)| MissSample {
+        let samples = judged
+            .into_iter()
+            .map(|((pool, missed), tasks)| MissSample {
                 at: now,
                 pool,
                 tasks,
                 missed,
-            }));
+            });
+        self.judged.extend(samples);
         if arrived > 0 {
             self.arrivals.push_back(ArrivalSample {
                 at: now,
@@ -170,6 +171,16 @@
         self.forget_old(now, window);
     }
 
+    /// How far a job had come at the last observation.
+    fn progress_before(&self, id: &JobId, current: Progress) -> Progress {
+        match self.progress.get(id) {
+            Some(progress) => *progress,
+            None if self.is_primed => Progress::default(),
+            // Found at our start; who knows when it happened.
+            None => current,
+        }
+    }
+
     /// Which of a job's tasks have met or missed their target since `before`: with a
     /// deadline those that have ended, else those that have started.
     fn judge(
--- a/src/coordination/leader/shard_leasing.rs
+++ b/src/coordination/leader/shard_leasing.rs
@@ -105,9 +105,9 @@
     }
 
     /// Whether changes of shards that nobody waits for are put off, so that those of one
-    /// shard come together. A shrinking fleet marks, cordons and loses a machine at a time:
+    /// shard come together. A shrinking fleet drains, cordons and loses a machine at a time:
     /// written one by one that took so much of the leader's part of the state service's
-    /// changes that the machines it held itself were not served.
+    /// changes that the machines it owned itself were not served.
     fn is_deferred(&self, changes: &ShardPlanChanges) -> bool {
         let can_wait = changes.can_wait(&self.context.store.cache());
         let mut state = lock(&self.state);
--- a/src/coordination/leader/shards/changes.rs
+++ b/src/coordination/leader/shards/changes.rs
@@ -18,7 +18,7 @@
     /// Shards with their owners and machines.
     pub shards: BTreeMap<ShardId, ShardRecord>,
     /// What the controllers' budgets should be, of teams of which some lacks quota. They
-    /// are told, not written.
+    /// are sent, not written.
     pub targets: Targets,
 }
 
@@ -30,7 +30,7 @@
     }
 
     /// Whether nobody waits for it: machines change their use within their shards, or
-    /// are out of them since they are gone.
+    /// are out of them since they are terminated.
     #[must_use]
     pub fn can_wait(&self, cache: &StateCache) -> bool {
         let changes_use_only = |(id, shard): (&ShardId, &ShardRecord)| {
--- a/src/coordination/leader/shards/inputs.rs
+++ b/src/coordination/leader/shards/inputs.rs
@@ -25,7 +25,7 @@
     pub deficit: BTreeMap<(ControllerName, TeamName), Quota>,
     /// Quota that a controller is about to need beside what it uses, for tasks that
     /// begin together at several of them. Taken away, it would be lacking next, and
-    /// budgets would go to and fro.
+    /// budgets would alternate between controllers.
     pub reserved: BTreeMap<(ControllerName, TeamName), Quota>,
     /// Records that one commit may change.
     pub max_changes: usize,
--- a/src/coordination/leader/shards/machine_assignment.rs
+++ b/src/coordination/leader/shards/machine_assignment.rs
@@ -22,7 +22,7 @@
 }
 
 impl ShardPlan<'_> {
-    /// Machines that stand in no machine group have been returned. They do no harm in a
+    /// Machines that stand in no machine group have been released. They do no harm in a
     /// shard, while each change of it voids placements that are under way: they
     /// go when there are several, or when the shard changes anyway.
     pub(super) fn remove_terminated(&mut self) {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Marks, cordons and uncordons machines.
+    /// Drains, cordons and uncordons machines.
     pub(super) fn set_machine_uses(&mut self, inputs: &ShardPlanInputs) {
         let mut changes: Vec<UseChange> = Vec::new();
         for (id, shard) in &self.shards {
--- a/src/coordination/leader/shards/mod.rs
+++ b/src/coordination/leader/shards/mod.rs
@@ -31,7 +31,7 @@
 };
 
 /// Machines in a shard at most: about 1 KiB of a record, and few machines whose
-/// token rises when one of them is marked or joins.
+/// token rises when one of them drains or joins.
 pub const SHARD_SIZE: usize = 48;
 
 /// A pass needs at least this many changes: a machine that moves between two shards
--- a/src/coordination/leader/shards/ownership.rs
+++ b/src/coordination/leader/shards/ownership.rs
@@ -1,4 +1,4 @@
-//! Which process holds which allocation, and which of them own shards whose owner is gone.
+//! Which process holds which allocation, and which of them get the shards of one that is dead.
 
 use super::ShardPlan;
 use crate::storage::{ControllerName, Incarnation, MachineId, ShardId, ZoneName};
--- a/src/coordination/leader/shards/quota_division.rs
+++ b/src/coordination/leader/shards/quota_division.rs
@@ -9,7 +9,7 @@
 use quota::{LinearLimits, Method, NotSolved, TargetProblem, TeamDemand, plan_targets};
 
 use super::{ShardPlan, ShardPlanInputs};
-use crate::storage::{ControllerName, MachineId, Quota, Team, TeamName};
+use crate::storage::{ControllerName, MachineId, Quota, Team, TeamName, records::AllocationRecord};
 
 /// What each controller's budgets should be.
 pub type Targets = BTreeMap<ControllerName, BTreeMap<TeamName, Quota>>;
@@ -22,7 +22,7 @@
 const MIN_GRANT_FRACTION: f64 = 0.15;
 /// Part of its unused budget that an allocation gives up when others lack some.
 const RECLAIM_FRACTION: f64 = 0.5;
-/// Part of a limit below which what is over is kept for those who ask.
+/// Part of a limit that is retained for those who ask, when the rest is spread over all.
 pub(super) const RETAINED_FRACTION: f64 = 0.1;
 
 /// What is used of the teams' limits, with machines where they are after the pass.
@@ -46,42 +46,40 @@
     }
 }
 
-/// A controller that lacks quota for tasks that it has room for.
+/// Quota that a controller lacks for tasks that it has room for.
 struct Deficit {
     controller: ControllerName,
-    short: Quota,
+    missing: Quota,
 }
 
 impl ShardPlan<'_> {
     /// Grants what no allocation can use to those that lack it. For the rest it plans what other
     /// allocations should give.
     pub(super) fn divide_quota(&mut self, teams: &[Team], inputs: &ShardPlanInputs) {
-        let allocated_to: Vec<ControllerName> = self
+        let controllers: Vec<ControllerName> = self
             .alive
             .iter()
             .filter(|controller| self.allocations.contains_key(*controller))
             .cloned()
             .collect();
-        if allocated_to.is_empty() {
+        if controllers.is_empty() {
             return;
         }
         let used = self.use_after();
         let mut demands: BTreeMap<TeamName, TeamDemand<ControllerName>> = BTreeMap::new();
         for team in teams {
-            let claims = self.claims(&team.name, &used);
-            let mut slack = team.limit.minus(&claims).at_least_zero();
-            let deficits = deficits(&allocated_to, &team.name, inputs);
-            let unmet = self.grant(team, &deficits, &mut slack, &used);
+            let claimed = self.claimed(&team.name, &used);
+            let mut unclaimed = team.limit.minus(&claimed).at_least_zero();
+            let deficits = deficits(&controllers, &team.name, inputs);
+            let unmet = self.grant(team, &deficits, &mut unclaimed, &used);
             if unmet.exceeds(MIN_QUOTA_STEP) && inputs.controllers_transfer {
                 let demand = self.demand_of(team, &used, inputs);
                 demands.insert(team.name.clone(), demand);
             } else if unmet.exceeds(MIN_QUOTA_STEP) {
-                self.take_unused(team, &deficits, unmet, &used, inputs);
-            } else if slack.cpus > MIN_QUOTA_STEP.max(team.limit.cpus * RETAINED_FRACTION)
-                || slack.gpus > MIN_QUOTA_STEP.max(team.limit.gpus * RETAINED_FRACTION)
-            {
-                let part = slack.times(1.0 / allocated_to.len() as f64);
-                for controller in &allocated_to {
+                self.reclaim_unused(team, &deficits, unmet, &used, inputs);
+            } else if is_beyond_retained(team, &unclaimed) {
+                let part = unclaimed.times(1.0 / controllers.len() as f64);
+                for controller in &controllers {
                     self.give(controller, &team.name, part, &used);
                 }
             }
@@ -91,6 +89,7 @@
         }
     }
 
+    /// What is used once this pass's moves have happened.
     fn use_after(&self) -> PlannedUse {
         let mut by_controller: BTreeMap<ControllerName, BTreeMap<TeamName, Quota>> =
             BTreeMap::new();
@@ -112,7 +111,7 @@
     }
 
     /// The sum over allocations of the larger of budget and use, and what is used elsewhere.
-    fn claims(&self, team: &TeamName, used: &PlannedUse) -> Quota {
+    fn claimed(&self, team: &TeamName, used: &PlannedUse) -> Quota {
         let controllers: BTreeSet<&ControllerName> = self
             .allocations
             .keys()
@@ -130,22 +129,14 @@
     /// What a controller may act on: the record of the cache until this pass is written,
     /// the planned one from then on.
     fn budget_of(&self, controller: &ControllerName, team: &TeamName) -> Quota {
-        let entry = self
-            .cache
-            .allocations
-            .get(controller)
-            .map(|entry| &entry.value);
-        let budget = |allocation: &crate::storage::records::AllocationRecord| {
+        let budget = |allocation: &AllocationRecord| {
             allocation.budgets.get(team).copied().unwrap_or_default()
         };
-        let known = entry.map(budget).unwrap_or_default();
-        known.max(
-            &self
-                .allocations
-                .get(controller)
-                .map(budget)
-                .unwrap_or_default(),
-        )
+        let known = self.cache.allocations.get(controller);
+        let known = known.map(|entry| budget(&entry.value)).unwrap_or_default();
+        let planned = self.allocations.get(controller);
+        let planned = planned.map(budget).unwrap_or_default();
+        known.max(&planned)
     }
 
     /// Gives to those that lack some from what no allocation can use. Returns what is missing
@@ -154,39 +145,31 @@
         &mut self,
         team: &Team,
         deficits: &[Deficit],
-        slack: &mut Quota,
+        unclaimed: &mut Quota,
         used: &PlannedUse,
     ) -> Quota {
         let mut unmet = Quota::default();
-        for Deficit { controller, short } in deficits {
-            // More than it lacks now, since a change of its allocation voids the
-            // placements that it has under way.
-            let ample = |short: f64, slack: f64| {
-                if short <= MIN_QUOTA_STEP {
-                    return 0.0;
-                }
-                (short * GRANT_FACTOR)
-                    .max(slack * MIN_GRANT_FRACTION)
-                    .min(slack)
-            };
-            let part = Quota {
-                cpus: ample(short.cpus, slack.cpus),
-                gpus: ample(short.gpus, slack.gpus),
-            };
+        for Deficit {
+            controller,
+            missing,
+        } in deficits
+        {
+            let part = by_resource(missing, unclaimed, grant_amount);
             if part.exceeds(MIN_QUOTA_STEP) && self.give(controller, &team.name, part, used) {
-                *slack = slack.minus(&part);
+                *unclaimed = unclaimed.minus(&part);
             }
-            unmet = unmet.plus(&short.minus(&part).at_least_zero());
+            unmet = unmet.plus(&missing.minus(&part).at_least_zero());
         }
         unmet
     }
 
-    /// False: its allocation can't be changed any more in this pass.
+    /// Raises a controller's budget. False: its allocation can't be changed any more in this
+    /// pass.
     fn give(
         &mut self,
         controller: &ControllerName,
         team: &TeamName,
-        more: Quota,
+        added: Quota,
         used: &PlannedUse,
     ) -> bool {
         if !self.touch_allocation(controller) {
@@ -195,13 +178,13 @@
         if let Some(allocation) = self.allocations.get_mut(controller) {
             let budget = allocation.budgets.entry(team.clone()).or_default();
             // Up to what it uses costs nothing: that is counted already.
-            *budget = budget.max(&used.of(controller, team)).plus(&more);
+            *budget = budget.max(&used.of(controller, team)).plus(&added);
         }
         true
     }
 
-    /// Takes unused budget away, to be granted once the cache shows that it is gone.
-    fn take_unused(
+    /// Takes unused budget away, to be granted once the cache shows that it has been.
+    fn reclaim_unused(
         &mut self,
         team: &Team,
         deficits: &[Deficit],
@@ -213,7 +196,7 @@
         for controller in &others {
             if deficits
                 .iter()
-                .any(|deficits| deficits.controller == *controller)
+                .any(|deficit| deficit.controller == *controller)
             {
                 continue;
             }
@@ -222,22 +205,11 @@
             else {
                 continue;
             };
-            let spoken_for = used
+            let used_or_reserved = used
                 .of(controller, &team.name)
                 .plus(&reserved(controller, team, inputs));
-            let unused = budget.minus(&spoken_for).at_least_zero();
-            // What is taken beyond the need is there for the next that lacks some,
-            // with one change of one allocation.
-            let half = |unused: f64, unmet: f64| {
-                if unmet <= MIN_QUOTA_STEP {
-                    return 0.0;
-                }
-                unmet.max(unused * RECLAIM_FRACTION).min(unused)
-            };
-            let part = Quota {
-                cpus: half(unused.cpus, unmet.cpus),
-                gpus: half(unused.gpus, unmet.gpus),
-            };
+            let unused = budget.minus(&used_or_reserved).at_least_zero();
+            let part = by_resource(&unused, &unmet, reclaim_amount);
             if part.exceeds(MIN_QUOTA_STEP)
                 && self.touch_allocation(controller)
                 && let Some(allocation) = self.allocations.get_mut(controller)
@@ -265,8 +237,8 @@
             wanted: inputs
                 .demand
                 .iter()
-                .filter(|wanted| wanted.team == *name)
-                .map(|wanted| wanted.tasks.clone())
+                .filter(|demand| demand.team == *name)
+                .map(|demand| demand.tasks.clone())
                 .collect(),
         };
         for (controller, allocation) in &self.allocations {
@@ -281,6 +253,7 @@
         demand
     }
 
+    /// What the controllers' budgets should be, of teams of which some controller lacks quota.
     fn plan_targets(
         &self,
         teams: BTreeMap<TeamName, TeamDemand<ControllerName>>,
@@ -320,6 +293,41 @@
     }
 }
 
+/// Whether so much of a team's limit is claimed by nobody that it is worth spreading.
+fn is_beyond_retained(team: &Team, unclaimed: &Quota) -> bool {
+    let exceeds =
+        |unclaimed: f64, limit: f64| unclaimed > MIN_QUOTA_STEP.max(limit * RETAINED_FRACTION);
+    exceeds(unclaimed.cpus, team.limit.cpus) || exceeds(unclaimed.gpus, team.limit.gpus)
+}
+
+/// Computes an amount of each resource by itself.
+fn by_resource(left: &Quota, right: &Quota, amount: impl Fn(f64, f64) -> f64) -> Quota {
+    Quota {
+        cpus: amount(left.cpus, right.cpus),
+        gpus: amount(left.gpus, right.gpus),
+    }
+}
+
+/// What a controller that misses some gets of what nobody claims: more than it lacks now,
+/// since a change of its allocation voids the placements that it has under way.
+fn grant_amount(missing: f64, unclaimed: f64) -> f64 {
+    if missing <= MIN_QUOTA_STEP {
+        return 0.0;
+    }
+    (missing * GRANT_FACTOR)
+        .max(unclaimed * MIN_GRANT_FRACTION)
+        .min(unclaimed)
+}
+
+/// What is taken of a controller's unused budget. What is taken beyond the need is there for
+/// the next that lacks some, with one change of one allocation.
+fn reclaim_amount(unused: f64, unmet: f64) -> f64 {
+    if unmet <= MIN_QUOTA_STEP {
+        return 0.0;
+    }
+    unmet.max(unused * RECLAIM_FRACTION).min(unused)
+}
+
 /// Quota that a controller is about to need beside what it uses.
 fn reserved(controller: &ControllerName, team: &Team, inputs: &ShardPlanInputs) -> Quota {
     let reserved = inputs
@@ -328,18 +336,19 @@
     reserved.copied().unwrap_or_default()
 }
 
+/// The controllers that lack a team's quota.
 fn deficits(
-    allocated_to: &[ControllerName],
+    controllers: &[ControllerName],
     team: &TeamName,
     inputs: &ShardPlanInputs,
 ) -> Vec<Deficit> {
-    allocated_to
+    controllers
         .iter()
         .filter_map(|controller| {
-            let short = *inputs.deficit.get(&(controller.clone(), team.clone()))?;
+            let missing = *inputs.deficit.get(&(controller.clone(), team.clone()))?;
             Some(Deficit {
                 controller: controller.clone(),
-                short,
+                missing,
             })
         })
         .collect()
--- a/src/coordination/leader/zone_assignment.rs
+++ b/src/coordination/leader/zone_assignment.rs
@@ -1,7 +1,7 @@
 //! The zones that jobs of many records are confined to.
 //!
 //! A job that must be in one zone and has too many run records for a placement to depend
-//! on all of them (see [`ZoneScope`](super::super::policy::zone_constraint::ZoneScope)) is placed
+//! on all of them (see [`ZoneScope`](crate::coordination::policy::zone_constraint::ZoneScope)) is placed
 //! only in the zone that its spec names, and only while the spec is unchanged. The zone
 //! is changed in two steps: taking it back voids every placement under way, since each is
 //! conditional on the spec; the next one is written once the replica has passed that
@@ -11,22 +11,25 @@
 
 use tokio::time::Instant;
 
-use super::{super::context::lock, Leader, routing::ZoneAssignment};
-use crate::storage::{
-    JobSpec, Revision, StateCache, Transaction, ZoneName, keys, rate_limiter::RequestPriority,
-    state_cache::Job,
+use super::{Leader, routing::ZoneAssignment};
+use crate::{
+    coordination::context::lock,
+    storage::{
+        JobSpec, Revision, StateCache, Transaction, ZoneName, keys, rate_limiter::RequestPriority,
+        state_cache::Job,
+    },
 };
 
-/// Between two changes of a job's zone, so that it does not go to and fro between zones
+/// Between two changes of a job's zone, so that it does not alternate between zones
 /// that others fill.
 const ASSIGNMENT_CHANGE_INTERVAL: Duration = Duration::from_secs(5);
 /// Zones written in one pass.
-const ASSIGNMENTS_PER_PASS: usize = 4;
+const MAX_ASSIGNMENTS_PER_PASS: usize = 4;
 
 impl Leader {
     /// Writes the zones that routing has chosen, or takes them back.
     pub(super) async fn write_zone_assignments(&self, changes: Vec<ZoneAssignment>) {
-        for change in changes.into_iter().take(ASSIGNMENTS_PER_PASS) {
+        for change in changes.into_iter().take(MAX_ASSIGNMENTS_PER_PASS) {
             if !self.may_commit_now(RequestPriority::Placement)
                 || !self.may_change_assignment(&change)
             {
@@ -60,7 +63,7 @@
     }
 }
 
-/// The change of a job's spec; none if the replica can't tell yet that it is allowed.
+/// The change of a job's spec. None: the replica can't tell yet whether it is allowed.
 fn assignment_transaction(cache: &StateCache, change: &ZoneAssignment) -> Option<Transaction> {
     let job = cache.jobs.get(&change.job)?;
     let entry = job.spec.as_ref()?;
