--- a/src/coordination/leader/fleet/eviction.rs
+++ b/src/coordination/leader/fleet/eviction.rs
@@ -24,7 +24,7 @@
     storage::{
         ControllerName, JobKind, JobSpec, MachineId, Resources, StateCache, TaskId,
         records::{MachineUse, ShardRecord},
-        state_cache::PlacedTask,
+        state_cache::{MachineLoad, PlacedTask},
     },
 };
 
@@ -77,10 +77,7 @@
                 if let (Some(load), Some((_, entry))) =
                     (cache.on_machine.get(id), cache.shard_of(id))
                 {
-                    preemptions
-                        .entry(entry.value.controller.clone())
-                        .or_default()
-                        .extend(load.tasks.keys().cloned());
+                    preempt_all(&mut preemptions, &entry.value, load);
                 }
             }
         }
@@ -125,11 +122,7 @@
                 continue;
             }
             tracing::info!(machine = %id, replicas = load.tasks.len(), "moving replicas off a draining machine");
-            moves
-                .preemptions
-                .entry(entry.value.controller.clone())
-                .or_default()
-                .extend(load.tasks.keys().cloned());
+            preempt_all(&mut moves.preemptions, &entry.value, load);
             // One at a time: the next finds the room that this one leaves.
             break;
         }
@@ -239,6 +232,14 @@
     }
 }
 
+/// Adds all tasks on a machine of the shard.
+fn preempt_all(preemptions: &mut Preemptions, shard: &ShardRecord, load: &MachineLoad) {
+    preemptions
+        .entry(shard.controller.clone())
+        .or_default()
+        .extend(load.tasks.keys().cloned());
+}
+
 /// Whether the shard's record says that the machine is draining.
 fn is_marked_draining(shard: &ShardRecord, machine: &MachineId) -> bool {
     shard.machines.get(machine) == Some(&MachineUse::Draining)
--- a/src/coordination/leader/fleet/machine_inspection.rs
+++ b/src/coordination/leader/fleet/machine_inspection.rs
@@ -39,12 +39,15 @@
 
 /// A machine that is to be released.
 pub(super) struct FoundRelease {
+    /// The machine.
     pub(super) machine: MachineId,
+    /// Why it is to be released.
     pub(super) reason: ReleaseReason,
 }
 
 /// A machine that neither sends heartbeats nor answers its owner.
 pub(super) struct UnresponsiveMachine {
+    /// The machine.
     pub(super) machine: MachineId,
     /// Where its agent listens.
     pub(super) address: String,
@@ -80,6 +83,7 @@
     pub(super) refusing: BTreeSet<MachineId>,
     /// Machines on which several jobs have failed, since when.
     pub(super) quarantined_since: BTreeMap<MachineId, Instant>,
+    /// What was found in each zone.
     zones: BTreeMap<&'a ZoneName, ZoneReachability>,
 }
 
--- a/src/coordination/leader/fleet/market/demand.rs
+++ b/src/coordination/leader/fleet/market/demand.rs
@@ -36,7 +36,9 @@
 /// What a job with waiting tasks needs of the market.
 #[derive(Debug)]
 pub struct Demand {
+    /// The job, without its assigned zone if it may move to another.
     pub(super) spec: Arc<JobSpec>,
+    /// Where more of its tasks may be.
     pub(super) constraint: ZoneConstraint,
     /// No ordinary machines: idle work is provisioned the cheap ones that it may use.
     pub(super) spot_only: bool,
--- a/src/coordination/leader/fleet/probes.rs
+++ b/src/coordination/leader/fleet/probes.rs
@@ -29,6 +29,7 @@
 
 /// A machine that seems to be terminated, to be probed by every controller.
 pub(super) struct Verification {
+    /// The machine.
     pub(super) machine: MachineId,
     /// Where its agent listens.
     pub(super) address: String,
@@ -38,6 +39,7 @@
 
 /// A machine that another controller hears while its owner does not.
 pub(super) struct IndirectProbeTarget {
+    /// The machine.
     pub(super) machine: MachineId,
     /// Where its agent listens.
     pub(super) address: String,
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -47,11 +47,15 @@
 
 /// The duty that leads the cluster, while this process is its leader.
 pub(super) struct Leader {
+    /// What all duties share.
     context: Arc<Context>,
     /// The shard owner of this very process, which needs no message.
     owner: Arc<ShardOwner>,
+    /// The quota exchange of this very process.
     quota: Arc<QuotaExchange>,
+    /// What the peers have said of themselves.
     liveness: Arc<PeerLiveness>,
+    /// Locked after the replica, and never across an await.
     state: Mutex<LeaderState>,
 }
 
--- a/src/coordination/leader/quota_targets.rs
+++ b/src/coordination/leader/quota_targets.rs
@@ -8,12 +8,9 @@
 use tokio::time::Instant;
 
 use super::{Leader, shards::Targets, state::SentTargets};
-use crate::{
-    coordination::{
-        clients::{PeerRequest, QuotaTargets},
-        context::{lock, takes_part_in_transfers},
-    },
-    storage::StateCache,
+use crate::coordination::{
+    clients::{PeerRequest, QuotaTargets},
+    context::{lock, takes_part_in_transfers},
 };
 
 /// Targets that have not changed are sent again after this long.
@@ -33,14 +30,6 @@
             .all(|controller| takes_part_in_transfers(&cache, controller))
     }
 
-    /// Whether the cache shows all that was written before we were elected. Our own claim
-    /// is in it ahead of the watch: a leader that follows an earlier process of its controller
-    /// could otherwise grant what a late commit of that one has granted already.
-    pub(super) fn has_applied_election(&self, cache: &StateCache) -> bool {
-        let claim = cache.leader.as_ref().map(|entry| entry.revision);
-        claim.is_some_and(|claim| cache.revision >= claim)
-    }
-
     /// Sends each controller its targets, unless the same were sent a moment ago.
     pub(super) fn send_quota_targets(self: &Arc<Self>, targets: &Targets) {
         if targets.is_empty() {
--- a/src/coordination/leader/shard_leasing.rs
+++ b/src/coordination/leader/shard_leasing.rs
@@ -80,6 +80,14 @@
         })
     }
 
+    /// Whether the cache shows all that was written before we were elected. Our own claim
+    /// is in it ahead of the watch: a leader that follows an earlier process of its controller
+    /// could otherwise grant what a late commit of that one has granted already.
+    fn has_applied_election(&self, cache: &StateCache) -> bool {
+        let claim = cache.leader.as_ref().map(|entry| entry.revision);
+        claim.is_some_and(|claim| cache.revision >= claim)
+    }
+
     /// The inputs of this pass's plan; quota deficits are planned for once.
     fn shard_plan_inputs(&self, cache: &StateCache, controllers_transfer: bool) -> ShardPlanInputs {
         let mut state = lock(&self.state);
--- a/src/coordination/leader/shards/ownership.rs
+++ b/src/coordination/leader/shards/ownership.rs
@@ -12,6 +12,7 @@
 }
 
 impl ShardPlan<'_> {
+    /// The living process of a controller.
     pub(super) fn incarnation(&self, controller: &ControllerName) -> Option<Incarnation> {
         Some(self.cache.controllers.get(controller)?.value.incarnation)
     }
