--- /dev/null
+++ b/src/storage/state_cache/changes.rs
@@ -0,0 +1,211 @@
+//! Applies changes of keys to the cache, each only if it is newer than what is known.
+
+use std::collections::BTreeMap;
+
+use serde::de::DeserializeOwned;
+use serde_json::Value;
+
+use super::{StateCache, Versioned};
+use crate::storage::{
+    ids::{JobId, ProvisionId, Revision, ShardId},
+    keys::Key,
+};
+
+/// Own deletions remembered until the watch has passed them.
+const MAX_DELETIONS: usize = 4_096;
+
+impl StateCache {
+    /// Sets a key to the value that it has had since `revision`. A change that is older
+    /// than what is known, an unknown key and an unreadable value have no effect.
+    pub fn set(&mut self, key: &str, value: Value, revision: Revision) {
+        if self.dropped.get(key).is_some_and(|at| *at >= revision) {
+            return;
+        }
+        let Some(parsed) = Key::parse(key) else {
+            return;
+        };
+        let change = ValueChange {
+            key,
+            value,
+            revision,
+        };
+        match parsed {
+            Key::Spec(id) => self.set_spec(id, change),
+            Key::JobOutcome(id) => {
+                if let Some(outcome) = change.read() {
+                    self.remember_outcome(id, outcome);
+                }
+            }
+            Key::Cleanup(id) => {
+                let job = self.jobs.entry(id.clone()).or_default();
+                job.cleanup_since = job.cleanup_since.max(Some(revision));
+                self.index(&id);
+            }
+            Key::Run(id, chunk) => self.set_run(id, chunk, change),
+            Key::Allocation(controller) => change.set_in(&mut self.allocations, controller),
+            Key::Shard(id) => self.set_shard(id, change),
+            Key::MachineGroup(id) => self.set_machine_group(id, change),
+            Key::ProvisionRequest(id) => change.set_in(&mut self.provision_requests, id),
+            Key::Controller(controller) => change.set_in(&mut self.controllers, controller),
+            Key::Leader => change.set_single(&mut self.leader),
+            Key::Catalog => change.set_single(&mut self.catalog),
+            Key::CommonVersion => change.set_single(&mut self.common_version),
+        }
+    }
+
+    fn set_spec(&mut self, id: JobId, change: ValueChange<'_>) {
+        let job = self.jobs.entry(id.clone()).or_default();
+        if let Some(spec) = change.read_if_newer(job.spec.as_ref()) {
+            job.spec = Some(spec);
+            self.reload_runs(&id);
+        }
+        self.index(&id);
+    }
+
+    fn set_run(&mut self, id: JobId, chunk: u32, change: ValueChange<'_>) {
+        let known = self.jobs.get(&id).and_then(|job| job.chunks.get(&chunk));
+        if let Some(record) = change.read_if_newer(known) {
+            self.replace_run(id, chunk, Some(record));
+        }
+    }
+
+    fn set_shard(&mut self, id: ShardId, change: ValueChange<'_>) {
+        if let Some(record) = change.read_if_newer(self.shards.get(&id)) {
+            self.replace_shard(id, Some(record));
+        }
+    }
+
+    fn set_machine_group(&mut self, id: ProvisionId, change: ValueChange<'_>) {
+        if let Some(record) = change.read_if_newer(self.machine_groups.get(&id)) {
+            self.replace_machine_group(id, Some(record));
+        }
+    }
+
+    /// Removes a key that was deleted at `revision`, unless it has been set since.
+    pub fn delete(&mut self, key: &str, revision: Revision) {
+        match Key::parse(key) {
+            Some(Key::Spec(id)) => self.delete_spec(&id, revision),
+            Some(Key::Cleanup(id)) => self.delete_cleanup(&id, revision),
+            Some(Key::Run(id, chunk)) => {
+                let known = self.jobs.get(&id).and_then(|job| job.chunks.get(&chunk));
+                if known.is_some() && is_newer(known, revision) {
+                    self.replace_run(id, chunk, None);
+                }
+            }
+            Some(Key::Allocation(controller)) => {
+                remove_older(&mut self.allocations, &controller, revision)
+            }
+            Some(Key::Shard(id)) if is_newer(self.shards.get(&id), revision) => {
+                self.replace_shard(id, None);
+            }
+            Some(Key::MachineGroup(id)) if is_newer(self.machine_groups.get(&id), revision) => {
+                self.replace_machine_group(id, None);
+            }
+            Some(Key::ProvisionRequest(id)) => {
+                remove_older(&mut self.provision_requests, &id, revision)
+            }
+            Some(Key::Controller(controller)) => {
+                remove_older(&mut self.controllers, &controller, revision)
+            }
+            Some(Key::Leader) if is_newer(self.leader.as_ref(), revision) => self.leader = None,
+            Some(Key::Catalog) if is_newer(self.catalog.as_ref(), revision) => self.catalog = None,
+            _ => {}
+        }
+    }
+
+    fn delete_spec(&mut self, id: &JobId, revision: Revision) {
+        if let Some(job) = self.jobs.get_mut(id) {
+            if !is_newer(job.spec.as_ref(), revision) {
+                return;
+            }
+            job.spec = None;
+        }
+        self.forget_if_empty(id);
+    }
+
+    fn delete_cleanup(&mut self, id: &JobId, revision: Revision) {
+        if let Some(job) = self.jobs.get_mut(id)
+            && job.cleanup_since.is_some_and(|since| since < revision)
+        {
+            job.cleanup_since = None;
+        }
+        self.forget_if_empty(id);
+    }
+
+    /// A deletion of our own, ahead of the watch: the watch may still deliver
+    /// older values of the key, which must not bring it back.
+    pub fn delete_ahead(&mut self, key: &str, revision: Revision) {
+        self.delete(key, revision);
+        if revision > self.revision && self.dropped.len() < MAX_DELETIONS {
+            self.dropped.insert(key.to_owned(), revision);
+        }
+    }
+
+    /// The watch has delivered every change up to `revision`.
+    pub fn advance(&mut self, revision: Revision) {
+        if revision > self.revision {
+            self.peer_cancelled.retain(|_, seen| *seen > revision);
+            self.revision = revision;
+            self.dropped.retain(|_, at| *at > revision);
+        }
+    }
+}
+
+/// A key that was set, with its new value.
+struct ValueChange<'a> {
+    key: &'a str,
+    value: Value,
+    revision: Revision,
+}
+
+impl ValueChange<'_> {
+    fn read<T: DeserializeOwned>(self) -> Option<T> {
+        match serde_json::from_value(self.value) {
+            Ok(record) => Some(record),
+            Err(error) => {
+                tracing::error!(key = self.key, %error, "unreadable record skipped");
+                None
+            }
+        }
+    }
+
+    fn read_versioned<T: DeserializeOwned>(self) -> Option<Versioned<T>> {
+        let revision = self.revision;
+        self.read().map(|value| Versioned { revision, value })
+    }
+
+    fn read_if_newer<T: DeserializeOwned>(
+        self,
+        known: Option<&Versioned<T>>,
+    ) -> Option<Versioned<T>> {
+        if !is_newer(known, self.revision) {
+            return None;
+        }
+        self.read_versioned()
+    }
+
+    /// Sets one entry of a map.
+    fn set_in<K: Ord, T: DeserializeOwned>(self, map: &mut BTreeMap<K, Versioned<T>>, name: K) {
+        if let Some(entry) = self.read_if_newer(map.get(&name)) {
+            map.insert(name, entry);
+        }
+    }
+
+    /// Sets a record of which there is only one; an unreadable one counts as none.
+    fn set_single<T: DeserializeOwned>(self, known: &mut Option<Versioned<T>>) {
+        if is_newer(known.as_ref(), self.revision) {
+            *known = self.read_versioned();
+        }
+    }
+}
+
+/// Whether a change at `revision` comes after what is known of its key.
+fn is_newer<T>(known: Option<&Versioned<T>>, revision: Revision) -> bool {
+    known.is_none_or(|entry| entry.revision < revision)
+}
+
+fn remove_older<K: Ord, T>(map: &mut BTreeMap<K, Versioned<T>>, name: &K, revision: Revision) {
+    if map.get(name).is_some_and(|entry| entry.revision < revision) {
+        map.remove(name);
+    }
+}
--- /dev/null
+++ b/src/storage/state_cache/queries.rs
@@ -0,0 +1,101 @@
+//! What the rest of the program reads off the cache: owners of machines, room, and
+//! the quota in use.
+
+use std::collections::BTreeMap;
+
+use super::{StateCache, Versioned};
+use crate::storage::{
+    ids::{ControllerName, MachineId, Revision, ShardId, TeamName, TypeName},
+    model::{MachineType, Quota, Resources},
+    records::ShardRecord,
+};
+
+impl StateCache {
+    /// The shard that a machine is in.
+    pub fn shard_of(&self, machine: &MachineId) -> Option<(ShardId, &Versioned<ShardRecord>)> {
+        let id = self.leases.get(machine)?.shard;
+        Some((id, self.shards.get(&id)?))
+    }
+
+    /// The change with which a machine came to its present owner: whatever
+    /// earlier owners told it carries a lower token.
+    pub fn owned_since(&self, machine: &MachineId) -> Revision {
+        self.leases
+            .get(machine)
+            .map_or(Revision(0), |lease| lease.since)
+    }
+
+    /// Whether the process that the shard's record names may still act: its
+    /// controller's allocation has not passed to another one, or to nobody.
+    pub fn has_current_owner(&self, shard: &ShardRecord) -> bool {
+        self.allocations
+            .get(&shard.controller)
+            .is_some_and(|allocation| allocation.value.owner == Some(shard.owner))
+    }
+
+    /// All machines of a controller's shards.
+    pub fn machines_of<'a>(
+        &'a self,
+        controller: &'a ControllerName,
+    ) -> impl Iterator<Item = &'a MachineId> {
+        self.shards
+            .values()
+            .filter(move |entry| entry.value.controller == *controller)
+            .flat_map(|entry| entry.value.machines.keys())
+    }
+
+    /// A machine type of the catalog.
+    pub fn machine_type(&self, name: &TypeName) -> Option<&MachineType> {
+        self.catalog
+            .as_ref()?
+            .value
+            .types
+            .iter()
+            .find(|machine_type| machine_type.name == *name)
+    }
+
+    /// What the placements on a machine take of it.
+    pub fn taken(&self, machine: &MachineId) -> Resources {
+        self.on_machine
+            .get(machine)
+            .map(|load| load.taken)
+            .unwrap_or_default()
+    }
+
+    /// What the placements on these machines use of each team's limit.
+    pub fn quota_used<'a>(
+        &self,
+        machines: impl Iterator<Item = &'a MachineId>,
+    ) -> BTreeMap<TeamName, Quota> {
+        let mut used: BTreeMap<TeamName, Quota> = BTreeMap::new();
+        for machine in machines {
+            for (team, quota) in self
+                .on_machine
+                .get(machine)
+                .iter()
+                .flat_map(|load| &load.teams)
+            {
+                match used.get_mut(team) {
+                    Some(sum) => *sum = sum.plus(quota),
+                    None => {
+                        used.insert(team.clone(), *quota);
+                    }
+                }
+            }
+        }
+        used
+    }
+
+    /// What each controller's machines use of each team's limit.
+    pub fn quota_by_controller(&self) -> BTreeMap<ControllerName, BTreeMap<TeamName, Quota>> {
+        self.allocations
+            .keys()
+            .map(|controller| {
+                (
+                    controller.clone(),
+                    self.quota_used(self.machines_of(controller)),
+                )
+            })
+            .collect()
+    }
+}
--- a/src/storage/state_cache/tests.rs
+++ b/src/storage/state_cache/tests.rs
@@ -1,9 +1,13 @@
-//! Tests of `storage::cache`.
+//! Tests of `storage::state_cache`.
 
-use serde_json::json;
+use std::sync::Arc;
+
+use serde_json::{Value, json};
 
 use super::*;
-use crate::storage::{AgentEpoch, ClassName, ImageName};
+use crate::storage::{
+    AgentEpoch, Attempt, ClassName, ImageName, JobKind, JobSpec, Priority, Resources, TeamName,
+};
 
 fn run(machine: &str) -> Value {
     json!({"p": {"0": {"a": 1, "m": machine, "s": 1}}})
