--- a/src/storage/ids.rs
+++ b/src/storage/ids.rs
@@ -1,4 +1,5 @@
-//! Newtypes for the names and numbers that must not be mixed up.
+//! Newtypes for the names and numbers that must not be mixed up. All are stored, and sent
+//! between controllers, as the plain string or number.
 
 use std::{fmt, sync::Arc};
 
@@ -12,10 +13,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
+            /// Wraps a name as it is, without a check.
             pub fn new(name: impl Into<Arc<str>>) -> Self {
                 Self(name.into())
             }
 
+            /// The plain name.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -76,7 +79,7 @@
     TeamName
 );
 name_type!(
-    /// A class of jobs that the aims speak of.
+    /// A class of jobs with a service-level objective.
     ClassName
 );
 name_type!(
@@ -106,7 +109,7 @@
     Token
 );
 number_type!(
-    /// The how-manieth time a task is placed; only rises.
+    /// How often a task has been placed; only rises.
     Attempt
 );
 number_type!(
@@ -129,7 +132,7 @@
 }
 
 impl JobId {
-    /// Job ids are `job-` and digits. Anything else is nobody's job, and could
+    /// Reads a job id. Job ids are `job-` and digits. Anything else is nobody's job, and could
     /// also break out of the key scheme.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix("job-")?;
@@ -141,15 +144,19 @@
 /// One task of a job.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
+    /// The job.
     pub job: JobId,
+    /// The task's number in its job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
+    /// The task of a job with this number.
     pub fn new(job: JobId, index: u32) -> Self {
         Self { job, index }
     }
 
+    /// Reads `<job>/<index>`, as `Display` writes it.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.split_once('/')?;
         Some(Self::new(JobId::parse(job)?, index.parse().ok()?))
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -1,18 +1,32 @@
-//! The key scheme. `docs/PROTOCOL-NOTES.md` tells what each key means.
+//! The key scheme: which key holds which record. `docs/PROTOCOL-NOTES.md` describes each.
+//!
+//! The names here are those of stored data and never change.
 
 use crate::storage::ids::{ControllerName, JobId, ProvisionId, ShardId};
 
+/// Prefix of the specs of accepted jobs; the job follows.
 pub const SPEC: &str = "spec/";
+/// Prefix of the outcomes of jobs; the job follows.
 pub const OUTCOME: &str = "fate/";
+/// Prefix of run records; the job and the number of the range of tasks follow.
 pub const RUN: &str = "run/";
+/// Prefix of the marks of cancelled jobs that have keys left; the job follows.
 pub const CLEANUP: &str = "drain/";
+/// Prefix of quota allocations; the controller follows.
 pub const ALLOCATION: &str = "seat/";
+/// Prefix of shards; the shard's number follows.
 pub const SHARD: &str = "block/";
+/// Prefix of machine groups; the provision request follows.
 pub const MACHINE_GROUP: &str = "machine/";
+/// Prefix of provision requests; the request follows.
 pub const PROVISION_REQUEST: &str = "rent/";
+/// Prefix of the registrations of living controllers; the controller follows.
 pub const CONTROLLER: &str = "node/";
+/// The leader.
 pub const LEADER: &str = "leader";
+/// The cloud's machine types.
 pub const CATALOG: &str = "catalog";
+/// The protocol version that all controllers support.
 pub const COMMON_VERSION: &str = "format";
 
 /// The live set, read at start and after a gap in the watch. Outcomes are not in
@@ -37,39 +51,47 @@
 /// changes of the state service.
 pub const CHUNK: u32 = 36;
 
+/// The key of a job's spec.
 pub fn spec(job: &JobId) -> String {
     format!("{SPEC}{job}")
 }
 
+/// The key of a job's outcome.
 pub fn outcome(job: &JobId) -> String {
     format!("{OUTCOME}{job}")
 }
 
+/// The key that marks a job as cancelled.
 pub fn cleanup(job: &JobId) -> String {
     format!("{CLEANUP}{job}")
 }
 
+/// The key of one of a job's run records.
 pub fn run(job: &JobId, chunk: u32) -> String {
     format!("{RUN}{job}/{chunk}")
 }
 
+/// The key of a controller's quota allocation.
 pub fn allocation(controller: &ControllerName) -> String {
     format!("{ALLOCATION}{controller}")
 }
 
+/// The key of a shard.
 pub fn shard(shard: ShardId) -> String {
     format!("{SHARD}{shard}")
 }
 
-/// The machines that one request provisioned.
+/// The key of the machines that one request provisioned.
 pub fn machine_group(provision_id: &ProvisionId) -> String {
     format!("{MACHINE_GROUP}{provision_id}")
 }
 
+/// The key of a provision request.
 pub fn provision_request(provision_id: &ProvisionId) -> String {
     format!("{PROVISION_REQUEST}{provision_id}")
 }
 
+/// The key of a controller's registration.
 pub fn controller(controller: &ControllerName) -> String {
     format!("{CONTROLLER}{controller}")
 }
@@ -77,21 +99,34 @@
 /// A key taken apart.
 #[derive(Debug, PartialEq)]
 pub enum Key {
+    /// See [`SPEC`].
     Spec(JobId),
+    /// See [`OUTCOME`].
     JobOutcome(JobId),
+    /// See [`CLEANUP`].
     Cleanup(JobId),
+    /// See [`RUN`]; with the number of the range of tasks.
     Run(JobId, u32),
+    /// See [`ALLOCATION`].
     Allocation(ControllerName),
+    /// See [`SHARD`].
     Shard(ShardId),
+    /// See [`MACHINE_GROUP`].
     MachineGroup(ProvisionId),
+    /// See [`PROVISION_REQUEST`].
     ProvisionRequest(ProvisionId),
+    /// See [`CONTROLLER`].
     Controller(ControllerName),
+    /// See [`LEADER`].
     Leader,
+    /// See [`CATALOG`].
     Catalog,
+    /// See [`COMMON_VERSION`].
     CommonVersion,
 }
 
 impl Key {
+    /// Takes a key apart; `None`: it is none of ours.
     pub fn parse(key: &str) -> Option<Key> {
         if let Some(rest) = key.strip_prefix(RUN) {
             let (job, chunk) = rest.split_once('/')?;
--- a/src/storage/model.rs
+++ b/src/storage/model.rs
@@ -13,18 +13,23 @@
 /// What a task takes, or what a machine or a team has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
+    /// Processor cores.
     pub cpus: f64,
+    /// Graphics processors.
     pub gpus: f64,
+    /// Memory, in GiB.
     pub memory: f64,
 }
 
 impl Resources {
+    /// Whether there is room for this much, but for rounding.
     pub fn fits_in(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus + AMOUNT_SLACK
             && self.gpus <= room.gpus + AMOUNT_SLACK
             && self.memory <= room.memory + AMOUNT_SLACK
     }
 
+    /// So many times as much.
     pub fn times(&self, n: f64) -> Resources {
         Resources {
             cpus: self.cpus * n,
@@ -33,6 +38,7 @@
         }
     }
 
+    /// The lesser of both, in each resource.
     pub fn at_most(&self, other: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
@@ -81,6 +87,7 @@
     }
 }
 
+/// How the tasks of a job belong together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks, each running to completion.
@@ -91,38 +98,60 @@
     Service,
 }
 
+/// The priority of a job, lowest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
+    /// Uses what others leave.
     BestEffort,
+    /// The usual one.
     Normal,
+    /// Ahead of the usual ones.
     Urgent,
+    /// Ahead of all others.
     Production,
 }
 
 /// An accepted job, as it is kept in the state service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// Its class, by which objectives and run times are kept.
     pub class: ClassName,
+    /// The team whose quota it uses.
     pub team: TeamName,
+    /// How its tasks belong together.
     pub kind: JobKind,
+    /// Its priority.
     pub priority: Priority,
+    /// How many tasks it has.
     pub tasks: u32,
+    /// What each task takes of a machine.
     pub per_task: Resources,
+    /// The image that each task runs.
     pub image: ImageName,
+    /// Size of the image, in GB.
     pub image_gb: f64,
+    /// The machine types that it may run on; none: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<TypeName>>,
+    /// The zone that its user wants; none: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<ZoneName>,
+    /// All its tasks must be in one zone.
     #[serde(default)]
     pub one_zone: bool,
+    /// Its tasks must be spread over zones, see [`JobSpec::zone_limit`].
     #[serde(default)]
     pub spread: bool,
+    /// It may run on spot machines.
     #[serde(default)]
     pub spot: bool,
+    /// Its user's estimate of a task's run time.
     pub estimate: Duration,
+    /// Between two checkpoints of a task; zero: its progress cannot be saved.
     pub checkpoint: Duration,
+    /// How long a task takes to save its progress when it is stopped.
     pub save: Duration,
+    /// When it is to be done, from when it was accepted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Duration>,
     /// Milliseconds of the time of day at the controller that accepted it.
@@ -134,10 +163,12 @@
 }
 
 impl JobSpec {
+    /// Whether its tasks may run on machines of this type.
     pub fn allows_type(&self, name: &TypeName) -> bool {
         self.types.as_ref().is_none_or(|types| types.contains(name))
     }
 
+    /// Whether its tasks may run in this zone.
     pub fn allows_zone(&self, name: &ZoneName) -> bool {
         let wanted = [&self.zone, &self.assigned_zone];
         wanted.into_iter().flatten().all(|zone| zone == name)
@@ -168,6 +199,7 @@
         self.tasks.div_ceil(keys::CHUNK)
     }
 
+    /// How long ago it was accepted.
     pub fn age(&self, now: SystemTime) -> Duration {
         now.duration_since(UNIX_EPOCH + Duration::from_millis(self.accepted_ms))
             .unwrap_or_default()
@@ -178,24 +210,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobOutcome {
+    /// All its tasks have completed.
     Done,
+    /// Its user cancelled it.
     Cancelled,
 }
 
 /// A machine type of the catalog.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
+    /// Its name in the catalog.
     pub name: TypeName,
+    /// What a machine of it has for tasks.
     pub size: Resources,
+    /// Size of its cache of images, in GB.
     pub cache_gb: f64,
+    /// How fast it fetches images, in GB a second.
     pub fetch_gb_per_s: f64,
+    /// Price of a machine, per hour.
     pub price: f64,
+    /// Current price of a spot machine, per hour.
     pub spot_price: f64,
+    /// From its provisioning until its agent is up.
     pub boot: Duration,
+    /// The zones in which it is offered.
     pub zones: Vec<ZoneName>,
 }
 
 impl MachineType {
+    /// Price of a machine per hour, as a spot machine or not.
     pub fn rate(&self, spot: bool) -> f64 {
         if spot { self.spot_price } else { self.price }
     }
@@ -204,7 +247,10 @@
 /// What a team is guaranteed and what it may use at most.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
+    /// Its name.
     pub name: TeamName,
+    /// What it gets whenever it has work for it.
     pub guaranteed: Quota,
+    /// What it may use at most.
     pub limit: Quota,
 }
--- a/src/storage/rate_limiter.rs
+++ b/src/storage/rate_limiter.rs
@@ -39,52 +39,63 @@
 
 #[derive(Debug)]
 struct TokenBucket {
-    /// What this controller may count on.
-    fair: f64,
+    /// What this controller may count on, in calls a second.
+    fair_rate: f64,
     /// What it never goes beyond.
-    most: f64,
+    max_rate: f64,
     /// What it allows itself now.
     rate: f64,
+    /// Calls that may be made now; below zero: a debt.
     level: f64,
-    at: Instant,
-    /// A call had to wait since the rate was last judged.
-    pressed: bool,
-    refused: Option<Instant>,
-    judged: Instant,
+    refilled_at: Instant,
+    /// A call had to wait since the rate was last adjusted.
+    has_delayed_calls: bool,
+    /// When the service last refused a call.
+    refused_at: Option<Instant>,
+    adjusted_at: Instant,
 }
 
-/// How often the rate is judged, and how fast it grows and shrinks.
+/// How often the rate is adjusted.
 const ADJUST_INTERVAL: Duration = Duration::from_millis(500);
-const GROWTH: f64 = 1.25;
-const CUT: f64 = 0.6;
+/// How fast the rate grows while calls wait, and shrinks while none does.
+const GROWTH_FACTOR: f64 = 1.25;
+/// What a refusal leaves of the rate.
+const REFUSAL_FACTOR: f64 = 0.6;
 /// A controller always counts on so many calls a second.
-const LEAST_RATE: f64 = 2.0;
+const MIN_RATE: f64 = 2.0;
 /// After a refusal the rate does not grow for a moment.
-const QUIET: Duration = Duration::from_secs(2);
+const GROWTH_PAUSE: Duration = Duration::from_secs(2);
+
+/// Bounds of the wait before a call tries again: others may have come in between.
+const MIN_WAIT_SECONDS: f64 = 0.005;
+const MAX_WAIT_SECONDS: f64 = 0.25;
 
 impl TokenBucket {
     fn refill(&mut self, now: Instant) {
-        let gained = now.saturating_duration_since(self.at).as_secs_f64() * self.rate;
+        let gained = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64()
+            * self.rate;
         self.level = (self.level + gained).min(self.rate);
-        self.at = now;
+        self.refilled_at = now;
     }
 
     /// The others often use less than their part: what they leave may be used
     /// until the service says otherwise.
-    fn judge(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.judged) < ADJUST_INTERVAL {
+    fn adjust_rate(&mut self, now: Instant) {
+        if now.saturating_duration_since(self.adjusted_at) < ADJUST_INTERVAL {
             return;
         }
-        self.judged = now;
-        let refused = self
-            .refused
-            .is_some_and(|at| now.saturating_duration_since(at) < QUIET);
-        if self.pressed && !refused {
-            self.rate = (self.rate * GROWTH).min(self.most);
-        } else if !self.pressed {
-            self.rate = (self.rate / GROWTH).max(self.fair);
+        self.adjusted_at = now;
+        let refused_lately = self
+            .refused_at
+            .is_some_and(|at| now.saturating_duration_since(at) < GROWTH_PAUSE);
+        if self.has_delayed_calls && !refused_lately {
+            self.rate = (self.rate * GROWTH_FACTOR).min(self.max_rate);
+        } else if !self.has_delayed_calls {
+            self.rate = (self.rate / GROWTH_FACTOR).max(self.fair_rate);
         }
-        self.pressed = false;
+        self.has_delayed_calls = false;
     }
 }
 
@@ -94,21 +105,24 @@
 pub struct RateLimiter(Mutex<TokenBucket>);
 
 impl RateLimiter {
+    /// A limiter of a fixed rate, in calls a second.
     pub fn new(rate: f64) -> Self {
         Self::between(rate, rate)
     }
 
-    pub fn between(fair: f64, most: f64) -> Self {
+    /// A limiter that begins with the fair rate and adjusts itself up to `max_rate`, both
+    /// in calls a second.
+    pub fn between(fair_rate: f64, max_rate: f64) -> Self {
         let now = Instant::now();
         Self(Mutex::new(TokenBucket {
-            fair,
-            most,
-            rate: fair,
-            level: fair,
-            at: now,
-            pressed: false,
-            refused: None,
-            judged: now,
+            fair_rate,
+            max_rate,
+            rate: fair_rate,
+            level: fair_rate,
+            refilled_at: now,
+            has_delayed_calls: false,
+            refused_at: None,
+            adjusted_at: now,
         }))
     }
 
@@ -116,13 +130,13 @@
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// A fair part, and what is never gone beyond.
-    pub fn set_bounds(&self, fair: f64, most: f64) {
+    /// Sets the fair rate, and the one that is never gone beyond.
+    pub fn set_bounds(&self, fair_rate: f64, max_rate: f64) {
         let mut bucket = self.lock();
         bucket.refill(Instant::now());
-        bucket.most = most.max(LEAST_RATE);
-        bucket.fair = fair.clamp(LEAST_RATE, bucket.most);
-        bucket.rate = bucket.rate.clamp(bucket.fair, bucket.most);
+        bucket.max_rate = max_rate.max(MIN_RATE);
+        bucket.fair_rate = fair_rate.clamp(MIN_RATE, bucket.max_rate);
+        bucket.rate = bucket.rate.clamp(bucket.fair_rate, bucket.max_rate);
     }
 
     /// The service has refused a call as one too many for all of us.
@@ -130,8 +144,8 @@
         let mut bucket = self.lock();
         let now = Instant::now();
         bucket.refill(now);
-        bucket.refused = Some(now);
-        bucket.rate = (bucket.rate * CUT).max(bucket.fair);
+        bucket.refused_at = Some(now);
+        bucket.rate = (bucket.rate * REFUSAL_FACTOR).max(bucket.fair_rate);
         bucket.level = bucket.level.min(0.0);
     }
 
@@ -147,16 +161,16 @@
         let mut bucket = self.lock();
         let now = Instant::now();
         bucket.refill(now);
-        bucket.judge(now);
+        bucket.adjust_rate(now);
         let floor = priority.reserve() * bucket.rate;
         if bucket.level >= floor.max(1.0).min(bucket.rate) {
             bucket.level -= amount;
             return Ok(());
         }
-        bucket.pressed = true;
+        bucket.has_delayed_calls = true;
         let missing = floor.max(1.0) - bucket.level;
         Err(Duration::from_secs_f64(
-            (missing / bucket.rate).clamp(0.005, 0.25),
+            (missing / bucket.rate).clamp(MIN_WAIT_SECONDS, MAX_WAIT_SECONDS),
         ))
     }
 
@@ -167,6 +181,7 @@
         self.take(0.0, priority).err()
     }
 
+    /// Waits until a call of this priority may be made, and counts it as so many calls.
     pub async fn acquire(&self, amount: f64, priority: RequestPriority) {
         while let Err(wait) = self.take(amount, priority) {
             tokio::time::sleep(wait).await;
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,4 +1,6 @@
 //! The records behind the keys, as JSON values of the state service.
+//!
+//! Stored names stay what they are, by `serde(rename)`; `tests/formats.rs` guards the bytes.
 
 use std::collections::BTreeMap;
 
@@ -15,15 +17,18 @@
 /// Where a task is, or may be: it counts until it is proven gone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
+    /// How often the task had been placed, with this placement.
     #[serde(rename = "a")]
     pub attempt: Attempt,
+    /// The machine that it was placed on.
     #[serde(rename = "m")]
     pub machine: MachineId,
+    /// The agent epoch in which the task may be started there.
     #[serde(rename = "s")]
     pub epoch: AgentEpoch,
 }
 
-/// The tasks of one stride range of a job.
+/// One range of a job's tasks, see [`keys::CHUNK`](crate::storage::keys::CHUNK).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
     /// Placed tasks.
@@ -38,12 +43,14 @@
 }
 
 impl RunRecord {
+    /// Whether this task has completed.
     pub fn is_done(&self, task: u32) -> bool {
         self.done
             .iter()
             .any(|(from, to)| (*from..=*to).contains(&task))
     }
 
+    /// How many of the tasks have completed.
     pub fn done_count(&self) -> u32 {
         self.done.iter().map(|(from, to)| to - from + 1).sum()
     }
@@ -58,6 +65,7 @@
         Attempt(last.map_or(1, |attempt| attempt.0 + 1))
     }
 
+    /// The task is placed on this machine, in place of any earlier placement.
     pub fn place(&mut self, task: u32, machine: MachineId, epoch: AgentEpoch, attempt: Attempt) {
         self.before.remove(&task);
         self.placed.insert(
@@ -77,14 +85,15 @@
         }
     }
 
+    /// The task has completed.
     pub fn complete(&mut self, task: u32) {
         self.placed.remove(&task);
         self.before.remove(&task);
         if self.is_done(task) {
             return;
         }
-        let at = self.done.partition_point(|(from, _)| *from < task);
-        self.done.insert(at, (task, task));
+        let position = self.done.partition_point(|(from, _)| *from < task);
+        self.done.insert(position, (task, task));
         let mut merged: Vec<(u32, u32)> = Vec::with_capacity(self.done.len());
         for (from, to) in self.done.drain(..) {
             match merged.last_mut() {
@@ -111,12 +120,13 @@
 }
 
 /// What one controller's process may use of the teams' limits, over all its
-/// shards. Every placement of its is conditional on this record.
+/// shards. Every placement of that process is conditional on this record.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AllocationRecord {
-    /// The process that holds it, or nobody.
+    /// The process that may use it, or nobody.
     #[serde(rename = "holder")]
     pub owner: Option<Incarnation>,
+    /// What it may use of each team's limit.
     pub budgets: BTreeMap<TeamName, Quota>,
 }
 
@@ -125,28 +135,33 @@
 /// service's limit, and so that a change disturbs few machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardRecord {
+    /// The controller that leases it.
     #[serde(rename = "node")]
     pub controller: ControllerName,
-    /// The process that holds it.
+    /// The process of that controller which owns it.
     #[serde(rename = "holder")]
     pub owner: Incarnation,
     /// To be leased to another controller: its machines take nothing more.
     #[serde(rename = "frozen", default, skip_serializing_if = "std::ops::Not::not")]
     pub cordoned: bool,
+    /// Its machines, each with how it may be used.
     pub machines: BTreeMap<MachineId, MachineUse>,
 }
 
 /// A machine that is ours to pay for.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineRecord {
+    /// Its machine type.
     pub kind: TypeName,
+    /// Where it is.
     pub zone: ZoneName,
+    /// Whether it may be taken back at any time.
     pub spot: bool,
     /// Time of day of the machine group, in milliseconds.
     pub provisioned_ms: u64,
     /// Where its agent listens; known once it has sent a heartbeat.
     pub address: Option<String>,
-    /// The record that it stands in.
+    /// The machine group whose record lists it.
     pub machine_group: ProvisionId,
 }
 
@@ -154,10 +169,13 @@
 /// changes of the state service are scarce.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineGroupRecord {
+    /// The machine type of all.
     #[serde(rename = "t")]
     pub kind: TypeName,
+    /// The zone of all.
     #[serde(rename = "z")]
     pub zone: ZoneName,
+    /// Whether they may be taken back at any time.
     #[serde(rename = "s")]
     pub spot: bool,
     /// Time of day of the machine group, in milliseconds.
@@ -171,14 +189,19 @@
 /// A provision request, written before it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProvisionRecord {
+    /// The machine type asked for.
     #[serde(rename = "t")]
     pub kind: TypeName,
+    /// The zone asked for.
     #[serde(rename = "z")]
     pub zone: ZoneName,
+    /// Whether spot machines are asked for.
     #[serde(rename = "s")]
     pub spot: bool,
+    /// How many machines are asked for.
     #[serde(rename = "n")]
     pub count: u32,
+    /// Time of day of the request, in milliseconds.
     #[serde(rename = "at")]
     pub at_ms: u64,
 }
@@ -186,7 +209,9 @@
 /// A living controller; the key goes with its lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ControllerRecord {
+    /// The process that lives.
     pub incarnation: Incarnation,
+    /// Where it runs.
     pub zone: ZoneName,
     /// What it can read; the version before says nothing of it.
     #[serde(rename = "dialect", default, skip_serializing_if = "is_zero")]
@@ -200,8 +225,10 @@
 /// The leader; the key goes with its lease. Its revision fences all it writes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
+    /// The controller that leads.
     #[serde(rename = "node")]
     pub controller: ControllerName,
+    /// The process of it that leads.
     pub incarnation: Incarnation,
 }
 
@@ -210,6 +237,7 @@
 /// that the version before could not serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommonVersionRecord {
+    /// The highest protocol version that every controller supports.
     #[serde(rename = "dialect")]
     pub protocol_version: u64,
 }
@@ -217,14 +245,17 @@
 /// The end of a job, with what a user may still ask about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeRecord {
+    /// How it ended.
     #[serde(rename = "fate")]
     pub outcome: JobOutcome,
     /// Tasks done, for display.
     pub done: u32,
 }
 
+/// The cloud's catalog as it was read last.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CatalogRecord {
+    /// The machine types on offer.
     pub types: Vec<MachineType>,
 }
 
