--- a/src/coordination/owner/commits.rs
+++ b/src/coordination/owner/commits.rs
@@ -1,4 +1,7 @@
 //! Writes what a round of the owner has planned, and sends the starts that follow.
+//!
+//! `record_writes` has the part of a transaction for each record; this module puts them in
+//! order, joins them into transactions and commits these.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -6,14 +9,15 @@
 
 use super::{
     ShardOwner,
-    placement::depends_on_all_records,
     planned_changes::{PlannedChanges, RecordChange},
 };
 use crate::{
-    coordination::{clients::Command, context::lock},
+    coordination::{
+        clients::Command, context::lock, policy::zone_constraint::CONDITIONS_PER_CHANGE,
+    },
     storage::{
-        AgentEpoch, CommitError, JobOutcome, MachineId, Priority, Revision, StateCache,
-        Transaction, keys, rate_limiter::RequestPriority, records::OutcomeRecord,
+        AgentEpoch, CommitError, MachineId, Priority, Revision, StateCache, Transaction, keys,
+        rate_limiter::RequestPriority,
     },
 };
 
@@ -26,51 +30,94 @@
 const IDLE_WORK_MIN_SPARE: f64 = 0.5;
 /// Idle work gets a commit at least this often, however much others write.
 const IDLE_WORK_MAX_DELAY: Duration = Duration::from_secs(2);
+/// Pause after a commit that failed for another reason than its conditions.
+const FAILED_COMMIT_PAUSE: Duration = Duration::from_millis(100);
+
+/// The change of a run record, with its part of a transaction.
+pub(super) struct PlannedWrite {
+    transaction: Transaction,
+    change: RecordChange,
+}
+
+/// Which changes are written first; the least is the most pressing.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Urgency {
+    /// Replicas of services wait to be placed.
+    PlacesProduction,
+    /// Users hear that a job is done.
+    FinishesJob,
+    /// Other tasks wait to be placed.
+    Places,
+    /// Results that nothing waits for.
+    Results,
+    /// Whatever it says of idle work.
+    IdleWork,
+}
+
+/// What has become of a group of changes that were committed together.
+enum GroupOutcome {
+    /// The changes that could be are written.
+    Written,
+    /// The round is over: what follows is planned anew.
+    EndsRound,
+}
+
+fn urgency(change: &RecordChange, priority: Option<Priority>) -> Urgency {
+    match priority {
+        Some(_) if change.idle_work => Urgency::IdleWork,
+        _ if change.finishes => Urgency::FinishesJob,
+        Some(Priority::Production) if change.places => Urgency::PlacesProduction,
+        _ if change.places => Urgency::Places,
+        _ => Urgency::Results,
+    }
+}
+
+/// Puts the most pressing changes first.
+fn sort_by_urgency(writes: &mut [PlannedWrite], cache: &StateCache) {
+    writes.sort_by_cached_key(|write| {
+        let job = cache.jobs.get(&write.change.id);
+        let spec = job.and_then(|job| job.spec());
+        let priority = spec.map(|spec| spec.priority);
+        // Urgent jobs are young: by age alone they would come last.
+        (
+            urgency(&write.change, priority),
+            std::cmp::Reverse(priority),
+            spec.map_or(0, |spec| spec.accepted_ms),
+        )
+    });
+}
 
 impl ShardOwner {
     /// Writes what it can of the changes: the most pressing first, and no more
     /// than the state service's limits allow now. The rest is planned again.
     pub(super) async fn commit_changes(self: &Arc<Self>, changes: PlannedChanges) {
-        let mut parts: Vec<(Transaction, RecordChange)> = Vec::new();
+        let mut writes: Vec<PlannedWrite> = Vec::new();
         let allocation = {
             let cache = self.context.store.cache();
-            let Some(allocation) = self
-                .context
-                .own_allocation(&cache)
-                .map(|entry| entry.revision)
-            else {
+            let Some(allocation) = self.context.own_allocation(&cache) else {
                 return;
             };
-            for (_, mut change) in changes.0 {
+            for mut change in changes.0.into_values() {
                 if let Some(transaction) = self.write_job(&cache, &mut change) {
-                    parts.push((transaction, change));
+                    writes.push(PlannedWrite {
+                        transaction,
+                        change,
+                    });
                 }
             }
-            parts.sort_by_cached_key(|(_, change)| {
-                let job = cache.jobs.get(&change.id);
-                let spec = job.and_then(|job| job.spec());
-                let pressing = match spec {
-                    Some(_) if change.idle_work => 4,
-                    _ if change.finishes => 1,
-                    Some(spec) if change.places && spec.priority == Priority::Production => 0,
-                    _ if change.places => 2,
-                    _ => 3,
-                };
-                // Urgent jobs are young: by age alone they would come last.
-                let priority = std::cmp::Reverse(spec.map(|spec| spec.priority));
-                (pressing, priority, spec.map_or(0, |spec| spec.accepted_ms))
-            });
-            allocation
+            sort_by_urgency(&mut writes, &cache);
+            allocation.revision
         };
-        while let Some((_, first)) = parts.first() {
-            if first.idle_work && !self.may_write_idle_work() {
+        while let Some(first) = writes.first() {
+            if first.change.idle_work && !self.may_write_idle_work() {
                 return;
             }
-            let group = self.next_group(&mut parts);
-            if !self.commit_group(allocation, group).await {
-                return;
+            let group = self.next_group(&mut writes);
+            match self.commit_group(allocation, group).await {
+                GroupOutcome::Written => {}
+                GroupOutcome::EndsRound => return,
             }
-            if !parts.is_empty()
+            if !writes.is_empty()
                 && self
                     .context
                     .store
@@ -89,8 +136,8 @@
     fn may_write_idle_work(&self) -> bool {
         let now = Instant::now();
         let mut state = lock(&self.state);
-        let since = *state.idle_work_delayed_since.get_or_insert(now);
-        let is_due = now.duration_since(since) >= IDLE_WORK_MAX_DELAY;
+        let delayed_since = *state.idle_work_delayed_since.get_or_insert(now);
+        let is_due = now.duration_since(delayed_since) >= IDLE_WORK_MAX_DELAY;
         // Only looked at: a call that had to wait would make this controller try for more
         // than its part of the changes, at the others' expense.
         if !is_due && self.context.store.spare_writes() < IDLE_WORK_MIN_SPARE {
@@ -100,191 +147,152 @@
         true
     }
 
-    /// The first part with others that go in one transaction with it. One that
+    /// The first write with others that go in one transaction with it. One that
     /// may well be refused goes alone: all that is in a refused transaction counts
     /// against the limit of changes.
-    pub(super) fn next_group(
-        &self,
-        parts: &mut Vec<(Transaction, RecordChange)>,
-    ) -> Vec<(Transaction, RecordChange)> {
-        let first = parts.remove(0);
-        let (fenced, shared, idle_work) = (first.1.fenced, first.1.shared, first.1.idle_work);
-        let mut ops = first.0.ops.len();
-        let mut conditions = 1 + first.0.conditions.len();
-        let mut group = vec![first];
-        if shared {
-            return group;
+    fn next_group(&self, writes: &mut Vec<PlannedWrite>) -> Vec<PlannedWrite> {
+        let first = writes.remove(0);
+        if first.change.shared {
+            return vec![first];
         }
-        let most = if idle_work {
+        let (fenced, idle_work) = (first.change.fenced, first.change.idle_work);
+        let changes_per_transaction = self.context.config.state.txn_ops;
+        let max_ops = changes_per_transaction.min(if idle_work {
             IDLE_RECORDS_PER_COMMIT
         } else {
             RECORDS_PER_COMMIT
-        };
-        let most = self.context.config.state.txn_ops.min(most);
-        let mut at = 0;
-        while at < parts.len() && ops < most {
-            let (part, change) = &parts[at];
-            if change.fenced == fenced
-                && !change.shared
-                && change.idle_work == idle_work
-                && ops + part.ops.len() <= most
-                && conditions + part.conditions.len() <= 4 * self.context.config.state.txn_ops
+        });
+        let max_conditions = CONDITIONS_PER_CHANGE * changes_per_transaction;
+        let mut ops = first.transaction.ops.len();
+        let mut conditions = 1 + first.transaction.conditions.len();
+        let mut group = vec![first];
+        let mut index = 0;
+        while index < writes.len() && ops < max_ops {
+            let PlannedWrite {
+                transaction,
+                change,
+            } = &writes[index];
+            let is_alike =
+                change.fenced == fenced && !change.shared && change.idle_work == idle_work;
+            if is_alike
+                && ops + transaction.ops.len() <= max_ops
+                && conditions + transaction.conditions.len() <= max_conditions
             {
-                ops += part.ops.len();
-                conditions += part.conditions.len();
-                group.push(parts.remove(at));
+                ops += transaction.ops.len();
+                conditions += transaction.conditions.len();
+                group.push(writes.remove(index));
             } else {
-                at += 1;
+                index += 1;
             }
         }
         group
     }
 
-    /// The transaction part for one job, without the allocation's condition.
-    pub(super) fn write_job(
-        &self,
-        cache: &StateCache,
-        change: &mut RecordChange,
-    ) -> Option<Transaction> {
-        let job = cache.jobs.get(&change.id)?;
-        let spec = job.spec();
-        change.idle_work = spec.is_some_and(|spec| spec.is_idle_work());
-        let entry = job.chunks.get(&change.chunk);
-        let placed = entry.iter().flat_map(|entry| entry.value.placed.values());
-        let mut machines = placed.map(|placement| &placement.machine);
-        change.shared = machines.any(|machine| {
-            cache.machines.contains_key(machine)
-                && self.context.own_shard_of(cache, machine).is_none()
-        });
-        let key = keys::run(&change.id, change.chunk);
-        let mut part = Transaction::default().require(key.clone(), job.run_revision(change.chunk));
-        let done = change.record.done_count();
-        let finished = spec.is_some_and(|spec| spec.tasks <= keys::CHUNK && done >= spec.tasks);
-        for (shard, revision) in &change.shards {
-            part = part.require(keys::shard(*shard), *revision);
-        }
-        if finished && job.cleanup_since.is_none() {
-            change.finishes = true;
-            // The end of a job of one record takes its keys with it.
-            let outcome = OutcomeRecord {
-                outcome: JobOutcome::Done,
-                done: spec.map_or(0, |spec| spec.tasks),
-            };
-            return Some(
-                part.require(keys::outcome(&change.id), Revision(0))
-                    .set(keys::outcome(&change.id), &outcome)
-                    .remove(keys::run(&change.id, 0))
-                    .remove(keys::spec(&change.id)),
-            );
-        }
-        part = part.set(key, &change.record);
-        if change.places {
-            let spec = spec?;
-            part = part
-                .require(keys::outcome(&change.id), Revision(0))
-                .require(keys::spec(&change.id), job.spec.as_ref()?.revision);
-            if depends_on_all_records(spec, self.context.config.state.txn_ops) {
-                for chunk in 0..spec.records() {
-                    if chunk != change.chunk {
-                        part = part.require(keys::run(&change.id, chunk), job.run_revision(chunk));
-                    }
-                }
-            }
-        }
-        Some(part)
-    }
-
-    /// Commits a group; a conflicting part is left out and the others go on.
-    /// False: the round is over. `allocation` is our allocation's revision as the plan saw it.
-    pub(super) async fn commit_group(
+    /// Commits a group; a conflicting write is left out and the others go on.
+    /// `allocation` is our allocation's revision as the plan saw it.
+    async fn commit_group(
         self: &Arc<Self>,
         allocation: Revision,
-        mut group: Vec<(Transaction, RecordChange)>,
-    ) -> bool {
-        let allocation_key = keys::allocation(&self.context.config.name);
+        mut group: Vec<PlannedWrite>,
+    ) -> GroupOutcome {
         while !group.is_empty() {
-            let fenced = group.iter().any(|(_, change)| change.fenced);
-            let mut whole = Transaction::default();
-            if fenced {
-                whole = whole.require(allocation_key.clone(), allocation);
-            }
-            for (part, _) in &group {
-                whole.absorb(part.clone());
-            }
+            let is_fenced = group.iter().any(|write| write.change.fenced);
+            let transaction = self.group_transaction(allocation, is_fenced, &group);
             match self
                 .context
                 .store
-                .commit(&whole, RequestPriority::Placement)
+                .commit(&transaction, RequestPriority::Placement)
                 .await
             {
                 Ok(_) => {
                     self.dispatch_starts(group);
                     self.context.leader_wakeup.notify_one();
-                    return true;
+                    return GroupOutcome::Written;
                 }
-                Err(CommitError::Conflict(keys)) => {
-                    tracing::debug!(?keys, "commit conflict");
-                    if keys.contains(&allocation_key) {
+                Err(CommitError::Conflict(failed_keys)) => {
+                    tracing::debug!(keys = ?failed_keys, "commit conflict");
+                    if failed_keys.contains(&keys::allocation(&self.context.config.name)) {
                         // The leader has changed our budgets: plan again on them.
                         self.context.store.read_barrier().await;
                         self.context.owner_wakeup.notify_one();
-                        return false;
+                        return GroupOutcome::EndsRound;
                     }
-                    group.retain(|(part, _)| {
-                        !part.conditions.iter().any(|(key, _)| keys.contains(key))
+                    group.retain(|write| {
+                        let mut conditions = write.transaction.conditions.iter();
+                        !conditions.any(|(key, _)| failed_keys.contains(key))
                     });
-                    self.look_up_outcomes(&keys).await;
+                    self.look_up_outcomes(&failed_keys).await;
                     self.context.owner_wakeup.notify_one();
                 }
                 Err(error) => {
                     tracing::debug!(%error, "commit failed");
-                    if error.is_unknown() && fenced {
+                    if error.is_unknown() && is_fenced {
                         lock(&self.state).has_commit_in_doubt = true;
                     }
-                    self.context.pause(Duration::from_millis(100)).await;
-                    return false;
+                    self.context.pause(FAILED_COMMIT_PAUSE).await;
+                    return GroupOutcome::EndsRound;
                 }
             }
         }
-        true
+        GroupOutcome::Written
+    }
+
+    /// One transaction for the group; on the condition of our allocation if it is fenced.
+    fn group_transaction(
+        &self,
+        allocation: Revision,
+        is_fenced: bool,
+        group: &[PlannedWrite],
+    ) -> Transaction {
+        let mut transaction = Transaction::default();
+        if is_fenced {
+            let key = keys::allocation(&self.context.config.name);
+            transaction = transaction.require(key, allocation);
+        }
+        for write in group {
+            transaction.absorb(write.transaction.clone());
+        }
+        transaction
     }
 
     /// A job of ours turned out to be over.
-    pub(super) async fn look_up_outcomes(&self, failed: &[String]) {
+    async fn look_up_outcomes(&self, failed_keys: &[String]) {
         self.context.store.read_barrier().await;
-        for key in failed {
+        for key in failed_keys {
             if let Some(keys::Key::JobOutcome(job)) = keys::Key::parse(key) {
+                // Known or not, the offer is void; an outcome that cannot be read now is
+                // looked up again when a user asks.
                 let _ = self.context.store.look_up_outcome(&job).await;
                 lock(&self.state).offers.remove(&job);
             }
         }
     }
 
-    pub(super) fn dispatch_starts(self: &Arc<Self>, group: Vec<(Transaction, RecordChange)>) {
-        let mut by_machine: BTreeMap<(MachineId, AgentEpoch), Vec<Command>> = BTreeMap::new();
+    /// Learns from the ends that are written now, and sends the starts whose placements are.
+    fn dispatch_starts(self: &Arc<Self>, group: Vec<PlannedWrite>) {
+        let mut starts: BTreeMap<(MachineId, AgentEpoch), Vec<Command>> = BTreeMap::new();
         {
             let cache = self.context.store.cache();
             let mut state = lock(&self.state);
-            for (_, change) in group {
-                for (task, machine, exit) in &change.ends {
-                    self.learn_from(&mut state, &cache, task, machine, *exit);
+            for PlannedWrite { change, .. } in group {
+                for end in &change.ends {
+                    self.learn_from(&mut state, &cache, end);
                 }
-                for (machine, epoch, command) in change.starts {
-                    if let Command::Start { task, attempt } = &command {
-                        tracing::debug!(%task, %attempt, %machine, "task started");
-                        if let Some(offer) = state.offers.get_mut(&task.job) {
-                            offer.tasks.remove(&task.index);
-                        }
+                for start in change.starts {
+                    let (task, attempt, machine) = (start.task, start.attempt, start.machine);
+                    tracing::debug!(%task, %attempt, %machine, "task started");
+                    if let Some(offer) = state.offers.get_mut(&task.job) {
+                        offer.tasks.remove(&task.index);
                     }
-                    by_machine
-                        .entry((machine, epoch))
+                    starts
+                        .entry((machine, start.epoch))
                         .or_default()
-                        .push(command);
+                        .push(Command::Start { task, attempt });
                 }
             }
             state.offers.retain(|_, offer| !offer.tasks.is_empty());
         }
-        for ((machine, epoch), commands) in by_machine {
+        for ((machine, epoch), commands) in starts {
             self.send_commands(machine, Some(epoch), commands);
         }
     }
--- a/src/coordination/owner/heartbeats.rs
+++ b/src/coordination/owner/heartbeats.rs
@@ -1,17 +1,17 @@
 //! Applies heartbeats of the agents on owned machines, and decides what they are told.
 
-use std::time::Duration;
+use std::{collections::BTreeMap, time::Duration};
 
 use tokio::time::Instant;
 
 use super::{OwnerState, ShardOwner, stops::grace};
 use crate::{
     coordination::{
-        agent_state::{AgentState, MessageSource},
+        agent_state::{AgentState, MessageSource, ObservedTask},
         clients::{Command, Heartbeat, HeartbeatResponse, TaskState},
         context::lock,
     },
-    storage::{Attempt, MachineId, StateCache, TaskId, Token},
+    storage::{Attempt, MachineId, StateCache, TaskId, Token, state_cache::PlacedTask},
 };
 
 /// Commands in one answer; the rest follow with the next.
@@ -70,66 +70,91 @@
     machine: &MachineId,
     agent: &AgentState,
     cache: &StateCache,
-    preempting: impl Fn(&TaskId, Attempt) -> bool,
+    is_preempted: impl Fn(&TaskId, Attempt) -> bool,
 ) -> Vec<Command> {
-    let none = Default::default();
-    let placed = &cache.on_machine.get(machine).unwrap_or(&none).tasks;
-    let mut clears = Vec::new();
-    let mut others = Vec::new();
-    for (task, seen) in &agent.tasks {
-        let job = cache.jobs.get(&task.job);
-        let matching = placed
-            .get(task)
-            .filter(|placed| placed.placement.attempt == seen.attempt);
-        let exited = matches!(seen.state, TaskState::Exited(_));
-        let attempt = seen.attempt;
-        match (matching, exited) {
-            // Its result is being committed.
-            (Some(_), true) => {}
-            (Some(_), false) => {
-                let cancelled = cache.is_cancelled(&task.job);
-                if cancelled || preempting(task, attempt) {
-                    others.push(Command::Stop {
-                        task: task.clone(),
-                        attempt,
-                        grace: grace(job.and_then(|job| job.spec()).map(|s| &**s), cancelled),
-                    });
-                }
-            }
-            // Once cleared, a start that is still on its way would run it again.
-            (None, true) if agent.all_commands_resolved() => clears.push(Command::Clear {
-                task: task.clone(),
-                attempt,
-            }),
-            (None, true) => {}
-            // Nobody's placement: our cache holds all that earlier owners
-            // committed, since it holds our shard's record.
-            (None, false) => others.push(Command::Stop {
-                task: task.clone(),
-                attempt,
-                grace: Duration::ZERO,
-            }),
+    let none = BTreeMap::new();
+    let load = cache.on_machine.get(machine);
+    let placed = load.map_or(&none, |load| &load.tasks);
+    let mut commands = Vec::new();
+    let mut stops = Vec::new();
+    for (task, observed) in &agent.tasks {
+        let placed = placed.get(task);
+        match command_for_observed(agent, cache, (task, observed), placed, &is_preempted) {
+            Some(clear @ Command::Clear { .. }) => commands.push(clear),
+            Some(stop) => stops.push(stop),
+            None => {}
         }
     }
+    commands.extend(stops);
     for (task, placed) in placed {
-        let placement = &placed.placement;
-        let listed = agent
-            .tasks
-            .get(task)
-            .is_some_and(|seen| seen.attempt == placement.attempt);
-        let spec = cache.jobs.get(&task.job).and_then(|job| job.spec());
-        let cancelled = cache.is_cancelled(&task.job) || spec.is_none();
-        if !listed
-            && !cancelled
-            && placement.epoch == agent.epoch
-            && !preempting(task, placement.attempt)
-        {
-            others.push(Command::Start {
-                task: task.clone(),
-                attempt: placement.attempt,
-            });
+        commands.extend(start_for_placed(agent, cache, task, placed, &is_preempted));
+    }
+    commands
+}
+
+/// The stop or clear for a task that the agent lists, if it needs one.
+fn command_for_observed(
+    agent: &AgentState,
+    cache: &StateCache,
+    (task, observed): (&TaskId, &ObservedTask),
+    placed: Option<&PlacedTask>,
+    is_preempted: impl Fn(&TaskId, Attempt) -> bool,
+) -> Option<Command> {
+    let attempt = observed.attempt;
+    let has_exited = matches!(observed.state, TaskState::Exited(_));
+    let is_placed = placed.is_some_and(|placed| placed.placement.attempt == attempt);
+    let task = task.clone();
+    match (is_placed, has_exited) {
+        // Its result is being committed.
+        (true, true) => None,
+        (true, false) => {
+            let is_cancelled = cache.is_cancelled(&task.job);
+            if !is_cancelled && !is_preempted(&task, attempt) {
+                return None;
+            }
+            let spec = cache.jobs.get(&task.job).and_then(|job| job.spec());
+            let grace = grace(spec.map(|spec| &**spec), is_cancelled);
+            Some(Command::Stop {
+                task,
+                attempt,
+                grace,
+            })
         }
+        // Once cleared, a start that is still on its way would run it again.
+        (false, true) => agent
+            .all_commands_resolved()
+            .then_some(Command::Clear { task, attempt }),
+        // Nobody's placement: our cache holds all that earlier owners
+        // committed, since it holds our shard's record.
+        (false, false) => Some(Command::Stop {
+            task,
+            attempt,
+            grace: Duration::ZERO,
+        }),
     }
-    clears.extend(others);
-    clears
+}
+
+/// The start of a placed task that the agent does not list and that is to run.
+fn start_for_placed(
+    agent: &AgentState,
+    cache: &StateCache,
+    task: &TaskId,
+    placed: &PlacedTask,
+    is_preempted: impl Fn(&TaskId, Attempt) -> bool,
+) -> Option<Command> {
+    let attempt = placed.placement.attempt;
+    let is_listed = agent
+        .tasks
+        .get(task)
+        .is_some_and(|observed| observed.attempt == attempt);
+    let spec = cache.jobs.get(&task.job).and_then(|job| job.spec());
+    let is_cancelled = cache.is_cancelled(&task.job) || spec.is_none();
+    let is_to_run = !is_listed
+        && !is_cancelled
+        && placed.placement.epoch == agent.epoch
+        && !is_preempted(task, attempt);
+    is_to_run.then(|| Command::Start {
+        task: task.clone(),
+        attempt,
+    })
 }
--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -1,9 +1,6 @@
 //! Places offered tasks on the owner's machines, by least estimated completion.
 
-use std::{
-    collections::{BTreeMap, BTreeSet},
-    time::Duration,
-};
+use std::collections::{BTreeMap, BTreeSet};
 
 use tokio::time::Instant;
 
@@ -13,15 +10,20 @@
         zone_usage,
     },
     OwnerState, ShardOwner,
-    planned_changes::{PlannedChanges, RecordChange},
+    offered_jobs::{OfferedJob, depends_on_all_records, offered_jobs},
+    planned_changes::{PlannedChanges, PlannedStart, RecordChange},
 };
 use crate::{
-    coordination::{agent_state::AgentState, clients::Command, context::lock, policy::placement},
+    coordination::{
+        agent_state::AgentState,
+        context::lock,
+        policy::placement::{self, CandidateMachine},
+    },
     storage::{
-        AMOUNT_SLACK, JobId, JobKind, JobSpec, MachineId, Quota, ShardId, StateCache, TaskId,
-        TeamName, ZoneName, keys,
-        records::{AllocationRecord, MachineUse},
-        state_cache::{self, Versioned},
+        JobId, JobKind, JobSpec, MachineId, Quota, ShardId, StateCache, TaskId, TeamName, ZoneName,
+        keys,
+        records::AllocationRecord,
+        state_cache::{Job, Versioned},
     },
 };
 
@@ -34,66 +36,10 @@
 /// Room and quota that a round's placements have left.
 #[derive(Clone)]
 struct FreeResources {
-    candidates: Vec<placement::CandidateMachine>,
+    candidates: Vec<CandidateMachine>,
     used: BTreeMap<TeamName, Quota>,
 }
 
-/// A job of which the leader has offered tasks.
-struct OfferedJob<'a> {
-    id: &'a JobId,
-    spec: &'a JobSpec,
-    job: &'a state_cache::Job,
-}
-
-impl OfferedJob<'_> {
-    /// The offered tasks that wait for a place, but for those that this very round
-    /// writes about.
-    fn unplaced(&self, state: &OwnerState, changes: &PlannedChanges) -> Vec<u32> {
-        let OfferedJob { id, spec, job } = *self;
-        let written = |task: u32| {
-            let change = changes.0.get(&(id.clone(), task / keys::CHUNK));
-            change.is_some_and(|change| {
-                let record = &change.record;
-                record.is_done(task) || record.placed.get(&task) != job.recorded(task)
-            })
-        };
-        let offer = state.offers.get(id);
-        let tasks = offer.into_iter().flat_map(|offer| &offer.tasks).copied();
-        tasks
-            .filter(|task| {
-                *task < spec.tasks
-                    && job.placement(*task).is_none()
-                    && !job.is_task_done(*task)
-                    && !written(*task)
-            })
-            .collect()
-    }
-}
-
-/// The jobs that were offered and still run, the most pressing first.
-fn offered_jobs<'a>(state: &OwnerState, cache: &'a StateCache) -> Vec<OfferedJob<'a>> {
-    let mut jobs: Vec<OfferedJob<'a>> = state
-        .offers
-        .keys()
-        .filter_map(|id| {
-            let (id, job) = cache.jobs.get_key_value(id)?;
-            let spec = job.spec()?;
-            job.cleanup_since
-                .is_none()
-                .then_some(OfferedJob { id, spec, job })
-        })
-        .collect();
-    jobs.sort_by_key(|offered| {
-        let spec = offered.spec;
-        (
-            std::cmp::Reverse(spec.priority),
-            spec.accepted_ms + spec.deadline.map_or(0, |d| d.as_millis() as u64),
-            offered.id.clone(),
-        )
-    });
-    jobs
-}
-
 /// Notes the quota that tasks without a place lack, if it is quota that they lack.
 fn note_deficit(
     state: &mut OwnerState,
@@ -124,72 +70,16 @@
     *deficit = deficit.max(&wanted.minus(&budget).at_least_zero());
 }
 
-/// Whether a placement of the job is conditional on all of its run records.
-pub(super) fn depends_on_all_records(spec: &JobSpec, changes_per_transaction: usize) -> bool {
-    spec.is_zone_bound() && ZoneScope::of(spec, changes_per_transaction) == ZoneScope::WholeJob
+/// Where a task is to be placed.
+struct ChosenMachine {
+    task: u32,
+    /// Index among the round's candidates.
+    candidate: usize,
 }
 
 impl ShardOwner {
-    /// Free room on our machines, as far as it may be used now.
-    fn candidates(
-        &self,
-        state: &OwnerState,
-        cache: &StateCache,
-        now: Instant,
-    ) -> Vec<placement::CandidateMachine> {
-        let mut candidates = Vec::new();
-        let now_ms = self.context.config.now_ms();
-        let quiet = self.context.config.heartbeat_interval.mul_f64(1.5);
-        let patience = self.context.config.command_path_timeout();
-        let shards = self
-            .context
-            .own_shards(cache)
-            .filter(|(_, entry)| !entry.value.cordoned);
-        for (id, usage) in shards.flat_map(|(_, entry)| &entry.value.machines) {
-            let (Some(agent), Some(record)) = (state.agents.get(id), cache.machines.get(id)) else {
-                continue;
-            };
-            let Some(kind) = cache.machine_type(&record.kind) else {
-                continue;
-            };
-            if *usage == MachineUse::Cordoned
-                || !agent.has_heartbeat
-                || agent.time_since_heartbeat(now) > quiet
-                || agent.unreachable
-                || agent.in_doubt_start.is_some()
-                || agent.leaves_at.is_some()
-                || state.is_quarantined(agent, now)
-                || agent.is_command_path_lost(patience, now)
-            {
-                continue;
-            }
-            let mut room = kind.size;
-            if let Some(load) = cache.on_machine.get(id) {
-                room -= load.taken;
-                room += agent.freed(load);
-            }
-            if room.cpus < AMOUNT_SLACK {
-                continue;
-            }
-            let age = Duration::from_millis(now_ms.saturating_sub(record.provisioned_ms));
-            candidates.push(placement::CandidateMachine {
-                owner: 0,
-                machine: id.clone(),
-                kind: record.kind.clone(),
-                zone: record.zone.clone(),
-                spot: record.spot,
-                room,
-                size: kind.size,
-                fetch_gb_per_s: kind.fetch_gb_per_s,
-                speed: agent.speed,
-                images: agent.images(),
-                leaves_in: (*usage == MachineUse::Draining)
-                    .then(|| self.context.config.tuning.paid.left(age)),
-            });
-        }
-        candidates
-    }
-
+    /// Plans placements for the tasks that were offered, as far as room and quota last, and
+    /// notes the quota that the others lack.
     pub(super) fn place_offers(
         &self,
         state: &mut OwnerState,
@@ -198,7 +88,7 @@
         now: Instant,
         changes: &mut PlannedChanges,
     ) {
-        state.offers.retain(|_, offer| offer.until > now);
+        state.offers.retain(|_, offer| offer.expires_at > now);
         state.deficit.clear();
         if state.offers.is_empty() {
             return;
@@ -226,7 +116,7 @@
         }
     }
 
-    /// Slots for the tasks of one job that was offered, as far as room and quota last;
+    /// Machines for the tasks of one job that was offered, as far as room and quota last;
     /// for those of a gang all or none.
     fn place_job(
         &self,
@@ -236,7 +126,7 @@
         offered: &OfferedJob<'_>,
         tasks: &[u32],
         free: &mut FreeResources,
-    ) -> Vec<(u32, usize)> {
+    ) -> Vec<ChosenMachine> {
         let OfferedJob { id, spec, job } = *offered;
         let scope = ZoneScope::of(spec, self.context.config.state.txn_ops);
         if zone_usage::needs_zone_assignment(spec, scope) {
@@ -284,13 +174,13 @@
         state: &OwnerState,
         cache: &StateCache,
         offered: &OfferedJob<'_>,
-        chosen: Vec<(u32, usize)>,
-        candidates: &[placement::CandidateMachine],
+        chosen: Vec<ChosenMachine>,
+        candidates: &[CandidateMachine],
         changes: &mut PlannedChanges,
     ) {
         let OfferedJob { id, spec, job } = *offered;
-        for (task, at) in chosen {
-            let machine = &candidates[at].machine;
+        for ChosenMachine { task, candidate } in chosen {
+            let machine = &candidates[candidate].machine;
             let (Some(agent), Some((shard, entry))) = (
                 state.agents.get(machine),
                 self.context.own_shard_of(cache, machine),
@@ -310,34 +200,38 @@
             change.places = true;
             change.fenced = true;
             change.shards.insert(shard, entry.revision);
-            let task = TaskId::new(id.clone(), task);
-            let start = Command::Start { task, attempt };
-            change.starts.push((machine.clone(), epoch, start));
+            change.starts.push(PlannedStart {
+                machine: machine.clone(),
+                epoch,
+                task: TaskId::new(id.clone(), task),
+                attempt,
+            });
         }
     }
 
-    /// As [`Self::choose_slots`] for a gang that is bound to one zone and has no task
+    /// As [`Self::choose_candidates`] for a gang that is bound to one zone and has no task
     /// anywhere yet: the first zone that has room for all of them.
     fn choose_zone(
         &self,
         agents: &BTreeMap<MachineId, AgentState>,
-        (id, job): (&JobId, &state_cache::Job),
+        (id, job): (&JobId, &Job),
         tasks: &[u32],
-        candidates: &mut Vec<placement::CandidateMachine>,
+        candidates: &mut Vec<CandidateMachine>,
         team: &mut TeamQuotaUse,
-    ) -> Vec<(u32, usize)> {
+    ) -> Vec<ChosenMachine> {
         let Some(spec) = job.spec() else {
             return Vec::new();
         };
-        let found: BTreeSet<ZoneName> = candidates
+        let zones: BTreeSet<ZoneName> = candidates
             .iter()
             .map(|candidate| candidate.zone.clone())
             .collect();
-        for zone in found {
+        for zone in zones {
             let before = (candidates.clone(), team.used);
-            let mut only = ZoneConstraint::of_job(spec);
-            only.confine(zone);
-            let chosen = self.choose_candidates(agents, (id, job), tasks, candidates, team, only);
+            let mut constraint = ZoneConstraint::of_job(spec);
+            constraint.confine(zone);
+            let chosen =
+                self.choose_candidates(agents, (id, job), tasks, candidates, team, constraint);
             if chosen.len() == tasks.len() {
                 return chosen;
             }
@@ -351,7 +245,7 @@
     pub(super) fn has_condition_for(
         &self,
         change: &RecordChange,
-        job: &state_cache::Job,
+        job: &Job,
         shard: ShardId,
     ) -> bool {
         let changes = self.context.config.state.txn_ops;
@@ -359,69 +253,89 @@
             Some(spec) if depends_on_all_records(spec, changes) => spec.records() as usize,
             _ => 1,
         };
-        let most = (CONDITIONS_PER_CHANGE * changes).saturating_sub(3 + records);
-        change.shards.contains_key(&shard) || change.shards.len() < most.max(1)
+        let max_shards = (CONDITIONS_PER_CHANGE * changes).saturating_sub(3 + records);
+        change.shards.contains_key(&shard) || change.shards.len() < max_shards.max(1)
     }
 
-    /// A slot for each of the tasks, as far as room and budget last.
+    /// A machine for each of the tasks, as far as room and budget last.
     fn choose_candidates(
         &self,
         agents: &BTreeMap<MachineId, AgentState>,
-        (id, job): (&JobId, &state_cache::Job),
+        (id, job): (&JobId, &Job),
         tasks: &[u32],
-        candidates: &mut [placement::CandidateMachine],
+        candidates: &mut [CandidateMachine],
         team: &mut TeamQuotaUse,
         mut constraint: ZoneConstraint,
-    ) -> Vec<(u32, usize)> {
+    ) -> Vec<ChosenMachine> {
         let Some(spec) = job.spec() else {
             return Vec::new();
         };
         let now = Instant::now();
         let factor = lock(&self.context.estimator).factor(&spec.class);
         let quota = Quota::from(&spec.per_task);
-        let mut admits = |candidate: &placement::CandidateMachine| {
+        let mut admits = |candidate: &CandidateMachine| {
             let after = team.used.plus(&quota);
-            let admitted = team.budget.covers(&after)
+            let is_admitted = team.budget.covers(&after)
                 && constraint.admits(&candidate.zone)
-                && agents
-                    .get(&candidate.machine)
-                    .is_some_and(|agent| !agent.refuses(id, now));
-            if admitted {
+                && takes_job(agents, candidate, id, now);
+            if is_admitted {
                 team.used = after;
                 constraint.add(&candidate.zone);
             }
-            admitted
+            is_admitted
         };
         // A task that was placed before may still be listed by a machine, which
         // would refuse it: such tasks look at each machine by themselves.
-        let (again, fresh): (Vec<u32>, Vec<u32>) = tasks.iter().partition(|task| {
-            job.chunks
-                .get(&(**task / keys::CHUNK))
-                .is_some_and(|entry| {
-                    entry.value.before.contains_key(task) || entry.value.placed.contains_key(task)
-                })
-        });
+        let (placed_before, fresh): (Vec<u32>, Vec<u32>) = tasks
+            .iter()
+            .partition(|task| was_placed_before(job, **task));
         let mut chosen = Vec::with_capacity(tasks.len());
-        for task in again {
+        for task in placed_before {
             let task_id = TaskId::new(id.clone(), task);
-            let at = placement::choose(spec, candidates, factor, |candidate| {
-                let listed = agents
-                    .get(&candidate.machine)
-                    .is_some_and(|agent| agent.tasks.contains_key(&task_id));
-                !listed
-                    && agents
-                        .get(&candidate.machine)
-                        .is_some_and(|agent| !agent.refuses(id, now))
+            let candidate = placement::choose(spec, candidates, factor, |candidate| {
+                !lists_task(agents, candidate, &task_id) && takes_job(agents, candidate, id, now)
             });
-            if let Some(at) = at
-                && admits(&candidates[at])
+            if let Some(candidate) = candidate
+                && admits(&candidates[candidate])
             {
-                candidates[at].put(spec);
-                chosen.push((task, at));
+                candidates[candidate].put(spec);
+                chosen.push(ChosenMachine { task, candidate });
             }
         }
         let filled = placement::fill(spec, candidates, factor, fresh.len(), admits);
-        chosen.extend(fresh.into_iter().zip(filled));
+        let filled = fresh.into_iter().zip(filled);
+        chosen.extend(filled.map(|(task, candidate)| ChosenMachine { task, candidate }));
         chosen
     }
 }
+
+/// Whether a task has, or had, an earlier placement.
+fn was_placed_before(job: &Job, task: u32) -> bool {
+    let entry = job.chunks.get(&(task / keys::CHUNK));
+    entry.is_some_and(|entry| {
+        entry.value.before.contains_key(&task) || entry.value.placed.contains_key(&task)
+    })
+}
+
+/// Whether a machine's agent lists the task, with whatever attempt.
+fn lists_task(
+    agents: &BTreeMap<MachineId, AgentState>,
+    candidate: &CandidateMachine,
+    task: &TaskId,
+) -> bool {
+    agents
+        .get(&candidate.machine)
+        .is_some_and(|agent| agent.tasks.contains_key(task))
+}
+
+/// Whether a machine does not refuse the job's tasks for now.
+fn takes_job(
+    agents: &BTreeMap<MachineId, AgentState>,
+    candidate: &CandidateMachine,
+    job: &JobId,
+    now: Instant,
+) -> bool {
+    agents
+        .get(&candidate.machine)
+        .is_some_and(|agent| !agent.refuses(job, now))
+}
--- a/src/coordination/owner/planned_changes.rs
+++ b/src/coordination/owner/planned_changes.rs
@@ -1,11 +1,12 @@
-//! What one round of the owner wants to write.
+//! What one round of the owner wants to write. Placements and results are noted here and
+//! written by `commits`.
 
 use std::collections::BTreeMap;
 
 use crate::{
-    coordination::clients::{Command, Exit},
+    coordination::clients::Exit,
     storage::{
-        AgentEpoch, JobId, MachineId, Revision, ShardId, TaskId, keys, records::RunRecord,
+        AgentEpoch, Attempt, JobId, MachineId, Revision, ShardId, TaskId, keys, records::RunRecord,
         state_cache,
     },
 };
@@ -13,9 +14,13 @@
 /// What one round wants to write about one record of a job. Each record by itself,
 /// so that no transaction is too large however many a job has.
 pub(super) struct RecordChange {
+    /// The job.
     pub(super) id: JobId,
+    /// Which of its run records.
     pub(super) chunk: u32,
+    /// The record as it is to be.
     pub(super) record: RunRecord,
+    /// It places tasks.
     pub(super) places: bool,
     /// The shards on whose machines it places, or finds tasks missing, as the
     /// plan saw them.
@@ -30,16 +35,40 @@
     pub(super) finishes: bool,
     /// Its job is idle work, see `JobSpec::is_idle_work`.
     pub(super) idle_work: bool,
-    pub(super) starts: Vec<(MachineId, AgentEpoch, Command)>,
+    /// Starts that follow once it is committed.
+    pub(super) starts: Vec<PlannedStart>,
     /// Ends that are learned from once they are written down.
-    pub(super) ends: Vec<(TaskId, MachineId, Exit)>,
+    pub(super) ends: Vec<TaskEnd>,
 }
 
+/// A task to be started once its placement is committed.
+pub(super) struct PlannedStart {
+    /// The machine that it was placed on.
+    pub(super) machine: MachineId,
+    /// The agent epoch that its placement names.
+    pub(super) epoch: AgentEpoch,
+    /// The task.
+    pub(super) task: TaskId,
+    /// The attempt that its placement names.
+    pub(super) attempt: Attempt,
+}
+
+/// A task whose end its agent reported.
+pub(super) struct TaskEnd {
+    /// The task.
+    pub(super) task: TaskId,
+    /// The machine that it was on.
+    pub(super) machine: MachineId,
+    /// How it ended.
+    pub(super) exit: Exit,
+}
+
+/// The changes of a round, by job and run record.
 #[derive(Default)]
 pub(super) struct PlannedChanges(pub(super) BTreeMap<(JobId, u32), RecordChange>);
 
 impl PlannedChanges {
-    /// The change of the record that this task stands in.
+    /// The change of the record that lists this task.
     pub(super) fn of(
         &mut self,
         id: &JobId,
--- /dev/null
+++ b/src/coordination/owner/record_writes.rs
@@ -0,0 +1,87 @@
+//! The part of a transaction that writes one run record, with its conditions.
+
+use super::{ShardOwner, offered_jobs::depends_on_all_records, planned_changes::RecordChange};
+use crate::storage::{
+    JobOutcome, JobSpec, Revision, StateCache, Transaction, keys, records::OutcomeRecord,
+    state_cache::Job,
+};
+
+impl ShardOwner {
+    /// The transaction part for one run record, without the allocation's condition. Notes
+    /// in the change what it is like. None: the job is gone, or its spec, and with it what
+    /// a placement depends on.
+    pub(super) fn write_job(
+        &self,
+        cache: &StateCache,
+        change: &mut RecordChange,
+    ) -> Option<Transaction> {
+        let job = cache.jobs.get(&change.id)?;
+        let spec = job.spec();
+        change.idle_work = spec.is_some_and(|spec| spec.is_idle_work());
+        change.shared = self.is_shared(cache, job, change.chunk);
+        let key = keys::run(&change.id, change.chunk);
+        let mut part = Transaction::default().require(key.clone(), job.run_revision(change.chunk));
+        for (shard, revision) in &change.shards {
+            part = part.require(keys::shard(*shard), *revision);
+        }
+        if let Some(spec) = spec
+            && spec.tasks <= keys::CHUNK
+            && change.record.done_count() >= spec.tasks
+            && job.cleanup_since.is_none()
+        {
+            change.finishes = true;
+            return Some(finish_job(part, change, spec));
+        }
+        part = part.set(key, &change.record);
+        if change.places {
+            part = self.require_for_placement(part, change, job)?;
+        }
+        Some(part)
+    }
+
+    /// Whether a machine of another owner holds tasks of this record, so that its owner
+    /// writes the record as well.
+    fn is_shared(&self, cache: &StateCache, job: &Job, chunk: u32) -> bool {
+        let entry = job.chunks.get(&chunk);
+        let placed = entry.iter().flat_map(|entry| entry.value.placed.values());
+        let mut machines = placed.map(|placement| &placement.machine);
+        machines.any(|machine| {
+            cache.machines.contains_key(machine)
+                && self.context.own_shard_of(cache, machine).is_none()
+        })
+    }
+
+    /// A placement holds only while the job is not over and its spec is what the plan
+    /// saw; some jobs' placements also while their other tasks are where they were.
+    fn require_for_placement(
+        &self,
+        part: Transaction,
+        change: &RecordChange,
+        job: &Job,
+    ) -> Option<Transaction> {
+        let spec = job.spec.as_ref()?;
+        let mut part = part
+            .require(keys::outcome(&change.id), Revision(0))
+            .require(keys::spec(&change.id), spec.revision);
+        if depends_on_all_records(&spec.value, self.context.config.state.txn_ops) {
+            for chunk in 0..spec.value.records() {
+                if chunk != change.chunk {
+                    part = part.require(keys::run(&change.id, chunk), job.run_revision(chunk));
+                }
+            }
+        }
+        Some(part)
+    }
+}
+
+/// The end of a job of one record takes its keys with it.
+fn finish_job(part: Transaction, change: &RecordChange, spec: &JobSpec) -> Transaction {
+    let outcome = OutcomeRecord {
+        outcome: JobOutcome::Done,
+        done: spec.tasks,
+    };
+    part.require(keys::outcome(&change.id), Revision(0))
+        .set(keys::outcome(&change.id), &outcome)
+        .remove(keys::run(&change.id, 0))
+        .remove(keys::spec(&change.id))
+}
--- a/src/coordination/owner/stops.rs
+++ b/src/coordination/owner/stops.rs
@@ -1,4 +1,5 @@
-//! Decides which tasks are told to stop ahead of the next heartbeat.
+//! Decides which tasks are told to stop ahead of the next heartbeat: those of cancelled
+//! jobs, preempted ones, and those on machines that the cloud is about to take.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,9 +10,14 @@
 
 use super::{OwnerState, ShardOwner};
 use crate::{
-    coordination::clients::{Command, TaskState},
+    coordination::{
+        agent_state::AgentState,
+        clients::{Command, TaskState},
+    },
     storage::{
-        ControllerName, JobId, JobKind, JobSpec, MachineId, StateCache, TaskId, records::Placement,
+        Attempt, ControllerName, JobId, JobKind, JobSpec, MachineId, StateCache, TaskId,
+        records::Placement,
+        state_cache::{Job, PlacedTask},
     },
 };
 
@@ -27,71 +33,137 @@
     }
 }
 
-impl ShardOwner {
-    /// Tasks to be stopped now, directly rather than with the next answer. `mates`:
-    /// those of gangs that other controllers are to stop with them, since a gang
+/// What a round wants stopped now, directly rather than with the next answers.
+pub(super) struct PlannedStops {
+    /// Commands for our own machines.
+    pub(super) commands: BTreeMap<MachineId, Vec<Command>>,
+    /// Members of gangs that other controllers are to stop with ours, since a gang
     /// saves only if all of it is told within `gang_peer_s`.
+    pub(super) remote_gang_members: BTreeMap<ControllerName, Vec<TaskId>>,
+}
+
+/// A placed task that is to stop.
+struct StopTarget<'a> {
+    task: TaskId,
+    placement: &'a Placement,
+}
+
+/// All placed tasks of a job.
+fn placed_tasks<'a>(id: &'a JobId, job: &'a Job) -> impl Iterator<Item = StopTarget<'a>> {
+    let placed = job.chunks.values().flat_map(|entry| &entry.value.placed);
+    placed.map(|(index, placement)| StopTarget {
+        task: TaskId::new(id.clone(), *index),
+        placement,
+    })
+}
+
+/// The placed tasks of jobs that are cancelled, by their records or by a peer's word.
+fn cancelled_tasks(cache: &StateCache) -> impl Iterator<Item = StopTarget<'_>> {
+    let pending_cleanup = cache
+        .pending_cleanup
+        .iter()
+        .filter(|id| cache.is_cancelled(id));
+    let peer_cancelled = cache
+        .peer_cancelled()
+        .filter(|id| !cache.pending_cleanup.contains(*id));
+    pending_cleanup
+        .chain(peer_cancelled)
+        .filter_map(|id| Some((id, cache.jobs.get(id)?)))
+        .flat_map(|(id, job)| placed_tasks(id, job))
+}
+
+/// The preempted tasks that are still placed with the attempt that was preempted.
+fn preempted_tasks<'a>(
+    cache: &'a StateCache,
+    preempting: &BTreeMap<TaskId, Attempt>,
+) -> impl Iterator<Item = StopTarget<'a>> {
+    preempting.iter().filter_map(|(task, attempt)| {
+        let placement = cache.jobs.get(&task.job)?.placement(task.index)?;
+        (placement.attempt == *attempt).then(|| StopTarget {
+            task: task.clone(),
+            placement,
+        })
+    })
+}
+
+/// A machine that the cloud is about to take.
+struct LeavingMachine<'agents, 'cache> {
+    agent: &'agents AgentState,
+    leaves_at: Instant,
+    tasks: &'cache BTreeMap<TaskId, PlacedTask>,
+}
+
+fn leaving_machines<'agents, 'cache>(
+    agents: &'agents BTreeMap<MachineId, AgentState>,
+    cache: &'cache StateCache,
+) -> impl Iterator<Item = LeavingMachine<'agents, 'cache>> {
+    agents.iter().filter_map(|(machine, agent)| {
+        Some(LeavingMachine {
+            agent,
+            leaves_at: agent.leaves_at?,
+            tasks: &cache.on_machine.get(machine)?.tasks,
+        })
+    })
+}
+
+impl<'cache> LeavingMachine<'_, 'cache> {
+    /// The cloud takes the machine: replicas go to another one before it
+    /// does, and tasks that can save do so. Gangs leave as a whole, see
+    /// [`Self::gangs_to_stop`].
+    fn tasks_to_stop(&self, now: Instant) -> impl Iterator<Item = StopTarget<'cache>> {
+        let leaves_at = self.leaves_at;
+        self.tasks.iter().filter_map(move |(task, placed)| {
+            let spec = placed.spec.as_ref()?;
+            let must_stop = match spec.kind {
+                JobKind::Gang => false,
+                JobKind::Service => true,
+                JobKind::Array => !spec.checkpoint.is_zero() && now + spec.save < leaves_at,
+            };
+            must_stop.then(|| StopTarget {
+                task: task.clone(),
+                placement: &placed.placement,
+            })
+        })
+    }
+
+    /// The gangs of which a task here will not end before the machine goes, while there
+    /// is time to save.
+    fn gangs_to_stop(&self, now: Instant) -> impl Iterator<Item = JobId> {
+        self.tasks.iter().filter_map(move |(task, placed)| {
+            let spec = placed.spec.as_ref()?;
+            if spec.kind != JobKind::Gang {
+                return None;
+            }
+            let observed = self.agent.tasks.get(task);
+            let running_since = observed.and_then(|observed| observed.running_since);
+            let ends_first = running_since.is_some_and(|at| at + spec.estimate < self.leaves_at);
+            let is_stop_sent = self.agent.stops_sent.contains_key(task);
+            let can_save = now + spec.save < self.leaves_at;
+            (!ends_first && !is_stop_sent && can_save).then(|| task.job.clone())
+        })
+    }
+}
+
+impl ShardOwner {
+    /// Tasks to be stopped now, directly rather than with the next answer. Gangs on
+    /// machines that are about to go count as preempted from now on.
     pub(super) fn collect_stops(
         &self,
         state: &mut OwnerState,
         cache: &StateCache,
         now: Instant,
-        remote_gang_members: &mut BTreeMap<ControllerName, Vec<TaskId>>,
-    ) -> Vec<(MachineId, Vec<Command>)> {
+    ) -> PlannedStops {
         let OwnerState {
             agents, preempting, ..
         } = state;
+        let mut targets: Vec<StopTarget<'_>> = cancelled_tasks(cache).collect();
+        targets.extend(preempted_tasks(cache, preempting));
         let mut leaving_gangs: BTreeSet<JobId> = BTreeSet::new();
-        let mut wanted: Vec<(TaskId, &Placement)> = Vec::new();
-        let pending_cleanup = cache
-            .pending_cleanup
-            .iter()
-            .filter(|id| cache.is_cancelled(id));
-        let peer_cancelled = cache
-            .peer_cancelled()
-            .filter(|id| !cache.pending_cleanup.contains(*id));
-        for id in pending_cleanup.chain(peer_cancelled) {
-            let Some(job) = cache.jobs.get(id) else {
-                continue;
-            };
-            for (index, placement) in job.chunks.values().flat_map(|entry| &entry.value.placed) {
-                wanted.push((TaskId::new(id.clone(), *index), placement));
-            }
-        }
-        for (task, attempt) in preempting.iter() {
-            let job = cache.jobs.get(&task.job);
-            if let Some(placement) = job.and_then(|job| job.placement(task.index))
-                && placement.attempt == *attempt
-            {
-                wanted.push((task.clone(), placement));
-            }
-        }
-        // The cloud takes the machine: replicas go to another one before it
-        // does, and tasks that can save do so.
-        for (machine, agent) in agents.iter() {
-            let Some(leaves_at) = agent.leaves_at else {
-                continue;
-            };
-            for (task, placed) in cache.on_machine.get(machine).iter().flat_map(|l| &l.tasks) {
-                if let Some(spec) = placed.spec.as_ref().filter(|s| s.kind == JobKind::Gang) {
-                    let seen = agent.tasks.get(task);
-                    let since = seen.and_then(|seen| seen.running_since);
-                    let ends_first = since.is_some_and(|at| at + spec.estimate < leaves_at);
-                    let lately = agent.stops_sent.contains_key(task);
-                    if !ends_first && !lately && now + spec.save < leaves_at {
-                        leaving_gangs.insert(task.job.clone());
-                    }
-                    continue;
-                }
-                let leaves = placed.spec.as_ref().is_some_and(|spec| {
-                    spec.kind == JobKind::Service
-                        || (!spec.checkpoint.is_zero() && now + spec.save < leaves_at)
-                });
-                if leaves {
-                    wanted.push((task.clone(), &placed.placement));
-                }
-            }
+        for machine in leaving_machines(agents, cache) {
+            targets.extend(machine.tasks_to_stop(now));
+            leaving_gangs.extend(machine.gangs_to_stop(now));
         }
+        let mut remote_gang_members: BTreeMap<ControllerName, Vec<TaskId>> = BTreeMap::new();
         for id in leaving_gangs {
             let Some(job) = cache.jobs.get(&id) else {
                 continue;
@@ -100,43 +172,56 @@
                 let task = TaskId::new(id.clone(), index);
                 if agents.contains_key(&placement.machine) {
                     preempting.insert(task.clone(), placement.attempt);
-                    wanted.push((task, placement));
+                    targets.push(StopTarget { task, placement });
                 } else if let Some((_, entry)) = cache.shard_of(&placement.machine) {
-                    let there = remote_gang_members
+                    remote_gang_members
                         .entry(entry.value.controller.clone())
-                        .or_default();
-                    there.push(task);
+                        .or_default()
+                        .push(task);
                 }
             }
         }
-        let mut stops: BTreeMap<MachineId, Vec<Command>> = BTreeMap::new();
-        for (task, placement) in wanted {
-            let Some(agent) = agents.get_mut(&placement.machine) else {
-                continue;
-            };
-            let over = agent.tasks.get(&task).is_some_and(|seen| {
-                seen.attempt == placement.attempt && matches!(seen.state, TaskState::Exited(_))
-            });
-            let lately = agent
-                .stops_sent
-                .get(&task)
-                .is_some_and(|at| now.duration_since(*at) < STOP_RETRY_INTERVAL);
-            if over || lately {
-                continue;
-            }
-            agent.stops_sent.insert(task.clone(), now);
-            let job = cache.jobs.get(&task.job);
-            let cancelled = cache.is_cancelled(&task.job);
-            let spec = job.and_then(|job| job.spec()).map(|spec| &**spec);
-            stops
-                .entry(placement.machine.clone())
-                .or_default()
-                .push(Command::Stop {
-                    task,
-                    attempt: placement.attempt,
-                    grace: grace(spec, cancelled),
-                });
+        PlannedStops {
+            commands: stop_commands(agents, cache, targets, now),
+            remote_gang_members,
         }
-        stops.into_iter().collect()
     }
 }
+
+/// The commands for those targets on our machines that are not over, nor were told so
+/// lately.
+fn stop_commands(
+    agents: &mut BTreeMap<MachineId, AgentState>,
+    cache: &StateCache,
+    targets: Vec<StopTarget<'_>>,
+    now: Instant,
+) -> BTreeMap<MachineId, Vec<Command>> {
+    let mut commands: BTreeMap<MachineId, Vec<Command>> = BTreeMap::new();
+    for StopTarget { task, placement } in targets {
+        let Some(agent) = agents.get_mut(&placement.machine) else {
+            continue;
+        };
+        let is_over = agent.tasks.get(&task).is_some_and(|observed| {
+            observed.attempt == placement.attempt && matches!(observed.state, TaskState::Exited(_))
+        });
+        let is_stop_recent = agent
+            .stops_sent
+            .get(&task)
+            .is_some_and(|sent_at| now.duration_since(*sent_at) < STOP_RETRY_INTERVAL);
+        if is_over || is_stop_recent {
+            continue;
+        }
+        agent.stops_sent.insert(task.clone(), now);
+        let spec = cache.jobs.get(&task.job).and_then(|job| job.spec());
+        let grace = grace(spec.map(|spec| &**spec), cache.is_cancelled(&task.job));
+        commands
+            .entry(placement.machine.clone())
+            .or_default()
+            .push(Command::Stop {
+                task,
+                attempt: placement.attempt,
+                grace,
+            });
+    }
+    commands
+}
