--- a/src/coordination/agent_state.rs
+++ b/src/coordination/agent_state.rs
@@ -1,5 +1,8 @@
-//! An owner's view of one machine: what its agent said last, in order, and
+//! What an owner knows of one machine's agent: what it said last, in order, and
 //! what can be concluded from it.
+//!
+//! The shard owner holds one state for each of its machines and applies every message to
+//! it; a state ends when the machine goes to another owner.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -10,19 +13,24 @@
 use tokio::time::Instant;
 
 use crate::{
-    coordination::clients::{Command, Heartbeat, TaskState},
+    coordination::clients::{Command, Heartbeat, TaskState, TaskStatus},
     storage::{
         AgentEpoch, Attempt, ImageName, JobId, Resources, TaskId, Token, state_cache::MachineLoad,
     },
 };
 
+/// A task that the agent lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObservedTask {
+    /// Its attempt there.
     pub attempt: Attempt,
+    /// What the agent said of it last.
     pub state: TaskState,
+    /// When it was first seen running.
     pub running_since: Option<Instant>,
 }
 
+/// How a message of an agent came to us.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageSource {
     /// A heartbeat that waits for our answer.
@@ -33,45 +41,94 @@
 
 /// Failures on one machine before it counts as quarantined: from this many jobs.
 const QUARANTINE_AFTER_JOBS: usize = 2;
+/// Failures remembered of one machine.
 const MAX_FAILURES: usize = 16;
+/// Jobs that a machine refuses at a time, at most.
 const MAX_REFUSALS: usize = 256;
+/// A failure counts against a machine, or a job, for this long.
 pub const FAILURE_WINDOW: Duration = Duration::from_secs(180);
 
+/// A direct start that got no answer. It may be executed as long as the agent has seen no
+/// higher token.
+#[derive(Clone, Copy, Debug)]
+pub struct InDoubtStart {
+    /// The highest token of such a start.
+    pub token: Token,
+    /// When the latest of them was given up.
+    pub since: Instant,
+}
+
+/// A token that the agent was told and has not shown since.
+#[derive(Clone, Copy, Debug)]
+struct UnconfirmedToken {
+    token: Token,
+    since: Instant,
+}
+
+/// An image in the machine's cache.
+#[derive(Clone, Debug)]
+struct CachedImage {
+    name: ImageName,
+    gb: f64,
+}
+
+/// A task that failed on the machine.
+#[derive(Clone, Debug)]
+struct TaskFailure {
+    job: JobId,
+    at: Instant,
+}
+
+/// What is known of one agent.
 #[derive(Debug)]
 pub struct AgentState {
     /// Our token when the machine came to us: an agent that has seen it drops
     /// every command of earlier owners.
     pub acquired: Token,
+    /// Where the agent listens.
     pub address: Option<String>,
+    /// Its epoch, by its newest message.
     pub epoch: AgentEpoch,
+    /// Number of its newest message within the epoch.
     sequence: u64,
+    /// The highest token that it has shown.
     pub token: Token,
     /// Last heartbeat, or since when we have held the machine.
     pub last_heartbeat: Instant,
+    /// A heartbeat of it has come since we have held the machine.
     pub has_heartbeat: bool,
+    /// The last probe failed, and nothing has come since.
     pub unreachable: bool,
-    pub probed: Option<Instant>,
+    /// When the machine was probed last.
+    pub probed_at: Option<Instant>,
+    /// When the cloud takes the machine, if it has given notice.
     pub leaves_at: Option<Instant>,
+    /// The tasks that its newest message lists.
     pub tasks: BTreeMap<TaskId, ObservedTask>,
     /// The newest message was a heartbeat, so that what it does not list is not
     /// on its way in an earlier answer of ours.
-    complete: bool,
-    /// Highest token of a direct start that got no answer. It may be executed
-    /// as long as the agent has seen no higher one.
-    pub in_doubt_start: Option<(Token, Instant)>,
+    lists_all_tasks: bool,
+    /// Direct starts that got no answer.
+    pub in_doubt_start: Option<InDoubtStart>,
     /// Direct starts that wait for their answer.
     starts_in_flight: u32,
     /// Starts given in the answer to the newest heartbeat: executed, or not, only
     /// the next heartbeat tells.
     answered_starts: BTreeSet<TaskId>,
-    images: Vec<(ImageName, f64)>,
+    /// Images that the machine should have, the most recently used last.
+    images: Vec<CachedImage>,
+    /// Their names, shared with plans.
     image_names: Arc<Vec<ImageName>>,
-    failures: VecDeque<(JobId, Instant)>,
+    /// Failures of tasks here, the oldest first.
+    failures: VecDeque<TaskFailure>,
+    /// Jobs that are not tried here, and until when.
     refusals: BTreeMap<JobId, Instant>,
+    /// When a direct stop of a listed task was sent last.
     pub stops_sent: BTreeMap<TaskId, Instant>,
+    /// Learned speed of the machine; 1 is usual.
     pub speed: f64,
     /// The oldest of our answers whose token the agent has not shown since.
-    unconfirmed_token: Option<(Token, Instant)>,
+    unconfirmed_token: Option<UnconfirmedToken>,
     /// Until when our last answer to a heartbeat is a late one: a lease that runs
     /// out before that was not renewed by it.
     answered_until: Option<Instant>,
@@ -84,6 +141,7 @@
 const LOST_EPOCH_TTL: Duration = Duration::from_secs(90);
 
 impl AgentState {
+    /// Nothing heard yet of an agent whose machine came to us with this token.
     pub fn new(acquired: Token, now: Instant) -> Self {
         Self {
             acquired,
@@ -94,10 +152,10 @@
             last_heartbeat: now,
             has_heartbeat: false,
             unreachable: false,
-            probed: None,
+            probed_at: None,
             leaves_at: None,
             tasks: BTreeMap::new(),
-            complete: false,
+            lists_all_tasks: false,
             in_doubt_start: None,
             starts_in_flight: 0,
             answered_starts: BTreeSet::new(),
@@ -120,59 +178,72 @@
             return false;
         }
         if heartbeat.epoch > self.epoch {
-            self.tasks.clear();
-            self.stops_sent.clear();
-            // Its lease ran out, but we have answered lately: it does not hear us.
-            if self.epoch.0 > 0 && self.answered_until.is_some_and(|until| now < until) {
-                self.lost_epoch_at = Some(now);
-            }
+            self.end_epoch(now);
         }
         self.epoch = heartbeat.epoch;
         self.sequence = heartbeat.sequence;
-        self.token = self.token.max(heartbeat.token);
-        if self
-            .unconfirmed_token
-            .is_some_and(|(token, _)| self.token >= token)
-        {
-            self.unconfirmed_token = None;
-        }
+        self.confirm_token(heartbeat.token);
         if self.address.as_ref() != Some(&heartbeat.address) {
             self.address = Some(heartbeat.address.clone());
         }
         self.leaves_at = heartbeat.notice.map(|notice| now + notice);
-        self.complete = source == MessageSource::Heartbeat;
+        self.lists_all_tasks = source == MessageSource::Heartbeat;
         self.unreachable = false;
         if source == MessageSource::Heartbeat {
             self.last_heartbeat = now;
             self.has_heartbeat = true;
             self.answered_starts.clear();
         }
-        let old = std::mem::take(&mut self.tasks);
-        for entry in &heartbeat.tasks {
-            let before = old
-                .get(&entry.task)
-                .filter(|seen| seen.attempt == entry.attempt);
-            let running_since = match entry.state {
-                TaskState::Running => before.and_then(|seen| seen.running_since).or(Some(now)),
-                _ => before.and_then(|seen| seen.running_since),
-            };
-            self.tasks.insert(
-                entry.task.clone(),
-                ObservedTask {
-                    attempt: entry.attempt,
-                    state: entry.state,
-                    running_since,
-                },
-            );
-        }
-        self.stops_sent
-            .retain(|task, _| heartbeat.tasks.iter().any(|t| t.task == *task));
+        self.observe_tasks(&heartbeat.tasks, now);
         if self.all_commands_resolved() {
             self.in_doubt_start = None;
         }
         true
     }
 
+    /// The agent's lease has expired: its tasks are gone.
+    fn end_epoch(&mut self, now: Instant) {
+        self.tasks.clear();
+        self.stops_sent.clear();
+        // Its lease ran out, but we have answered lately: it does not hear us.
+        if self.epoch.0 > 0 && self.answered_until.is_some_and(|until| now < until) {
+            self.lost_epoch_at = Some(now);
+        }
+    }
+
+    fn confirm_token(&mut self, token: Token) {
+        self.token = self.token.max(token);
+        if self
+            .unconfirmed_token
+            .is_some_and(|unconfirmed| self.token >= unconfirmed.token)
+        {
+            self.unconfirmed_token = None;
+        }
+    }
+
+    /// Replaces what is known of the machine's tasks.
+    fn observe_tasks(&mut self, statuses: &[TaskStatus], now: Instant) {
+        let old = std::mem::take(&mut self.tasks);
+        for status in statuses {
+            let running_since = old
+                .get(&status.task)
+                .filter(|observed| observed.attempt == status.attempt)
+                .and_then(|observed| observed.running_since);
+            let observed = ObservedTask {
+                attempt: status.attempt,
+                state: status.state,
+                running_since: match status.state {
+                    TaskState::Running => running_since.or(Some(now)),
+                    _ => running_since,
+                },
+            };
+            self.tasks.insert(status.task.clone(), observed);
+        }
+        self.stops_sent
+            .retain(|task, _| statuses.iter().any(|status| status.task == *task));
+    }
+
+    /// Number of its newest message within its epoch.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
@@ -181,10 +252,10 @@
     /// free as soon as they have, although their results are yet to be written.
     pub fn freed(&self, load: &MachineLoad) -> Resources {
         let mut freed = Resources::default();
-        for (task, seen) in &self.tasks {
-            if matches!(seen.state, TaskState::Exited(_))
+        for (task, observed) in &self.tasks {
+            if matches!(observed.state, TaskState::Exited(_))
                 && let Some(placed) = load.tasks.get(task)
-                && placed.placement.attempt == seen.attempt
+                && placed.placement.attempt == observed.attempt
                 && let Some(spec) = &placed.spec
             {
                 freed += spec.per_task;
@@ -201,14 +272,15 @@
             && self.starts_in_flight == 0
             && self
                 .in_doubt_start
-                .is_none_or(|(token, _)| self.token > token)
+                .is_none_or(|start| self.token > start.token)
     }
 
     /// A task that the newest message does not list is surely not there.
     pub fn absence_is_proof(&self, task: &TaskId) -> bool {
-        self.complete && self.all_commands_resolved() && !self.answered_starts.contains(task)
+        self.lists_all_tasks && self.all_commands_resolved() && !self.answered_starts.contains(task)
     }
 
+    /// Notes the starts in the answer to its newest heartbeat.
     pub fn answer_starts(&mut self, commands: &[Command]) {
         self.answered_starts
             .extend(commands.iter().filter_map(|command| match command {
@@ -222,7 +294,8 @@
     pub fn note_answer(&mut self, token: Token, interval: Duration, now: Instant) {
         self.answered_until = Some(now + interval);
         if self.token < token {
-            self.unconfirmed_token.get_or_insert((token, now));
+            self.unconfirmed_token
+                .get_or_insert(UnconfirmedToken { token, since: now });
         }
     }
 
@@ -231,16 +304,18 @@
     /// answered. It looks alive, and yet its tasks end with its lease.
     pub fn is_command_path_lost(&self, patience: Duration, now: Instant) -> bool {
         self.unconfirmed_token
-            .is_some_and(|(_, at)| now.duration_since(at) > patience)
+            .is_some_and(|unconfirmed| now.duration_since(unconfirmed.since) > patience)
             || self
                 .lost_epoch_at
                 .is_some_and(|at| now.duration_since(at) < LOST_EPOCH_TTL)
     }
 
+    /// A direct start is on its way.
     pub fn start_sent(&mut self) {
         self.starts_in_flight += 1;
     }
 
+    /// A direct start got its answer, or will get none.
     pub fn start_answered(&mut self) {
         self.starts_in_flight = self.starts_in_flight.saturating_sub(1);
     }
@@ -250,34 +325,40 @@
         self.epoch > epoch && self.token >= self.acquired
     }
 
+    /// A direct start under this token got no answer.
     pub fn note_start_in_doubt(&mut self, token: Token, now: Instant) {
         let token = self
             .in_doubt_start
-            .map_or(token, |(known, _)| known.max(token));
-        self.in_doubt_start = Some((token, now));
+            .map_or(token, |known| known.token.max(token));
+        self.in_doubt_start = Some(InDoubtStart { token, since: now });
     }
 
-    pub fn note_image(&mut self, image: &ImageName, gb: f64, cache_gb: f64) {
-        if self.images.last().is_some_and(|(known, _)| known == image) {
+    /// A task with this image runs; the machine's cache has room for `cache_gb`.
+    pub fn note_image(&mut self, name: &ImageName, gb: f64, cache_gb: f64) {
+        if self.images.last().is_some_and(|image| image.name == *name) {
             return;
         }
-        self.images.retain(|(known, _)| known != image);
-        self.images.push((image.clone(), gb));
+        self.images.retain(|image| image.name != *name);
+        let name = name.clone();
+        self.images.push(CachedImage { name, gb });
         // The machine keeps the most recently used ones.
-        let mut sum: f64 = self.images.iter().map(|(_, gb)| gb).sum();
-        while sum > cache_gb && self.images.len() > 1 {
-            sum -= self.images.remove(0).1;
+        let mut total_gb: f64 = self.images.iter().map(|image| image.gb).sum();
+        while total_gb > cache_gb && self.images.len() > 1 {
+            total_gb -= self.images.remove(0).gb;
         }
-        let names = self.images.iter().map(|(name, _)| name.clone());
+        let names = self.images.iter().map(|image| image.name.clone());
         self.image_names = Arc::new(names.collect());
     }
 
+    /// The images that the machine should have.
     pub fn images(&self) -> Arc<Vec<ImageName>> {
         self.image_names.clone()
     }
 
+    /// A task of the job has failed here.
     pub fn note_failure(&mut self, job: &JobId, now: Instant) {
-        self.failures.push_back((job.clone(), now));
+        let job = job.clone();
+        self.failures.push_back(TaskFailure { job, at: now });
         if self.failures.len() > MAX_FAILURES {
             self.failures.pop_front();
         }
@@ -289,8 +370,9 @@
         let mut jobs: Vec<&JobId> = self
             .failures
             .iter()
-            .filter(|(job, at)| now.duration_since(*at) < FAILURE_WINDOW && !is_crash_looping(job))
-            .map(|(job, _)| job)
+            .filter(|failure| now.duration_since(failure.at) < FAILURE_WINDOW)
+            .map(|failure| &failure.job)
+            .filter(|job| !is_crash_looping(job))
             .collect();
         jobs.sort();
         jobs.dedup();
@@ -300,17 +382,19 @@
     /// The job is not tried here again for a while.
     pub fn refuse(&mut self, job: &JobId, until: Instant, now: Instant) {
         if self.refusals.len() >= MAX_REFUSALS {
-            self.refusals.retain(|_, at| *at > now);
+            self.refusals.retain(|_, until| *until > now);
         }
         if self.refusals.len() < MAX_REFUSALS {
             self.refusals.insert(job.clone(), until);
         }
     }
 
+    /// Whether the job is not tried here for now.
     pub fn refuses(&self, job: &JobId, now: Instant) -> bool {
         self.refusals.get(job).is_some_and(|until| *until > now)
     }
 
+    /// Since its last heartbeat, or since the machine came to us.
     pub fn time_since_heartbeat(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.last_heartbeat)
     }
--- a/src/coordination/indirect_heartbeats.rs
+++ b/src/coordination/indirect_heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats that reached this controller although it does not own their machines.
+//! Heartbeats that reached this controller although it does not own their machines. They
+//! are told to the leader, which learns from them of agents that their owner cannot hear.
 
 use std::{collections::BTreeMap, sync::Mutex, time::Duration};
 
@@ -12,9 +13,16 @@
     storage::MachineId,
 };
 
-/// The newest indirect heartbeat of each machine, with the time at which it came.
+/// An indirect heartbeat, with the time at which it came.
+struct ReceivedHeartbeat {
+    at: Instant,
+    /// Its age is as of then: zero.
+    heartbeat: IndirectHeartbeat,
+}
+
+/// The newest indirect heartbeat of each machine.
 #[derive(Default)]
-pub(super) struct IndirectHeartbeats(Mutex<BTreeMap<MachineId, (Instant, IndirectHeartbeat)>>);
+pub(super) struct IndirectHeartbeats(Mutex<BTreeMap<MachineId, ReceivedHeartbeat>>);
 
 impl IndirectHeartbeats {
     /// An agent sent a heartbeat here although its machine is not ours. Copies of old
@@ -22,7 +30,8 @@
     pub(super) fn note(&self, heartbeat: &Heartbeat, max_machines: usize) {
         let now = Instant::now();
         let mut known = lock(&self.0);
-        if let Some((_, last)) = known.get(&heartbeat.machine) {
+        if let Some(received) = known.get(&heartbeat.machine) {
+            let last = &received.heartbeat;
             if (heartbeat.epoch, heartbeat.sequence) <= (last.epoch, last.sequence) {
                 return;
             }
@@ -39,20 +48,24 @@
             sequence: heartbeat.sequence,
             age: Duration::ZERO,
         };
-        known.insert(heartbeat.machine.clone(), (now, indirect));
+        let received = ReceivedHeartbeat {
+            at: now,
+            heartbeat: indirect,
+        };
+        known.insert(heartbeat.machine.clone(), received);
     }
 
     /// Forgets those older than this.
     pub(super) fn expire(&self, max_age: Duration) {
-        lock(&self.0).retain(|_, (at, _)| at.elapsed() < max_age);
+        lock(&self.0).retain(|_, received| received.at.elapsed() < max_age);
     }
 
     /// All that are kept, with their ages.
     pub(super) fn list(&self, now: Instant) -> Vec<IndirectHeartbeat> {
         let known = lock(&self.0);
-        let aged = known.values().map(|(at, heartbeat)| IndirectHeartbeat {
-            age: now.duration_since(*at),
-            ..heartbeat.clone()
+        let aged = known.values().map(|received| IndirectHeartbeat {
+            age: now.duration_since(received.at),
+            ..received.heartbeat.clone()
         });
         aged.collect()
     }
--- a/src/coordination/owner/commands.rs
+++ b/src/coordination/owner/commands.rs
@@ -162,12 +162,12 @@
             .filter(|(_, agent)| {
                 agent.time_since_heartbeat(now) > missing_after
                     && agent
-                        .probed
+                        .probed_at
                         .is_none_or(|probed_at| now.duration_since(probed_at) > REPROBE_INTERVAL)
             })
             .take(MAX_PROBES)
             .map(|(machine, agent)| {
-                agent.probed = Some(now);
+                agent.probed_at = Some(now);
                 let recorded = cache
                     .machines
                     .get(machine)
--- a/src/coordination/owner/failing_jobs.rs
+++ b/src/coordination/owner/failing_jobs.rs
@@ -32,41 +32,44 @@
     Duration::from_secs(1 << rounds.saturating_sub(1).min(6)).min(MAX_PAUSE)
 }
 
+/// A job whose tasks have failed here lately.
 #[derive(Debug)]
-struct Failing {
+struct FailingJob {
+    /// Machines on which they have failed.
     machines: BTreeSet<MachineId>,
     /// Failures seen here.
     failures: u64,
     /// Attempts that failed; tasks that were tried together count once.
     rounds: u32,
-    until: Instant,
+    /// The end of its pause.
+    paused_until: Instant,
     /// Its user submitted it with a mistake, as far as can be told: machines are not
     /// judged by it. Remembered when the job is over, as long as its failures count.
-    crash_looping: bool,
+    is_crash_looping: bool,
 }
 
 /// The jobs that have failed lately on the machines of one owner.
 #[derive(Debug, Default)]
-pub(super) struct FailingJobs(BTreeMap<JobId, Failing>);
+pub(super) struct FailingJobs(BTreeMap<JobId, FailingJob>);
 
 impl FailingJobs {
     /// A task of the job has failed on this machine.
     pub(super) fn failed(&mut self, job: &JobId, machine: &MachineId, now: Instant) {
         self.make_room(now);
-        let failing = self.0.entry(job.clone()).or_insert(Failing {
+        let failing = self.0.entry(job.clone()).or_insert(FailingJob {
             machines: BTreeSet::new(),
             failures: 0,
             rounds: 0,
-            until: now,
-            crash_looping: false,
+            paused_until: now,
+            is_crash_looping: false,
         });
         if failing.machines.len() < MAX_MACHINES {
             failing.machines.insert(machine.clone());
         }
         failing.failures += 1;
-        if failing.until <= now {
+        if failing.paused_until <= now {
             failing.rounds += 1;
-            failing.until = now + failure_pause(failing.rounds);
+            failing.paused_until = now + failure_pause(failing.rounds);
         }
     }
 
@@ -81,7 +84,7 @@
         for (id, failing) in self
             .0
             .iter_mut()
-            .filter(|(_, failing)| !failing.crash_looping)
+            .filter(|(_, failing)| !failing.is_crash_looping)
         {
             let Some(job) = cache.jobs.get(id) else {
                 continue;
@@ -91,22 +94,26 @@
                 .flat_map(|record| record.before.values())
                 .map(|attempt| attempt.0)
                 .sum();
-            let elsewhere =
+            let has_failed_elsewhere =
                 failing.machines.len() >= CRASH_LOOP_AFTER_MACHINES || ended > failing.failures;
-            failing.crash_looping = job.done == 0 && elsewhere;
+            failing.is_crash_looping = job.done == 0 && has_failed_elsewhere;
         }
     }
 
+    /// Whether the job itself is to blame for its failures.
     pub(super) fn is_crash_looping(&self, job: &JobId) -> bool {
-        self.0.get(job).is_some_and(|failing| failing.crash_looping)
+        self.0
+            .get(job)
+            .is_some_and(|failing| failing.is_crash_looping)
     }
 
     /// Whether only one task of the job may be there at a time: the others would most
     /// probably fail with it.
     pub(super) fn is_on_probation(&self, job: &JobId, now: Instant) -> bool {
         let failing = self.0.get(job);
-        failing
-            .is_some_and(|failing| failing.crash_looping && now < failing.until + PROBATION_PERIOD)
+        failing.is_some_and(|failing| {
+            failing.is_crash_looping && now < failing.paused_until + PROBATION_PERIOD
+        })
     }
 
     /// The jobs that fail on several machines, with what is left of their pauses; none is
@@ -114,22 +121,31 @@
     pub(super) fn paused(&self, now: Instant) -> Vec<(JobId, Duration)> {
         let several = self.0.iter().filter(|(job, failing)| {
             let is_paused =
-                failing.machines.len() >= CRASH_LOOP_AFTER_MACHINES && failing.until > now;
+                failing.machines.len() >= CRASH_LOOP_AFTER_MACHINES && failing.paused_until > now;
             is_paused || self.is_on_probation(job, now)
         });
         several
-            .map(|(job, failing)| (job.clone(), failing.until.saturating_duration_since(now)))
+            .map(|(job, failing)| {
+                (
+                    job.clone(),
+                    failing.paused_until.saturating_duration_since(now),
+                )
+            })
             .collect()
     }
 
+    /// Forgets jobs, so that another one can be remembered.
     fn make_room(&mut self, now: Instant) {
         if self.0.len() < MAX_JOBS {
             return;
         }
         self.0
-            .retain(|_, failing| now < failing.until + FAILURE_WINDOW);
+            .retain(|_, failing| now < failing.paused_until + FAILURE_WINDOW);
         if self.0.len() >= MAX_JOBS {
-            let first = self.0.iter().min_by_key(|(_, failing)| failing.until);
+            let first = self
+                .0
+                .iter()
+                .min_by_key(|(_, failing)| failing.paused_until);
             if let Some(job) = first.map(|(job, _)| job.clone()) {
                 self.0.remove(&job);
             }
--- a/src/coordination/owner/failing_jobs/tests.rs
+++ b/src/coordination/owner/failing_jobs/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `coordination::owner::failing`.
+//! Tests of `coordination::owner::failing_jobs`.
 
 use super::*;
 use crate::storage::{AgentEpoch, Attempt, Revision, keys, records::RunRecord};
--- a/src/coordination/owner/in_doubt.rs
+++ b/src/coordination/owner/in_doubt.rs
@@ -5,7 +5,7 @@
 
 use super::ShardOwner;
 use crate::{
-    coordination::context::lock,
+    coordination::{agent_state::InDoubtStart, context::lock},
     storage::{
         ShardId, StateCache, Token, Transaction, keys,
         rate_limiter::RequestPriority,
@@ -60,11 +60,11 @@
         let state = lock(&self.state);
         let mut found: BTreeMap<ShardId, Versioned<ShardRecord>> = BTreeMap::new();
         for (id, agent) in &state.agents {
-            let Some((token, sent_at)) = agent.in_doubt_start else {
+            let Some(InDoubtStart { token, since }) = agent.in_doubt_start else {
                 continue;
             };
-            let is_due = sent_at.elapsed() > IN_DOUBT_TIMEOUT
-                && agent.last_heartbeat > sent_at
+            let is_due = since.elapsed() > IN_DOUBT_TIMEOUT
+                && agent.last_heartbeat > since
                 && token >= agent.token;
             if is_due && let Some((shard, entry)) = self.context.own_shard_of(cache, id) {
                 // Raised already: the agent only has to hear of it.
