--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -22,6 +22,7 @@
 }
 
 impl HeartbeatService {
+    /// The duty, which keeps nothing of its own.
     pub(super) fn new(
         context: Arc<Context>,
         owner: Arc<ShardOwner>,
@@ -49,16 +50,17 @@
             self.note_indirect(heartbeat);
             return HeartbeatResponse::NotHere(None);
         };
-        let (controller, owner) = (shard.value.controller.clone(), shard.value.owner);
+        let controller = shard.value.controller.clone();
+        let owner = shard.value.owner;
         let token = Token::from(shard.revision);
         if controller != context.config.name {
-            let alive = cache
+            let is_owner_alive = cache
                 .controllers
                 .get(&controller)
                 .is_some_and(|entry| entry.value.incarnation == owner);
             drop(cache);
             self.note_indirect(heartbeat);
-            return HeartbeatResponse::NotHere(alive.then_some(controller));
+            return HeartbeatResponse::NotHere(is_owner_alive.then_some(controller));
         }
         // Another process owned the shard, our state of it is behind, or our
         // right to renew leases has run out: a 200 would be wrong or dropped.
@@ -71,6 +73,7 @@
         self.owner.accept_heartbeat(&cache, heartbeat, token)
     }
 
+    /// Keeps a heartbeat that another controller should have had, for the leader.
     fn note_indirect(&self, heartbeat: &Heartbeat) {
         let max_machines = self.context.config.machines_tracked;
         self.indirect_heartbeats.note(heartbeat, max_machines);
@@ -83,6 +86,6 @@
         let confirmed_at = self.context.store.confirmed_at();
         confirmed_at
             .max(self.liveness.read_confirmed_at())
-            .is_some_and(|at| at.elapsed() < window)
+            .is_some_and(|confirmed_at| confirmed_at.elapsed() < window)
     }
 }
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -1,4 +1,7 @@
-//! Submitting, asking about and cancelling jobs.
+//! Submitting, asking about and cancelling jobs, for users.
+//!
+//! Any controller serves these requests, by transactions on the job's spec and outcome:
+//! the spec is written if neither exists, the outcome only once.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,18 +15,32 @@
     },
 };
 
+/// How often a cancellation is tried that conflicts with other changes.
+const MAX_CANCEL_ATTEMPTS: usize = 3;
+/// Pause before a cancellation without an answer is tried again.
+const CANCEL_RETRY_PAUSE: Duration = Duration::from_millis(50);
+
+/// Where a job is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
+    /// Accepted; none of its tasks is placed.
     Queued,
+    /// Some of its tasks are placed.
     Running,
+    /// All its tasks have completed.
     Done,
+    /// Its user has cancelled it.
     Cancelled,
 }
 
+/// What a user is told of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobStatus {
+    /// Where it is in its life.
     pub state: JobState,
+    /// Tasks that have completed.
     pub done: u32,
+    /// Tasks that are placed.
     pub running: u32,
 }
 
@@ -43,26 +60,38 @@
 /// Why a job can never run here.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Infeasible {
+    /// Nobody has set up its team.
     #[error("unknown team")]
     Team,
+    /// No machine type in an allowed zone has room for one of its tasks.
     #[error("a task fits no allowed machine type")]
     Type,
+    /// What must run at once exceeds what its team may use.
     #[error("more than the team's limit")]
     Limit,
 }
 
+/// Why a request about a job was not served.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JobError {
+    /// The state service does not answer, or not all controllers could serve the job: the
+    /// user is to ask again.
     #[error("cannot tell now")]
     Unavailable,
+    /// The job was never accepted.
     #[error("no such job")]
     Unknown,
+    /// The job is refused for good.
     #[error("can never run: {0}")]
     Infeasible(#[from] Infeasible),
 }
 
+/// What became of a submission.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Submitted {
+    /// The job is accepted now.
     Accepted,
+    /// The job was accepted before; this is its status.
     Known(JobStatus),
 }
 
@@ -76,6 +105,7 @@
         Self { context }
     }
 
+    /// Accepts a job, once: a repeated submission gets the status of the job.
     pub async fn submit(&self, id: JobId, mut spec: JobSpec) -> Result<Submitted, JobError> {
         if let Some(outcome) = self.context.store.cache().outcome(&id) {
             return Ok(Submitted::Known(outcome.into()));
@@ -84,13 +114,11 @@
         if known {
             return self.status(&id).await.map(Submitted::Known);
         }
-        if let Err(reason) = self.check_feasible(&spec)? {
+        match self.check_feasible(&spec) {
+            Ok(()) => {}
             // A job that was accepted is never refused, whatever is judged now.
-            return match self.status(&id).await {
-                Ok(status) => Ok(Submitted::Known(status)),
-                Err(JobError::Unknown) => Err(reason.into()),
-                Err(error) => Err(error),
-            };
+            Err(reason @ JobError::Infeasible(_)) => return self.known_or(&id, reason).await,
+            Err(error) => return Err(error),
         }
         // Only one that all controllers can serve is promised; in a rolled upgrade the
         // user is told to come again.
@@ -101,10 +129,14 @@
             return Err(JobError::Unavailable);
         }
         spec.accepted_ms = self.context.config.now_ms();
+        self.commit_submission(id, &spec).await
+    }
+
+    async fn commit_submission(&self, id: JobId, spec: &JobSpec) -> Result<Submitted, JobError> {
         let transaction = Transaction::default()
             .require(keys::spec(&id), Revision(0))
             .require(keys::outcome(&id), Revision(0))
-            .set(keys::spec(&id), &spec);
+            .set(keys::spec(&id), spec);
         match self
             .context
             .store
@@ -116,11 +148,7 @@
                 self.context.leader_wakeup.notify_one();
                 Ok(Submitted::Accepted)
             }
-            Err(CommitError::Conflict(_)) => match self.status(&id).await {
-                Ok(status) => Ok(Submitted::Known(status)),
-                Err(JobError::Unknown) => Err(JobError::Unavailable),
-                Err(error) => Err(error),
-            },
+            Err(CommitError::Conflict(_)) => self.known_or(&id, JobError::Unavailable).await,
             // No answer: it may be committed. If it cannot be read back it may
             // yet be, so that only the user's retry tells.
             Err(error) if error.is_unknown() => match self.status(&id).await {
@@ -131,6 +159,16 @@
         }
     }
 
+    /// The status of a job that may have been accepted before; `unless_known`: what to say
+    /// if it was not.
+    async fn known_or(&self, id: &JobId, unless_known: JobError) -> Result<Submitted, JobError> {
+        match self.status(id).await {
+            Ok(status) => Ok(Submitted::Known(status)),
+            Err(JobError::Unknown) => Err(unless_known),
+            Err(error) => Err(error),
+        }
+    }
+
     /// What all controllers must be able to read to serve this job.
     fn required_protocol_version(&self, spec: &JobSpec) -> ProtocolVersion {
         match ZoneScope::of(spec, self.context.config.state.txn_ops) {
@@ -140,8 +178,8 @@
         }
     }
 
-    /// Whether the job can ever run; an error when that cannot be told yet.
-    fn check_feasible(&self, spec: &JobSpec) -> Result<Result<(), Infeasible>, JobError> {
+    /// Checks that the job can ever run; `Unavailable` when that cannot be told yet.
+    fn check_feasible(&self, spec: &JobSpec) -> Result<(), JobError> {
         if !self.context.store.is_loaded() {
             return Err(JobError::Unavailable);
         }
@@ -150,25 +188,25 @@
             return Err(JobError::Unavailable);
         };
         let Some(team) = self.context.config.team(&spec.team) else {
-            return Ok(Err(Infeasible::Team));
+            return Err(Infeasible::Team.into());
         };
-        let fits = catalog.value.types.iter().any(|kind| {
-            spec.allows_type(&kind.name)
-                && kind.zones.iter().any(|zone| spec.allows_zone(zone))
-                && spec.per_task.fits_in(&kind.size)
+        let fits = catalog.value.types.iter().any(|machine_type| {
+            spec.allows_type(&machine_type.name)
+                && machine_type.zones.iter().any(|zone| spec.allows_zone(zone))
+                && spec.per_task.fits_in(&machine_type.size)
         });
         if !fits {
-            return Ok(Err(Infeasible::Type));
+            return Err(Infeasible::Type.into());
         }
-        let at_once = match spec.kind {
+        let tasks_at_once = match spec.kind {
             JobKind::Array => 1,
             JobKind::Gang | JobKind::Service => spec.tasks,
         };
-        let needed = Quota::from(&spec.per_task).times(f64::from(at_once));
+        let needed = Quota::from(&spec.per_task).times(f64::from(tasks_at_once));
         if !team.limit.covers(&needed) {
-            return Ok(Err(Infeasible::Limit));
+            return Err(Infeasible::Limit.into());
         }
-        Ok(Ok(()))
+        Ok(())
     }
 
     /// A job's status as of now: final ones from memory, others by a fresh read.
@@ -188,7 +226,7 @@
                 && job.spec.is_some()
                 && job.cleanup_since.is_none()
             {
-                return Ok(current(job));
+                return Ok(current_status(job));
             }
         }
         // Over long ago, or never accepted: its outcome was written before its
@@ -200,20 +238,20 @@
         }
     }
 
+    fn spec_revision(&self, id: &JobId) -> Option<Revision> {
+        let cache = self.context.store.cache();
+        let job = cache.jobs.get(id)?;
+        job.spec.as_ref().map(|entry| entry.revision)
+    }
+
+    /// Cancels a job, and returns its status then; one that is over stays as it is.
     pub async fn cancel(&self, id: &JobId) -> Result<JobStatus, JobError> {
-        for _ in 0..3 {
+        for _ in 0..MAX_CANCEL_ATTEMPTS {
             let status = self.status(id).await?;
             if matches!(status.state, JobState::Done | JobState::Cancelled) {
                 return Ok(status);
             }
-            let Some(revision) = ({
-                let cache = self.context.store.cache();
-                cache
-                    .jobs
-                    .get(id)
-                    .and_then(|job| job.spec.as_ref())
-                    .map(|entry| entry.revision)
-            }) else {
+            let Some(revision) = self.spec_revision(id) else {
                 continue;
             };
             let outcome = OutcomeRecord {
@@ -238,7 +276,7 @@
                 }
                 Err(CommitError::Conflict(_)) => {}
                 Err(error) if error.is_unknown() => {
-                    tokio::time::sleep(Duration::from_millis(50)).await;
+                    tokio::time::sleep(CANCEL_RETRY_PAUSE).await;
                 }
                 Err(_) => return Err(JobError::Unavailable),
             }
@@ -247,7 +285,8 @@
     }
 }
 
-fn current(job: &Job) -> JobStatus {
+/// The status of a job that is not over.
+fn current_status(job: &Job) -> JobStatus {
     JobStatus {
         state: if job.present() > 0 {
             JobState::Running
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -5,13 +5,21 @@
 
 use super::{clients::ProtocolVersion, context::Context, leader::Leader};
 use crate::storage::{
+    Revision, StateError, Transaction,
     client::LeaseId,
     jitter, keys,
     rate_limiter::RequestPriority,
     records::{ControllerRecord, LeaderRecord},
-    *,
 };
 
+/// How often the lease is renewed while it lasts.
+const RENEWALS_PER_LEASE: u32 = 5;
+/// How often registration is tried in the time of a lease.
+const REGISTRATIONS_PER_LEASE: u32 = 20;
+/// Bounds of the factor on the pauses, so that controllers do not act in step.
+const MIN_JITTER: f64 = 0.8;
+const MAX_JITTER: f64 = 1.2;
+
 /// The duty that keeps this process a member of the cluster, and stands for leadership.
 pub(super) struct Membership {
     context: Arc<Context>,
@@ -29,20 +37,7 @@
         let ttl = self.context.config.tuning.controller_lease;
         let mut lease: Option<LeaseId> = None;
         while !self.context.shutdown.is_cancelled() {
-            let current = match lease {
-                Some(current) => match self.context.store.renew_lease(current).await {
-                    Ok(()) => Some(current),
-                    // It ended, and our keys with it.
-                    Err(StateError::LeaseExpired) => {
-                        tracing::info!("lease expired");
-                        None
-                    }
-                    // Unknown: it may still live; try on.
-                    Err(_) => Some(current),
-                },
-                None => None,
-            };
-            lease = match current {
+            lease = match self.renew(lease).await {
                 Some(current) => Some(current),
                 None => self.register(ttl).await,
             };
@@ -62,22 +57,44 @@
                     self.leader.adopt_lease(current);
                 }
             }
-            let living = self.context.store.cache().controllers.len();
-            // The limits to come may hold from the time on when all can keep to them.
-            let lowered = self.context.all_support(ProtocolVersion::GANGS);
-            let leads = self.context.leadership().is_some();
-            self.context.store.share_limits(living, leads, lowered);
-            let wait = if lease.is_some() { ttl / 5 } else { ttl / 20 };
-            if !self
-                .context
-                .pause(wait.mul_f64(jitter::uniform(0.8, 1.2)))
-                .await
-            {
+            self.share_limits();
+            let interval = if lease.is_some() {
+                ttl / RENEWALS_PER_LEASE
+            } else {
+                ttl / REGISTRATIONS_PER_LEASE
+            };
+            let jittered = interval.mul_f64(jitter::uniform(MIN_JITTER, MAX_JITTER));
+            if !self.context.pause(jittered).await {
                 return;
             }
         }
     }
 
+    /// The lease after an attempt to renew it; none: there is none, or it has expired.
+    async fn renew(&self, lease: Option<LeaseId>) -> Option<LeaseId> {
+        let current = lease?;
+        match self.context.store.renew_lease(current).await {
+            Ok(()) => Some(current),
+            // It ended, and our keys with it.
+            Err(StateError::LeaseExpired) => {
+                tracing::info!("lease expired");
+                None
+            }
+            // Unknown: it may still live; try on.
+            Err(_) => Some(current),
+        }
+    }
+
+    /// Takes our part of the state service's limits, by how many controllers live.
+    fn share_limits(&self) {
+        let living = self.context.store.cache().controllers.len();
+        // The limits to come may hold from the time on when all can keep to them.
+        let lowered = self.context.all_support(ProtocolVersion::GANGS);
+        let leads = self.context.leadership().is_some();
+        self.context.store.share_limits(living, leads, lowered);
+    }
+
+    /// Has a lease granted and registers this process under it; none: not possible yet.
     async fn register(&self, ttl: Duration) -> Option<LeaseId> {
         let lease = self.context.store.grant_lease(ttl).await.ok()?;
         let record = ControllerRecord {
@@ -125,6 +142,7 @@
                 .is_none_or(|entry| entry.value.incarnation != self.context.config.incarnation)
     }
 
+    /// Claims leadership, if there is no leader.
     async fn campaign(&self, lease: LeaseId) {
         let expected = {
             let cache = self.context.store.cache();
--- a/src/coordination/peer_exchange.rs
+++ b/src/coordination/peer_exchange.rs
@@ -1,4 +1,8 @@
 //! What controllers tell each other, and what follows from it.
+//!
+//! Each controller sends its status to every other one about once a second, and serves
+//! their requests. A round in which all peers confirm that they know of nothing newer
+//! counts as a fresh read, also without the state service.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,6 +22,7 @@
     storage::{ControllerName, Revision},
 };
 
+/// Pause between two rounds of status.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(800);
 /// Cancelled jobs told to a peer at a time; more of them it must read for itself.
 const MAX_CANCELLATIONS: usize = 8_192;
@@ -33,6 +38,7 @@
 }
 
 impl PeerExchange {
+    /// The duty, which keeps nothing of its own.
     pub(super) fn new(
         context: Arc<Context>,
         leader: Arc<Leader>,
@@ -74,6 +80,7 @@
         status
     }
 
+    /// Whether this controller leads, by our cache.
     fn leads(&self, controller: &ControllerName) -> bool {
         let cache = self.context.store.cache();
         cache
@@ -85,47 +92,52 @@
     /// Duty: exchanges status with every peer.
     pub(super) async fn run(&self) {
         while self.context.pause(EXCHANGE_INTERVAL).await {
-            let started = Instant::now();
-            let ttl = self.context.config.indirect_heartbeat_max_age() + EXCHANGE_INTERVAL * 2;
-            self.indirect_heartbeats.expire(ttl);
-            // Before asking: what a peer knows at most this much of, we know.
-            let applied = self.context.store.cache().revision;
-            if self.context.leadership().is_some() {
-                self.leader.record_status(self.status(true), started);
-            }
-            let calls = self.context.config.peers.iter().map(|(name, _)| {
-                let call = PeerRequest::Status(self.status(self.leads(name)));
-                async move { (name, self.context.peers.call(name, call).await) }
-            });
-            let mut confirmed = self.context.store.is_loaded();
-            let mut ahead = Vec::new();
-            // Somebody is served by the state service, so that our machines go, or
-            // have gone, to others: their agents are to find these.
-            let mut any_served = self.context.store.is_reachable();
-            for (name, answer) in join_all(calls).await {
-                match answer {
-                    Ok(PeerResponse::Status(theirs)) => {
-                        // A process that has had no answer of the state service
-                        // since its start can't vouch for what the one before it
-                        // told users. Any answer would have carried a revision
-                        // above all that.
-                        confirmed &= theirs.highest_revision > Revision(0);
-                        any_served |= theirs.state_reachable;
-                        if theirs.highest_revision > applied {
-                            confirmed &= theirs.protocol_version >= ProtocolVersion::CANCELLATIONS;
-                            ahead.push(name);
-                        }
-                        self.note_peer_status(name, theirs, started);
+            self.exchange_status().await;
+        }
+    }
+
+    /// One round: sends our status to every peer, and notes theirs and what they confirm.
+    async fn exchange_status(&self) {
+        let started = Instant::now();
+        let ttl = self.context.config.indirect_heartbeat_max_age() + EXCHANGE_INTERVAL * 2;
+        self.indirect_heartbeats.expire(ttl);
+        // Before asking: what a peer knows at most this much of, we know.
+        let applied = self.context.store.cache().revision;
+        if self.context.leadership().is_some() {
+            self.leader.record_status(self.status(true), started);
+        }
+        let calls = self.context.config.peers.iter().map(|(name, _)| {
+            let request = PeerRequest::Status(self.status(self.leads(name)));
+            async move { (name, self.context.peers.call(name, request).await) }
+        });
+        let mut is_confirmed = self.context.store.is_loaded();
+        let mut ahead = Vec::new();
+        // Somebody is served by the state service, so that our machines go, or
+        // have gone, to others: their agents are to find these.
+        let mut any_served = self.context.store.is_reachable();
+        for (name, answer) in join_all(calls).await {
+            match answer {
+                Ok(PeerResponse::Status(theirs)) => {
+                    // A process that has had no answer of the state service
+                    // since its start can't vouch for what the one before it
+                    // told users. Any answer would have carried a revision
+                    // above all that.
+                    is_confirmed &= theirs.highest_revision > Revision(0);
+                    any_served |= theirs.state_reachable;
+                    if theirs.highest_revision > applied {
+                        is_confirmed &= theirs.protocol_version >= ProtocolVersion::CANCELLATIONS;
+                        ahead.push(name);
                     }
-                    _ => confirmed = false,
+                    self.note_peer_status(name, theirs, started);
                 }
+                _ => is_confirmed = false,
             }
-            if confirmed && !ahead.is_empty() {
-                confirmed = !any_served && self.catch_up(applied, ahead).await;
-            }
-            if confirmed {
-                self.liveness.note_confirmed(started);
-            }
+        }
+        if is_confirmed && !ahead.is_empty() {
+            is_confirmed = !any_served && self.catch_up(applied, ahead).await;
+        }
+        if is_confirmed {
+            self.liveness.note_confirmed(started);
         }
     }
 
@@ -136,17 +148,17 @@
     /// us then.
     async fn catch_up(&self, applied: Revision, ahead: Vec<&ControllerName>) -> bool {
         let calls = ahead.into_iter().map(|name| async move {
-            let call = PeerRequest::CancelledSince(applied);
-            self.context.peers.call(name, call).await
+            let request = PeerRequest::CancelledSince(applied);
+            self.context.peers.call(name, request).await
         });
-        let mut complete = true;
+        let mut is_complete = true;
         for answer in join_all(calls).await {
             let Ok(PeerResponse::CancelledSince(cancellations)) = answer else {
-                complete = false;
+                is_complete = false;
                 continue;
             };
             let Some(jobs) = cancellations.jobs else {
-                complete = false;
+                is_complete = false;
                 continue;
             };
             let new = self
@@ -159,22 +171,20 @@
                 self.context.owner_wakeup.notify_one();
             }
         }
-        complete
+        is_complete
     }
 
     /// The jobs that we know to be cancelled by changes after this revision.
     fn cancelled_since(&self, revision: Revision) -> Cancellations {
         let seen = self.context.store.highest_revision();
-        let jobs = (self.context.store.is_loaded()
-            && self.context.store.has_applied_looked_up_outcomes())
-        .then(|| {
-            let cache = self.context.store.cache();
-            cache.cancelled_since(revision)
-        });
+        let knows_all =
+            self.context.store.is_loaded() && self.context.store.has_applied_looked_up_outcomes();
+        let jobs = knows_all.then(|| self.context.store.cache().cancelled_since(revision));
         let jobs = jobs.filter(|jobs| jobs.len() <= MAX_CANCELLATIONS);
         Cancellations { seen, jobs }
     }
 
+    /// Notes the status of a peer as of `at`; a full one is for the leader.
     fn note_peer_status(&self, name: &ControllerName, status: StatusMessage, at: Instant) {
         let version = status.protocol_version;
         let is_new = self
@@ -188,16 +198,12 @@
         }
     }
 
-    pub async fn handle_request(&self, call: PeerRequest) -> PeerResponse {
-        match call {
+    /// Serves a request of another controller.
+    pub async fn handle_request(&self, request: PeerRequest) -> PeerResponse {
+        match request {
             PeerRequest::Status(theirs) => {
-                if self
-                    .context
-                    .config
-                    .peers
-                    .iter()
-                    .any(|(name, _)| *name == theirs.controller)
-                {
+                let mut peers = self.context.config.peers.iter();
+                if peers.any(|(name, _)| *name == theirs.controller) {
                     let name = theirs.controller.clone();
                     self.note_peer_status(&name, theirs, Instant::now());
                 }
