--- a/src/coordination/clients/mod.rs
+++ b/src/coordination/clients/mod.rs
@@ -17,7 +17,8 @@
 };
 pub use protocol_version::ProtocolVersion;
 
-/// No usable answer: the call may have been executed, or may yet be.
+/// No usable answer: the call may have been executed, or may yet be. With the reason, for
+/// the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no answer: {0}")]
 pub struct NoAnswer(pub String);
--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -1,4 +1,5 @@
-//! What a controller is told at its start, checked and in domain terms.
+//! What a controller is told at its start, checked and in domain terms. `protocol` reads it
+//! from the settings files; it does not change while the process lives.
 
 use std::{
     sync::Arc,
@@ -10,29 +11,45 @@
     storage::{ClassName, ControllerName, Incarnation, StateLimits, Team, TeamName, ZoneName},
 };
 
-/// A class's aim, as far as decisions use it.
+/// A class's service-level objective, as far as decisions use it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
+    /// The class; none: the objective names none.
     pub class: Option<ClassName>,
+    /// How long its jobs may take; none: the objective is not about that.
     pub within: Option<Duration>,
 }
 
 /// The policy's open values. `docs/OPERATING.md` describes each.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
+    /// Miss rate below which the fleet is scaled in.
     pub alpha: f64,
+    /// Miss rate above which the fleet is scaled out.
     pub beta: f64,
+    /// Time between two evaluations of the band.
     pub round: Duration,
+    /// A task that waited longer than this for room is a miss.
     pub start_target: Duration,
+    /// The window over which the miss rate is taken.
     pub window: Duration,
+    /// Weight of the share of misses against that of the queue.
     pub miss_weight: f64,
+    /// Demand below which no machines are provisioned for a pool.
     pub demand_threshold: f64,
+    /// Utilisation that gates scale-out, and scale-in.
     pub utilisation_threshold: f64,
+    /// Suitability: speed (1) against cost (0).
     pub suitability_k: f64,
+    /// The remedial rule's threshold; higher: fewer machines between rounds.
     pub remedial_theta: f64,
+    /// From this evenness on the fleet counts as mixed.
     pub evenness_threshold: f64,
+    /// The time that is paid for a machine in any case, and the steps after it.
     pub paid: PaidPeriods,
+    /// How long a controller's lease lasts without renewal.
     pub controller_lease: Duration,
+    /// How long an offer stands.
     pub offer: Duration,
     /// None: derived from the agents' heartbeat interval.
     pub unresponsive_after: Option<Duration>,
@@ -66,21 +83,34 @@
     }
 }
 
+/// The configuration of one controller process.
 #[derive(Clone)]
 pub struct Config {
+    /// This controller.
     pub name: ControllerName,
+    /// Where it runs.
     pub zone: ZoneName,
+    /// This process of it.
     pub incarnation: Incarnation,
     /// The other controllers with their zones.
     pub peers: Vec<(ControllerName, ZoneName)>,
+    /// The teams with their guarantees and limits.
     pub teams: Vec<Team>,
+    /// The classes' objectives.
     pub objectives: Vec<Objective>,
+    /// Agents send a heartbeat this often, give or take a quarter.
     pub heartbeat_interval: Duration,
+    /// How long an agent's lease lasts without renewal; its tasks end with it.
     pub agent_lease: Duration,
+    /// The time within which a cancelled job's tasks must have ended.
     pub cancel: Duration,
+    /// What the state service allows.
     pub state: StateLimits,
+    /// Requests a second that the cloud allows.
     pub cloud_rps: f64,
+    /// How far the cloud's inventory may be behind.
     pub list_lag: Duration,
+    /// Connections that this process may have open.
     pub max_connections: usize,
     /// Machines that are kept track of, beyond those in the records; derived from the
     /// memory allowed, see [`machines_for`].
@@ -108,7 +138,7 @@
     ((memory * MACHINES_PER_MIB) as usize).clamp(MIN_MACHINES, MACHINES_WITHOUT_LIMIT)
 }
 
-/// Versioned back from `cancel` for clock drift, timers and the way of an answer.
+/// Held back from `cancel` for clock drift, timers and the way of an answer.
 const CANCEL_MARGIN: Duration = Duration::from_secs(3);
 
 impl Tuning {
@@ -123,10 +153,12 @@
 }
 
 impl Config {
+    /// A team, if it is set up.
     pub fn team(&self, name: &TeamName) -> Option<&Team> {
         self.teams.iter().find(|team| team.name == *name)
     }
 
+    /// The time of day, in milliseconds since 1970.
     pub fn now_ms(&self) -> u64 {
         (self.wall)()
             .duration_since(SystemTime::UNIX_EPOCH)
@@ -175,6 +207,7 @@
         (self.max_connections / 16).max(32)
     }
 
+    /// How many controllers there are, with this one.
     pub fn controller_count(&self) -> usize {
         self.peers.len() + 1
     }
--- a/src/coordination/context.rs
+++ b/src/coordination/context.rs
@@ -49,8 +49,11 @@
     pub config: Config,
     /// The key-value store with the cache of its live set.
     pub store: Store,
+    /// Reaches agents directly.
     pub(super) agent_client: Box<dyn AgentClient>,
+    /// Asks the cloud.
     pub(super) cloud: Box<dyn CloudClient>,
+    /// Reaches the other controllers.
     pub(super) peers: Box<dyn PeerClient>,
     /// Run times as measured here, for placement by the owner and the leader.
     pub(super) estimator: Mutex<RunTimeEstimator>,
@@ -58,7 +61,9 @@
     pub(super) owner_wakeup: Notify,
     /// Wakes the leader's loop.
     pub(super) leader_wakeup: Notify,
+    /// Cancelled when the controller is to stop.
     pub(super) shutdown: CancellationToken,
+    /// Logs the steps of the start.
     pub(super) startup: Startup,
 }
 
@@ -162,14 +167,17 @@
 
 /// The protocol version that is recorded as common to all controllers.
 fn common_version(cache: &StateCache) -> ProtocolVersion {
-    let recorded = cache.common_version.as_ref();
-    let recorded = recorded.map(|entry| ProtocolVersion(entry.value.protocol_version));
-    recorded.unwrap_or_default()
+    cache
+        .common_version
+        .as_ref()
+        .map(|entry| ProtocolVersion(entry.value.protocol_version))
+        .unwrap_or_default()
 }
 
 /// Whether a living controller takes part in quota transfers, by its registration.
 pub(super) fn takes_part_in_transfers(cache: &StateCache, controller: &ControllerName) -> bool {
-    let registered = cache.controllers.get(controller);
-    registered
+    cache
+        .controllers
+        .get(controller)
         .is_some_and(|entry| entry.value.protocol_version >= ProtocolVersion::QUOTA_TRANSFERS.0)
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,5 +1,8 @@
 //! Who may do what, and what is done: leadership, shards, fencing, recovery,
 //! and the policy as pure functions.
+//!
+//! A [`Controller`] puts the duties together. Each duty is a module that owns its state;
+//! all share one [`context::Context`].
 
 mod agent_state;
 pub mod clients;
--- a/src/coordination/peer_liveness.rs
+++ b/src/coordination/peer_liveness.rs
@@ -1,4 +1,5 @@
-//! What is known of the other controllers by talking to them.
+//! What is known of the other controllers by talking to them: whether they live, what they
+//! support, and when all of them last confirmed that we know what they know.
 
 use std::{collections::BTreeMap, sync::Mutex, time::Duration};
 
@@ -23,8 +24,10 @@
     state_reachable: bool,
 }
 
+/// What the peers have told.
 #[derive(Default)]
 struct State {
+    /// Each peer's last status.
     last_status: BTreeMap<ControllerName, LastStatus>,
     /// What each peer supports, as its living process said last.
     protocol_versions: BTreeMap<ControllerName, ProtocolVersion>,
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,5 +1,7 @@
 //! Bookkeeping: ids, the job model, the key scheme, the replica of the state
 //! service's live set, and the client that reads and writes it.
+//!
+//! The lowest layer: it decides nothing and knows none of the others.
 
 pub mod client;
 pub mod ids;
--- a/src/storage/model.rs
+++ b/src/storage/model.rs
@@ -17,7 +17,7 @@
     pub cpus: f64,
     /// Graphics processors.
     pub gpus: f64,
-    /// Memory, in GiB.
+    /// Memory, in GB.
     pub memory: f64,
 }
 
