--- a/src/coordination/agent_state.rs
+++ b/src/coordination/agent_state.rs
@@ -4,12 +4,15 @@
 //! The shard owner holds one state for each of its machines and applies every message to
 //! it; a state ends when the machine goes to another owner.
 
+mod image_cache;
+
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
     sync::Arc,
     time::Duration,
 };
 
+use image_cache::ImageCache;
 use tokio::time::Instant;
 
 use crate::{
@@ -65,13 +68,6 @@
     since: Instant,
 }
 
-/// An image in the machine's cache.
-#[derive(Clone, Debug)]
-struct CachedImage {
-    name: ImageName,
-    gb: f64,
-}
-
 /// A task that failed on the machine.
 #[derive(Clone, Debug)]
 struct TaskFailure {
@@ -115,10 +111,8 @@
     /// Starts given in the answer to the newest heartbeat: executed, or not, only
     /// the next heartbeat tells.
     answered_starts: BTreeSet<TaskId>,
-    /// Images that the machine should have, the most recently used last.
-    images: Vec<CachedImage>,
-    /// Their names, shared with plans.
-    image_names: Arc<Vec<ImageName>>,
+    /// Images that the machine should have.
+    images: ImageCache,
     /// Failures of tasks here, the oldest first.
     failures: VecDeque<TaskFailure>,
     /// Jobs that are not tried here, and until when.
@@ -159,8 +153,7 @@
             in_doubt_start: None,
             starts_in_flight: 0,
             answered_starts: BTreeSet::new(),
-            images: Vec::new(),
-            image_names: Arc::default(),
+            images: ImageCache::default(),
             unconfirmed_token: None,
             answered_until: None,
             lost_epoch_at: None,
@@ -335,24 +328,12 @@
 
     /// A task with this image runs; the machine's cache has room for `cache_gb`.
     pub fn note_image(&mut self, name: &ImageName, gb: f64, cache_gb: f64) {
-        if self.images.last().is_some_and(|image| image.name == *name) {
-            return;
-        }
-        self.images.retain(|image| image.name != *name);
-        let name = name.clone();
-        self.images.push(CachedImage { name, gb });
-        // The machine keeps the most recently used ones.
-        let mut total_gb: f64 = self.images.iter().map(|image| image.gb).sum();
-        while total_gb > cache_gb && self.images.len() > 1 {
-            total_gb -= self.images.remove(0).gb;
-        }
-        let names = self.images.iter().map(|image| image.name.clone());
-        self.image_names = Arc::new(names.collect());
+        self.images.note_use(name, gb, cache_gb);
     }
 
     /// The images that the machine should have.
     pub fn images(&self) -> Arc<Vec<ImageName>> {
-        self.image_names.clone()
+        self.images.names()
     }
 
     /// A task of the job has failed here.
--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -115,6 +115,7 @@
     /// Machines that are kept track of, beyond those in the records; derived from the
     /// memory allowed, see [`machines_for`].
     pub machines_tracked: usize,
+    /// The policy's open values.
     pub tuning: Tuning,
     /// What this process reads, as it tells its peers.
     pub protocol_version: ProtocolVersion,
--- a/src/coordination/owner/in_doubt.rs
+++ b/src/coordination/owner/in_doubt.rs
@@ -3,11 +3,13 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
+use serde::Serialize;
+
 use super::ShardOwner;
 use crate::{
     coordination::{agent_state::InDoubtStart, context::lock},
     storage::{
-        ShardId, StateCache, Token, Transaction, keys,
+        CommitError, Revision, ShardId, StateCache, Token, Transaction, keys,
         rate_limiter::RequestPriority,
         records::{AllocationRecord, ShardRecord},
         state_cache::Versioned,
@@ -22,6 +24,19 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 impl ShardOwner {
+    /// Writes a record anew, as it is, for the sake of its revision.
+    async fn rewrite<T: Serialize>(
+        &self,
+        key: String,
+        entry: &Versioned<T>,
+    ) -> Result<Revision, CommitError> {
+        let transaction = Transaction::default()
+            .require(key.clone(), entry.revision)
+            .set(key, &entry.value);
+        let store = &self.context.store;
+        store.commit(&transaction, RequestPriority::Fencing).await
+    }
+
     /// Shards with unanswered starts are written anew: a start that may still be
     /// on its way is not executed under a higher token.
     pub(super) async fn resolve_in_doubt_starts(&self) {
@@ -30,16 +45,7 @@
             self.shards_with_in_doubt_starts(&cache)
         };
         for (id, entry) in shards.into_iter().take(MAX_SHARDS_REWRITTEN) {
-            let key = keys::shard(id);
-            let transaction = Transaction::default()
-                .require(key.clone(), entry.revision)
-                .set(key, &entry.value);
-            match self
-                .context
-                .store
-                .commit(&transaction, RequestPriority::Fencing)
-                .await
-            {
+            match self.rewrite(keys::shard(id), &entry).await {
                 Ok(revision) => {
                     tracing::debug!(shard = %id, token = %revision, "fencing token raised")
                 }
@@ -86,15 +92,7 @@
         allocation: &Versioned<AllocationRecord>,
     ) -> bool {
         let key = keys::allocation(&self.context.config.name);
-        let transaction = Transaction::default()
-            .require(key.clone(), allocation.revision)
-            .set(key, &allocation.value);
-        match self
-            .context
-            .store
-            .commit(&transaction, RequestPriority::Fencing)
-            .await
-        {
+        match self.rewrite(key, allocation).await {
             Ok(revision) => {
                 tracing::debug!(%revision, "quota allocation rewritten");
                 // What was committed before it is in the cache only after this.
--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -127,7 +127,7 @@
         tasks: &[u32],
         free: &mut FreeResources,
     ) -> Vec<ChosenMachine> {
-        let OfferedJob { id, spec, job } = *offered;
+        let OfferedJob { spec, job, .. } = *offered;
         let scope = ZoneScope::of(spec, self.context.config.state.txn_ops);
         if zone_usage::needs_zone_assignment(spec, scope) {
             return Vec::new();
@@ -143,11 +143,11 @@
         for (tasks, constraint) in zone_usage::constrained_parts(cache, job, scope, tasks) {
             let candidates = &mut free.candidates;
             let part = if gang && spec.one_zone && constraint.is_open() {
-                self.choose_zone(&state.agents, (id, job), tasks, candidates, &mut team)
+                self.choose_zone(&state.agents, offered, tasks, candidates, &mut team)
             } else {
                 self.choose_candidates(
                     &state.agents,
-                    (id, job),
+                    offered,
                     tasks,
                     candidates,
                     &mut team,
@@ -214,24 +214,21 @@
     fn choose_zone(
         &self,
         agents: &BTreeMap<MachineId, AgentState>,
-        (id, job): (&JobId, &Job),
+        offered: &OfferedJob<'_>,
         tasks: &[u32],
         candidates: &mut Vec<CandidateMachine>,
         team: &mut TeamQuotaUse,
     ) -> Vec<ChosenMachine> {
-        let Some(spec) = job.spec() else {
-            return Vec::new();
-        };
         let zones: BTreeSet<ZoneName> = candidates
             .iter()
             .map(|candidate| candidate.zone.clone())
             .collect();
         for zone in zones {
             let before = (candidates.clone(), team.used);
-            let mut constraint = ZoneConstraint::of_job(spec);
+            let mut constraint = ZoneConstraint::of_job(offered.spec);
             constraint.confine(zone);
             let chosen =
-                self.choose_candidates(agents, (id, job), tasks, candidates, team, constraint);
+                self.choose_candidates(agents, offered, tasks, candidates, team, constraint);
             if chosen.len() == tasks.len() {
                 return chosen;
             }
@@ -261,15 +258,13 @@
     fn choose_candidates(
         &self,
         agents: &BTreeMap<MachineId, AgentState>,
-        (id, job): (&JobId, &Job),
+        offered: &OfferedJob<'_>,
         tasks: &[u32],
         candidates: &mut [CandidateMachine],
         team: &mut TeamQuotaUse,
         mut constraint: ZoneConstraint,
     ) -> Vec<ChosenMachine> {
-        let Some(spec) = job.spec() else {
-            return Vec::new();
-        };
+        let OfferedJob { id, spec, job } = *offered;
         let now = Instant::now();
         let factor = lock(&self.context.estimator).factor(&spec.class);
         let quota = Quota::from(&spec.per_task);
--- a/src/coordination/quota_exchange/transfers.rs
+++ b/src/coordination/quota_exchange/transfers.rs
@@ -155,18 +155,13 @@
         let exchange = lock(&self.state);
         let now = Instant::now();
         let holding = |team: &TeamName| {
-            let used = used.get(team).copied().unwrap_or_default();
-            let under_way = offered.get(team).copied().unwrap_or_default();
+            let budget = quota_of(&allocation.value.budgets, team);
+            let used = quota_of(&used, team);
             let target = exchange.target(team, now).unwrap_or_default();
             Holding {
-                allocated: allocation
-                    .value
-                    .budgets
-                    .get(team)
-                    .copied()
-                    .unwrap_or_default(),
+                allocated: budget,
                 used,
-                reserved: used.plus(&under_way).max(&target),
+                reserved: used.plus(&quota_of(&offered, team)).max(&target),
             }
         };
         let transfer = Transfer::decide(
@@ -224,6 +219,10 @@
     }
 }
 
+fn quota_of(quotas: &BTreeMap<TeamName, Quota>, team: &TeamName) -> Quota {
+    quotas.get(team).copied().unwrap_or_default()
+}
+
 fn allocations(allocation: &Versioned<AllocationRecord>) -> Allocations<TeamName> {
     Allocations {
         process: allocation.value.owner.map(|owner| owner.0),
--- a/src/storage/client/commits.rs
+++ b/src/storage/client/commits.rs
@@ -22,7 +22,7 @@
             self.requests.acquire(1.0, priority).await;
             let writes = transaction.ops.len() as f64;
             self.writes.acquire(writes, priority).await;
-            let result = self.port.commit(transaction).await;
+            let result = self.key_value_store.commit(transaction).await;
             self.count_commit(transaction, &result);
             match &result {
                 Ok(revision) => {
--- a/src/storage/client/key_value_store.rs
+++ b/src/storage/client/key_value_store.rs
@@ -63,7 +63,7 @@
     pub revision: Revision,
 }
 
-/// What a state service offers. Each call is bounded in time by its port.
+/// What a state service offers. Each call is bounded in time by the implementation.
 pub trait KeyValueStore: Send + Sync {
     /// Reads one key; `None`: it is absent.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<KeyValue>, StateError>>;
--- a/src/storage/client/mod.rs
+++ b/src/storage/client/mod.rs
@@ -51,7 +51,7 @@
 /// The state service as the rest of the program sees it.
 pub struct Store {
     /// The service itself.
-    port: Box<dyn KeyValueStore>,
+    key_value_store: Box<dyn KeyValueStore>,
     cache: Mutex<StateCache>,
     /// Counts the changes of the cache.
     changed: watch::Sender<u64>,
@@ -88,10 +88,10 @@
 
 impl Store {
     /// A store with an empty cache, which [`Self::watch`] fills.
-    pub fn new(port: Box<dyn KeyValueStore>, limits: StateLimits) -> Self {
+    pub fn new(key_value_store: Box<dyn KeyValueStore>, limits: StateLimits) -> Self {
         let StateLimits { rps, write_rps, .. } = limits;
         Self {
-            port,
+            key_value_store,
             cache: Mutex::default(),
             changed: watch::Sender::new(0),
             loaded: AtomicBool::new(false),
--- a/src/storage/client/reads.rs
+++ b/src/storage/client/reads.rs
@@ -27,7 +27,7 @@
     /// Reads one key from the service, not from the cache.
     pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StateError> {
         self.requests.acquire(1.0, RequestPriority::User).await;
-        let result = self.port.get(key).await;
+        let result = self.key_value_store.get(key).await;
         self.note_reachability(&result);
         result
     }
@@ -49,7 +49,7 @@
     /// Has a lease granted.
     pub async fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, StateError> {
         self.requests.acquire(1.0, RequestPriority::Fencing).await;
-        let result = self.port.grant_lease(ttl).await;
+        let result = self.key_value_store.grant_lease(ttl).await;
         self.note_reachability(&result);
         result
     }
@@ -57,7 +57,7 @@
     /// Renews a lease of ours.
     pub async fn renew_lease(&self, lease: LeaseId) -> Result<(), StateError> {
         self.requests.acquire(1.0, RequestPriority::Fencing).await;
-        let result = self.port.renew_lease(lease).await;
+        let result = self.key_value_store.renew_lease(lease).await;
         self.note_reachability(&result);
         result
     }
@@ -149,7 +149,7 @@
         let started = Instant::now();
         lock(&self.counters).requests += 1;
         let from = self.cache().revision;
-        let result = self.port.watch(from, max_wait).await;
+        let result = self.key_value_store.watch(from, max_wait).await;
         self.note_reachability(&result);
         let (revision, events) = result?;
         self.note_revision(revision);
@@ -209,7 +209,7 @@
             let mut after: Option<String> = None;
             loop {
                 self.requests.acquire(1.0, RequestPriority::User).await;
-                let result = self.port.range(prefix, after.as_deref()).await;
+                let result = self.key_value_store.range(prefix, after.as_deref()).await;
                 self.note_reachability(&result);
                 let page = result?;
                 first_revision = Some(first_revision.unwrap_or(page.revision));
--- a/src/storage/state_cache/changes.rs
+++ b/src/storage/state_cache/changes.rs
@@ -18,7 +18,11 @@
     /// Sets a key to the value that it has had since `revision`. A change that is older
     /// than what is known, an unknown key and an unreadable value have no effect.
     pub fn set(&mut self, key: &str, value: Value, revision: Revision) {
-        if self.dropped.get(key).is_some_and(|at| *at >= revision) {
+        if self
+            .own_deletions
+            .get(key)
+            .is_some_and(|deleted_at| *deleted_at >= revision)
+        {
             return;
         }
         let Some(parsed) = Key::parse(key) else {
@@ -136,8 +140,8 @@
     /// older values of the key, which must not bring it back.
     pub fn delete_ahead(&mut self, key: &str, revision: Revision) {
         self.delete(key, revision);
-        if revision > self.revision && self.dropped.len() < MAX_DELETIONS {
-            self.dropped.insert(key.to_owned(), revision);
+        if revision > self.revision && self.own_deletions.len() < MAX_DELETIONS {
+            self.own_deletions.insert(key.to_owned(), revision);
         }
     }
 
@@ -146,7 +150,8 @@
         if revision > self.revision {
             self.peer_cancelled.retain(|_, seen| *seen > revision);
             self.revision = revision;
-            self.dropped.retain(|_, at| *at > revision);
+            self.own_deletions
+                .retain(|_, deleted_at| *deleted_at > revision);
         }
     }
 }
--- a/src/storage/state_cache/job.rs
+++ b/src/storage/state_cache/job.rs
@@ -122,7 +122,7 @@
     /// Whether a gang's waiting tasks may be placed: when none of it is anywhere, or
     /// when they only complete an attempt that can't have begun, since one part found
     /// no room while the others wait for it. Not when a task of the attempt has ended
-    /// or is lost: its mates leave first, and all get the next one.
+    /// or is lost: the other tasks of the gang leave first, and all get the next one.
     pub fn may_join(&self) -> bool {
         let Some(attempt) = self.present_placements().map(|(_, p)| p.attempt).min() else {
             return true;
--- a/src/storage/state_cache/mod.rs
+++ b/src/storage/state_cache/mod.rs
@@ -93,7 +93,7 @@
     /// The same jobs, the oldest first.
     outcome_order: VecDeque<JobId>,
     /// Keys that we have deleted at a revision which the watch has not passed yet.
-    dropped: HashMap<String, Revision>,
+    own_deletions: HashMap<String, Revision>,
 }
 
 #[cfg(test)]
--- a/src/storage/state_cache/tests.rs
+++ b/src/storage/state_cache/tests.rs
@@ -30,7 +30,7 @@
     cache.set("run/job-1/0", run("vm-1"), Revision(7));
     assert!(cache.jobs.is_empty() && cache.on_machine.is_empty());
     cache.advance(Revision(8));
-    assert!(cache.dropped.is_empty());
+    assert!(cache.own_deletions.is_empty());
 }
 
 /// Guards against taking a machine that went away and came back for one that
