--- a/src/coordination/context.rs
+++ b/src/coordination/context.rs
@@ -28,7 +28,9 @@
 /// Locks a duty's state.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     // A poisoned lock means a duty has panicked, which ends the process anyway.
-    mutex.lock().unwrap_or_else(|e| e.into_inner())
+    mutex
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 /// The clients through which a controller reaches everything outside its process.
--- a/src/coordination/owner/in_doubt.rs
+++ b/src/coordination/owner/in_doubt.rs
@@ -47,7 +47,7 @@
         for (id, entry) in shards.into_iter().take(MAX_SHARDS_REWRITTEN) {
             match self.rewrite(keys::shard(id), &entry).await {
                 Ok(revision) => {
-                    tracing::debug!(shard = %id, token = %revision, "fencing token raised")
+                    tracing::debug!(shard = %id, token = %revision, "fencing token raised");
                 }
                 Err(error) => {
                     tracing::debug!(shard = %id, %error, "cannot raise the fencing token");
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -11,7 +11,7 @@
 use crate::coordination::Tuning;
 
 mod generated {
-    #![allow(clippy::all, unused_attributes, unused_imports)]
+    #![allow(clippy::all, clippy::unwrap_used, unused_attributes, unused_imports)]
     include!(concat!(env!("OUT_DIR"), "/operator/mod.rs"));
 }
 
--- a/src/storage/client/mod.rs
+++ b/src/storage/client/mod.rs
@@ -83,7 +83,9 @@
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     // A poisoned lock means a duty has panicked, which ends the process anyway.
-    mutex.lock().unwrap_or_else(|e| e.into_inner())
+    mutex
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 impl Store {
--- a/src/storage/rate_limiter.rs
+++ b/src/storage/rate_limiter.rs
@@ -127,7 +127,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, TokenBucket> {
-        self.0.lock().unwrap_or_else(|e| e.into_inner())
+        self.0
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Sets the fair rate, and the one that is never gone beyond.
--- a/src/storage/state_cache/changes.rs
+++ b/src/storage/state_cache/changes.rs
@@ -97,7 +97,7 @@
                 }
             }
             Some(Key::Allocation(controller)) => {
-                remove_older(&mut self.allocations, &controller, revision)
+                remove_older(&mut self.allocations, &controller, revision);
             }
             Some(Key::Shard(id)) if is_newer(self.shards.get(&id), revision) => {
                 self.replace_shard(id, None);
@@ -106,10 +106,10 @@
                 self.replace_machine_group(id, None);
             }
             Some(Key::ProvisionRequest(id)) => {
-                remove_older(&mut self.provision_requests, &id, revision)
+                remove_older(&mut self.provision_requests, &id, revision);
             }
             Some(Key::Controller(controller)) => {
-                remove_older(&mut self.controllers, &controller, revision)
+                remove_older(&mut self.controllers, &controller, revision);
             }
             Some(Key::Leader) if is_newer(self.leader.as_ref(), revision) => self.leader = None,
             Some(Key::Catalog) if is_newer(self.catalog.as_ref(), revision) => self.catalog = None,
