--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -1,4 +1,7 @@
-//! Troubles in which messages come late, and users who look closely.
+//! Faults that have a state of their own: late and duplicated messages, machines that boot
+//! badly, and users who poll closely.
+//!
+//! Scenarios set them; the simulated network, cloud and users ask what becomes of a message.
 
 use std::{
     sync::{Arc, Mutex},
@@ -12,28 +15,33 @@
 /// A share of messages that is held up, by at most this long.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Delay {
+    /// Share of the messages.
     pub share: f64,
-    pub most: Duration,
+    /// The longest delay.
+    pub max: Duration,
 }
 
 impl Delay {
-    pub fn new(share: f64, most: Duration) -> Self {
-        Self { share, most }
+    /// Holds up this share of messages.
+    pub fn new(share: f64, max: Duration) -> Self {
+        Self { share, max }
     }
 
     /// How long this message is held up; none: not at all.
-    pub fn draw(&self, least: Duration) -> Option<Duration> {
+    pub fn draw(&self, min: Duration) -> Option<Duration> {
         if self.share <= 0.0 || jitter::uniform(0.0, 1.0) >= self.share {
             return None;
         }
-        let rest = self.most.saturating_sub(least);
-        Some(least + rest.mul_f64(jitter::uniform(0.0, 1.0)))
+        let rest = self.max.saturating_sub(min);
+        Some(min + rest.mul_f64(jitter::uniform(0.0, 1.0)))
     }
 }
 
 /// A heartbeat that is delivered again.
 pub struct DuplicateHeartbeat {
+    /// The sender's sides of a partition.
     pub tags: Vec<String>,
+    /// The message.
     pub body: String,
 }
 
@@ -41,7 +49,7 @@
 const MAX_DUPLICATES: usize = 400;
 /// Direct commands are held up for at least this long.
 const MIN_COMMAND_DELAY: Duration = Duration::from_secs(2);
-/// Questions that a close look asks of each controller.
+/// Polls of each controller in a burst.
 const POLLS_IN_BURST: usize = 3;
 
 /// How machines that are provisioned now come up.
@@ -62,7 +70,7 @@
     }
 }
 
-/// The state of these troubles.
+/// The state of these faults.
 #[derive(Default)]
 pub struct FaultInjection {
     boots: Mutex<Boots>,
@@ -71,7 +79,7 @@
     command_delay: Mutex<Delay>,
     /// Copies of heartbeats are kept for the next leader.
     keeps_for_next_leader: Mutex<bool>,
-    entry: Mutex<Vec<DuplicateHeartbeat>>,
+    kept_duplicates: Mutex<Vec<DuplicateHeartbeat>>,
     leader: Mutex<Option<String>>,
     burst_polls: Mutex<bool>,
 }
@@ -88,6 +96,7 @@
         delay.draw(MIN_COMMAND_DELAY)
     }
 
+    /// How machines that are provisioned from now on come up.
     pub fn set_boots(&self, boots: Boots) {
         *self.boots.lock().expect("boots") = boots;
     }
@@ -102,6 +111,7 @@
         Some(Duration::from_secs_f64(usual * boots.factor * share))
     }
 
+    /// Sets the pause between two polls about a job; none: the usual one.
     pub fn set_poll_interval(&self, pause: Option<Duration>) {
         *self.poll_interval.lock().expect("pause") = pause;
     }
@@ -122,9 +132,9 @@
         if !*self.keeps_for_next_leader.lock().expect("flag") {
             return Some(copy);
         }
-        let mut entry = self.entry.lock().expect("copies");
-        if entry.len() < MAX_DUPLICATES {
-            entry.push(copy);
+        let mut kept = self.kept_duplicates.lock().expect("duplicates");
+        if kept.len() < MAX_DUPLICATES {
+            kept.push(copy);
         }
         None
     }
@@ -136,7 +146,7 @@
             return Vec::new();
         }
         *known = leader;
-        std::mem::take(&mut *self.entry.lock().expect("copies"))
+        std::mem::take(&mut *self.kept_duplicates.lock().expect("duplicates"))
     }
 
     /// Users ask at all controllers as soon as they are told something new.
@@ -144,6 +154,7 @@
         *self.burst_polls.lock().expect("flag") = on;
     }
 
+    /// Whether users poll in bursts.
     pub fn polls_in_bursts(&self) -> bool {
         *self.burst_polls.lock().expect("flag")
     }
@@ -152,7 +163,7 @@
 impl Simulation {
     /// As a leader begins, every controller gets the copies that were kept.
     pub fn deliver_kept_duplicates(self: &Arc<Self>) {
-        for copy in self.faults.due(self.leader_life()) {
+        for copy in self.faults.due(self.leader_incarnation()) {
             for name in self.controller_names() {
                 let (simulation, tags, body) = (self.clone(), copy.tags.clone(), copy.body.clone());
                 tokio::spawn(async move {
@@ -185,7 +196,7 @@
         });
     }
 
-    /// Jobs one after the other, a share of them called off soon after.
+    /// Jobs one after the other, a share of them cancelled soon after.
     pub async fn stream(self: Arc<Self>, first: u64, stream: Stream) {
         for n in 0..stream.count {
             let job = JobId::new(format!("job-{}", first + n));
@@ -209,8 +220,12 @@
 
 /// Many jobs that are alike.
 pub struct Stream {
+    /// How many jobs.
     pub count: u64,
+    /// Pause between two submissions.
     pub interval: Duration,
+    /// Share of the jobs that is cancelled soon after.
     pub cancelled_share: f64,
+    /// What is submitted.
     pub spec: JobSpec,
 }
--- a/crates/simulator/src/scenario/actions.rs
+++ b/crates/simulator/src/scenario/actions.rs
@@ -53,7 +53,7 @@
 }
 
 /// Calls `action` once this time has passed.
-pub(super) fn later(after: Duration, action: impl FnOnce() + Send + 'static) {
+pub(super) fn run_later(after: Duration, action: impl FnOnce() + Send + 'static) {
     tokio::spawn(async move {
         tokio::time::sleep(after).await;
         action();
@@ -67,7 +67,7 @@
     undo: impl FnOnce(&Simulation) + Send + 'static,
 ) {
     let simulation = simulation.clone();
-    later(after, move || undo(&simulation));
+    run_later(after, move || undo(&simulation));
 }
 
 fn act_as_user(
@@ -169,7 +169,7 @@
         simulation.kill_controller(&name);
         let simulation = simulation.clone();
         let downtime = words.seconds("for", DEFAULT_DOWNTIME_S);
-        later(downtime, move || simulation.boot_controller(&name));
+        run_later(downtime, move || simulation.boot_controller(&name));
     }
 }
 
@@ -189,15 +189,17 @@
         }
         "reject" => {
             for controller in controllers(simulation, parts[2]) {
-                simulation.state.set_refused(&controller, true);
+                simulation.state.set_rejected(&controller, true);
                 undo_later(simulation, duration, move |simulation| {
-                    simulation.state.set_refused(&controller, false);
+                    simulation.state.set_rejected(&controller, false);
                 });
             }
         }
         "lose-responses" => {
-            simulation.set_lossy(words.number("share", 0.2));
-            undo_later(simulation, duration, |simulation| simulation.set_lossy(0.0));
+            simulation.set_response_loss(words.number("share", 0.2));
+            undo_later(simulation, duration, |simulation| {
+                simulation.set_response_loss(0.0);
+            });
         }
         "latency" => {
             simulation.set_latency(words.seconds("by", 0.5));
@@ -207,9 +209,9 @@
         }
         "delay" => {
             let late = words.seconds("late", 5.0);
-            simulation.set_late(words.number("share", 0.3), late);
+            simulation.set_commit_delay(Delay::new(words.number("share", 0.3), late));
             undo_later(simulation, duration, |simulation| {
-                simulation.set_late(0.0, Duration::ZERO);
+                simulation.set_commit_delay(Delay::default());
             });
         }
         other => panic!("unknown action state {other}"),
@@ -277,11 +279,11 @@
         }
         ["duplicate", "heartbeats", ..] => {
             let late = words.seconds("late", 30.0);
-            simulation.set_duplicates(words.number("share", 0.3), late);
+            simulation.set_duplicates(Delay::new(words.number("share", 0.3), late));
             let for_next = words.has("for_next");
             simulation.faults.keep_for_next_leader(for_next);
             undo_later(simulation, duration, |simulation| {
-                simulation.set_duplicates(0.0, Duration::ZERO);
+                simulation.set_duplicates(Delay::default());
                 simulation.faults.keep_for_next_leader(false);
             });
         }
@@ -311,10 +313,10 @@
 
 fn reclaim_spot_machines(simulation: &Arc<Simulation>, count: usize, words: &Words<'_>) {
     let machines = simulation.machines().into_iter();
-    let spot = machines.filter(|machine| machine.place.spot);
+    let spot = machines.filter(|machine| machine.kind.spot);
     for machine in spot.take(count) {
         if words.has("notice") {
-            machine.notice(words.seconds("notice", 5.0));
+            machine.announce_reclaim(words.seconds("notice", 5.0));
         } else {
             simulation.remove(&machine.id);
         }
--- a/crates/simulator/src/scenario/expectations.rs
+++ b/crates/simulator/src/scenario/expectations.rs
@@ -61,7 +61,10 @@
             )
         }
         [job, "code", code] => {
-            let codes = simulation.codes.lock().expect("codes");
+            let codes = simulation
+                .submission_statuses
+                .lock()
+                .expect("submission statuses");
             let found = codes.get(&job_id(job)).map(ToString::to_string);
             check(found.as_deref() == Some(*code), format!("code {found:?}"))
         }
@@ -71,7 +74,7 @@
             check(holds, format!("{running} tasks run"))
         }
         [job, state] => {
-            let told = simulation.told.lock().expect("told");
+            let told = simulation.reported_states.lock().expect("reported states");
             let told = told.get(&job_id(job)).cloned();
             let holds = told.as_deref() == Some(*state);
             check(holds, format!("its user was told {told:?}"))
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -13,15 +13,14 @@
     time::Duration,
 };
 
-use stallcove::{coordination::Tuning, storage::*};
+use stallcove::storage::{JobId, TeamName, jitter};
 use tokio::time::Instant;
 
 use crate::{
-    simulation::{Simulation, TypeSpec},
-    state_service::Limits,
+    simulation::{ClusterSettings, Simulation},
     versions::Version,
 };
-use actions::{act, later};
+use actions::{act, run_later};
 use words::Words;
 
 #[derive(Clone, Debug)]
@@ -78,34 +77,35 @@
     }
 }
 
+/// A scenario, ready to be played once.
 pub struct Scenario {
+    /// The seed of all random draws.
     seed: u64,
-    zones: Vec<String>,
-    controllers: usize,
-    teams: Vec<Team>,
-    types: Vec<TypeSpec>,
-    timed: Vec<TimedAction>,
-    until: Duration,
-    /// The state service's requests and changes a second.
-    limits: (f64, f64),
-    /// What it lowers its limits to, as the settings announce it.
-    next: Limits,
+    cluster: ClusterSettings,
     /// The version of all controllers at the start.
     version: Version,
-    /// The operator's settings, as far as the current version knows them.
-    tuning: Tuning,
+    timed: Vec<TimedAction>,
+    until: Duration,
 }
 
+/// Statements that are no faults. Those who submit late are faults of their own.
+const FAULTLESS_STATEMENTS: [&str; 6] =
+    ["submit", "stream", "resubmit", "cancel", "expect", "cloud"];
+/// How long a fault lasts, in seconds, if nothing is said.
+const DEFAULT_FAULT_S: f64 = 5.0;
+/// How often the rule checkers look at the cluster.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+
 impl Scenario {
-    /// When the last trouble is over: what users were refused until then is
-    /// forgiven. Those who submit late are troubles of their own.
-    fn calm_at(&self) -> Duration {
-        let quiet = ["submit", "stream", "resubmit", "cancel", "expect", "cloud"];
+    /// When the last fault is over: what users were refused until then is
+    /// forgiven.
+    fn faults_end_at(&self) -> Duration {
         let ends = self.timed.iter().filter_map(|timed| {
             let parts: Vec<&str> = timed.words.iter().map(String::as_str).collect();
             let words = Words::new(&parts[1..]);
             let late = words.seconds("late", 0.0);
-            (!quiet.contains(&parts[0])).then(|| timed.at + words.seconds("for", 5.0) + late)
+            (!FAULTLESS_STATEMENTS.contains(&parts[0]))
+                .then(|| timed.at + words.seconds("for", DEFAULT_FAULT_S) + late)
         });
         ends.max().unwrap_or_default()
     }
@@ -122,8 +122,8 @@
             .enable_time()
             .start_paused(true)
             .build()
-            .expect("a runtime");
-        runtime.block_on(self.run_measured(false))
+            .expect("the runtime starts");
+        runtime.block_on(self.run(false))
     }
 
     /// Plays the scenario in real time, on real sockets of the loopback range.
@@ -131,82 +131,82 @@
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
-            .expect("a runtime");
-        runtime.block_on(self.run(true))
+            .expect("the runtime starts");
+        runtime.block_on(self.run(true)).wrong
     }
 
-    async fn run(self, loopback: bool) -> Vec<String> {
-        self.run_measured(loopback).await.wrong
-    }
-
-    async fn run_measured(self, loopback: bool) -> Measured {
-        let calm_at = self.calm_at();
-        let Self {
-            zones,
-            controllers,
-            teams,
-            types,
-            limits,
-            next,
-            version,
-            tuning,
-            timed,
-            until,
-            ..
-        } = self;
-        let mut simulation =
-            Simulation::new(zones, controllers, teams, types, limits, next, tuning);
-        if loopback {
+    async fn run(self, on_loopback: bool) -> Measured {
+        let faults_end_at = self.faults_end_at();
+        let mut simulation = Simulation::new(self.cluster);
+        if on_loopback {
             let simulation = Arc::get_mut(&mut simulation).expect("nobody else has it yet");
             simulation.use_loopback();
         }
         simulation.serve_services().await;
         for name in simulation.controller_names() {
-            simulation.set_version(&name, version);
+            simulation.set_version(&name, self.version);
             simulation.boot_controller(&name);
         }
         let start = Instant::now();
-        let mut wrong = Vec::new();
         let usage_samples: Arc<Mutex<Vec<UsageSample>>> = Arc::default();
-        let ticker = {
-            let (simulation, samples) = (simulation.clone(), usage_samples.clone());
-            tokio::spawn(async move {
-                loop {
-                    tokio::time::sleep(Duration::from_millis(250)).await;
-                    simulation.tick();
-                    let sample = UsageSample {
-                        at: simulation.at(),
-                        used: simulation.used(),
-                    };
-                    samples.lock().expect("samples").push(sample);
-                }
-            })
-        };
+        let checks = tokio::spawn(check_often(simulation.clone(), usage_samples.clone()));
         {
             let simulation = simulation.clone();
-            later(calm_at, move || simulation.calm());
-        }
-        for timed in &timed {
-            tokio::time::sleep_until(start + timed.at).await;
-            let parts: Vec<&str> = timed.words.iter().map(String::as_str).collect();
-            if let Err(what) = act(&simulation, &parts) {
-                wrong.push(format!("{}: {what}", timed.line));
-            }
+            run_later(faults_end_at, move || simulation.note_faults_ended());
         }
-        tokio::time::sleep_until(start + until).await;
-        ticker.abort();
+        let mut violations = play_actions(&simulation, &self.timed, start).await;
+        tokio::time::sleep_until(start + self.until).await;
+        checks.abort();
         simulation.finish();
-        wrong.extend(simulation.broken());
+        violations.extend(simulation.violations());
         let used = std::mem::take(&mut *usage_samples.lock().expect("samples"));
-        Measured {
-            wrong,
-            waits: simulation.waits(),
-            used,
-            starts: simulation.starts(),
-            changes: simulation.state.changes(),
-            changes_by_kind: simulation.state.changes_by_kind(),
-            provisioned: simulation.provisioned(),
-            outcomes: simulation.told.lock().expect("told").clone(),
+        measure(&simulation, violations, used)
+    }
+}
+
+/// Plays the timed actions; the expectations that failed.
+async fn play_actions(
+    simulation: &Arc<Simulation>,
+    actions: &[TimedAction],
+    start: Instant,
+) -> Vec<String> {
+    let mut failed = Vec::new();
+    for timed in actions {
+        tokio::time::sleep_until(start + timed.at).await;
+        let parts: Vec<&str> = timed.words.iter().map(String::as_str).collect();
+        if let Err(failure) = act(simulation, &parts) {
+            failed.push(format!("{}: {failure}", timed.line));
         }
     }
+    failed
+}
+
+/// Lets the rule checkers look at the cluster, and samples what teams use, until aborted.
+async fn check_often(simulation: Arc<Simulation>, samples: Arc<Mutex<Vec<UsageSample>>>) {
+    loop {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        simulation.check_rules();
+        let sample = UsageSample {
+            at: simulation.at(),
+            used: simulation.used(),
+        };
+        samples.lock().expect("samples").push(sample);
+    }
+}
+
+fn measure(simulation: &Simulation, violations: Vec<String>, used: Vec<UsageSample>) -> Measured {
+    Measured {
+        wrong: violations,
+        waits: simulation.waits(),
+        used,
+        starts: simulation.starts(),
+        changes: simulation.state.changes(),
+        changes_by_kind: simulation.state.changes_by_kind(),
+        provisioned: simulation.provisioned(),
+        outcomes: simulation
+            .reported_states
+            .lock()
+            .expect("reported states")
+            .clone(),
+    }
 }
--- a/crates/simulator/src/scenario/parser.rs
+++ b/crates/simulator/src/scenario/parser.rs
@@ -11,7 +11,11 @@
     Scenario, TimedAction,
     words::{Words, parse},
 };
-use crate::{simulation::TypeSpec, state_service::Limits, versions::Version};
+use crate::{
+    simulation::{ClusterSettings, TypeSpec},
+    state_service::{Limits, StateRates},
+    versions::Version,
+};
 
 /// Requests and changes a second of the state service, if nothing is said.
 const DEFAULT_RPS: f64 = 400.0;
@@ -24,16 +28,21 @@
     fn default() -> Self {
         Self {
             seed: 1,
-            zones: vec!["a".into()],
-            controllers: 3,
-            teams: Vec::new(),
-            types: Vec::new(),
+            cluster: ClusterSettings {
+                zones: vec!["a".into()],
+                controllers: 3,
+                teams: Vec::new(),
+                types: Vec::new(),
+                state_rates: StateRates {
+                    rps: DEFAULT_RPS,
+                    write_rps: DEFAULT_WRITE_RPS,
+                },
+                announced_limits: Limits::default(),
+                tuning: Tuning::default(),
+            },
             timed: Vec::new(),
             until: Duration::from_secs(60),
-            limits: (DEFAULT_RPS, DEFAULT_WRITE_RPS),
-            next: Limits::default(),
             version: Version::Current,
-            tuning: Tuning::default(),
         }
     }
 }
@@ -58,20 +67,20 @@
         let words = Words::new(rest);
         match name {
             "seed" => self.seed = parse(rest[0], "a seed"),
-            "zones" => self.zones = rest.iter().map(|zone| (*zone).to_owned()).collect(),
-            "controllers" => self.controllers = parse(rest[0], "a number of controllers"),
+            "zones" => self.cluster.zones = rest.iter().map(|zone| (*zone).to_owned()).collect(),
+            "controllers" => self.cluster.controllers = parse(rest[0], "a number of controllers"),
             "until" => self.until = Duration::from_secs_f64(parse(rest[0], "a time")),
             "limits" => {
-                self.limits = (
-                    words.number("rps", DEFAULT_RPS),
-                    words.number("writes", DEFAULT_WRITE_RPS),
-                );
+                self.cluster.state_rates = StateRates {
+                    rps: words.number("rps", DEFAULT_RPS),
+                    write_rps: words.number("writes", DEFAULT_WRITE_RPS),
+                };
             }
-            "announced-limits" => self.next = announced_limits(&words),
-            "transfers" => self.tuning.quota_transfers = true,
+            "announced-limits" => self.cluster.announced_limits = announced_limits(&words),
+            "transfers" => self.cluster.tuning.quota_transfers = true,
             "version" => self.version = Version::named(rest[0]),
-            "team" => self.teams.push(team(rest[0], &words)),
-            "type" => self.types.push(machine_type(rest[0], &words)),
+            "team" => self.cluster.teams.push(team(rest[0], &words)),
+            "type" => self.cluster.types.push(machine_type(rest[0], &words)),
             "at" => self.timed.push(TimedAction {
                 at: Duration::from_secs_f64(parse(rest[0], "a time")),
                 words: rest[1..].iter().map(|word| (*word).to_owned()).collect(),
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -1,10 +1,18 @@
-//! The simulated world: controllers, network, cloud and users, on tokio's paused clock.
+//! The simulated cluster: controllers, network, cloud and users, on tokio's paused clock.
+//!
+//! [`Simulation`] owns what all of them share: the state service, the cloud's machines, the
+//! controllers' processes, the injected faults and the rule checkers. Scenarios create it and
+//! act on it. Its locks are held for moments only, never across an await.
 
 mod cloud;
 mod controllers;
 mod network;
+mod network_faults;
+mod requests;
+mod tasks;
 
 pub use network::SimNet;
+pub use network_faults::Partition;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,72 +21,79 @@
     time::Duration,
 };
 
-use axum::{Router, body::Body, http::Request};
+use axum::Router;
 use stallcove::{
     coordination::{Controller, Tuning},
     storage::*,
 };
 use tokio::{task::JoinSet, time::Instant};
 use tokio_util::sync::CancellationToken;
-use tower::ServiceExt;
 
 use crate::{
     agent::Machine,
-    faults::{DuplicateHeartbeat, FaultInjection},
-    gangs::{Gangs, Next},
+    faults::{Delay, FaultInjection},
+    gangs::Gangs,
     loopback::{Loopback, Process},
-    rules::{Event, Place, Room, Rules},
-    state_service::{Limits, StateService},
+    rules::{Event, FreeCapacity, MachineKind, Rules},
+    state_service::{Limits, StateRates, StateService},
     versions::Version,
 };
 
+/// A machine type of the cloud's catalog.
 #[derive(Clone, Debug)]
 pub struct TypeSpec {
+    /// Its name.
     pub name: String,
+    /// CPUs of a machine.
     pub cpus: f64,
+    /// Memory of a machine in GB.
     pub memory: f64,
+    /// Price of an hour.
     pub price: f64,
+    /// Price of an hour of a spot machine.
     pub spot_price: f64,
+    /// Usual boot time in seconds.
     pub boot: f64,
+    /// Zones that have it.
     pub zones: Vec<String>,
+    /// Machines in each zone.
     pub count: usize,
+    /// Spot machines in each zone.
     pub spot_count: usize,
 }
 
-struct Running {
+/// A process of a controller.
+struct ControllerProcess {
     controller: Arc<Controller>,
     router: Router,
     stop: CancellationToken,
     duties: JoinSet<&'static str>,
-    life: u64,
+    incarnation: u64,
     /// With real sockets: its thread.
     process: Option<Process>,
 }
 
-struct Slot {
+/// A controller, running or not.
+struct ControllerSlot {
     zone: String,
-    running: Option<Running>,
+    running: Option<ControllerProcess>,
     /// With real sockets: the thread of the process that ended last.
     ended: Option<JoinHandle<()>>,
 }
 
-/// Between two tags nothing passes; `hold`: it passes later.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Partition {
-    pub a: String,
-    pub b: String,
-    pub holds_packets: bool,
-}
-
+/// The state of the simulated cloud.
 #[derive(Default)]
 struct Cloud {
+    /// The machines that each request got, by its name.
     provision_requests: BTreeMap<String, Vec<String>>,
     machines: BTreeMap<String, ProvisionedMachine>,
+    /// Machines ever provisioned.
     next: usize,
     down: bool,
     no_capacity: bool,
 }
 
+/// A machine with its times.
 struct ProvisionedMachine {
     machine: Arc<Machine>,
     created: Instant,
@@ -86,38 +101,50 @@
     terminated_at: Option<Instant>,
 }
 
+/// The simulated cluster. Scenarios, users, machines and the network share it.
 pub struct Simulation {
+    /// When the scenario began.
     pub start: Instant,
+    /// How long an agent's lease lasts.
     pub lease: Duration,
+    /// How often agents send heartbeats, on average.
     pub heartbeat: Duration,
+    /// How long tasks may stay once their user was told that the job is cancelled.
     pub cancel: Duration,
+    /// The state service.
     pub state: StateService,
-    state_limits: (f64, f64),
+    state_rates: StateRates,
     teams: Vec<Team>,
     types: Vec<TypeSpec>,
     rules: Mutex<Rules>,
     specs: Mutex<BTreeMap<JobId, JobSpec>>,
+    /// Jobs whose tasks fail wherever they run.
     failing: Mutex<BTreeSet<JobId>>,
     completed: Mutex<BTreeSet<TaskId>>,
-    controllers: Mutex<BTreeMap<String, Slot>>,
+    controllers: Mutex<BTreeMap<String, ControllerSlot>>,
     partitions: Mutex<Vec<Partition>>,
     /// Share of the state service's answers that are lost after execution.
-    lossy: Mutex<f64>,
+    response_loss: Mutex<f64>,
     /// Share of the transactions that are applied late, unanswered, and how late.
-    late: Mutex<(f64, Duration)>,
+    commit_delay: Mutex<Delay>,
     /// Controllers that stand still, until when. Their clocks run on.
     paused: Mutex<BTreeMap<String, Instant>>,
     cloud: Mutex<Cloud>,
+    /// Numbers of the machines on which everything fails.
     faulty: Mutex<BTreeSet<usize>>,
-    pub told: Mutex<BTreeMap<JobId, String>>,
-    pub codes: Mutex<BTreeMap<JobId, u16>>,
-    dropped: Mutex<BTreeMap<String, u32>>,
-    duplicates: Mutex<(f64, Duration)>,
+    /// The state that each job's user was told last.
+    pub reported_states: Mutex<BTreeMap<JobId, String>>,
+    /// The HTTP status that each job's last submission got.
+    pub submission_statuses: Mutex<BTreeMap<JobId, u16>>,
+    /// Share of the heartbeats that are delivered twice, and how late.
+    duplicates: Mutex<Delay>,
+    /// Share of the jobs that are cancelled as their last task completes.
     cancel_at_end: Mutex<f64>,
     gangs: Mutex<Gangs>,
     versions: Mutex<BTreeMap<String, Version>>,
+    /// Faults that have a state of their own.
     pub faults: FaultInjection,
-    next: Limits,
+    announced_limits: Limits,
     /// The state service takes up to this much longer for an answer.
     latency: Mutex<Duration>,
     tuning: Tuning,
@@ -125,159 +152,139 @@
     pub loopback: Option<Loopback>,
 }
 
+const AGENT_LEASE: Duration = Duration::from_secs(15);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(3);
+/// How long tasks may stay once their user was told that the job is cancelled.
+const MAX_CANCEL_TIME: Duration = Duration::from_secs(40);
+/// The cloud lists its machines as they were this long ago.
 const LIST_LAG: Duration = Duration::from_secs(6);
 
+/// What a scenario says of the cluster before anything happens in it.
+pub struct ClusterSettings {
+    /// The zones; controllers are spread over them.
+    pub zones: Vec<String>,
+    /// How many controllers there are.
+    pub controllers: usize,
+    /// The teams with their guarantees and limits.
+    pub teams: Vec<Team>,
+    /// The cloud's catalog.
+    pub types: Vec<TypeSpec>,
+    /// The state service's limits at the start.
+    pub state_rates: StateRates,
+    /// The limits that it announces.
+    pub announced_limits: Limits,
+    /// The operator's settings, as far as the current version knows them.
+    pub tuning: Tuning,
+}
+
+fn controller_slots(zones: &[String], controllers: usize) -> BTreeMap<String, ControllerSlot> {
+    (0..controllers)
+        .map(|n| {
+            let slot = ControllerSlot {
+                zone: zones[n % zones.len()].clone(),
+                running: None,
+                ended: None,
+            };
+            (format!("n{n}"), slot)
+        })
+        .collect()
+}
+
 impl Simulation {
-    pub fn new(
-        zones: Vec<String>,
-        controllers: usize,
-        teams: Vec<Team>,
-        types: Vec<TypeSpec>,
-        limits: (f64, f64),
-        next: Limits,
-        tuning: Tuning,
-    ) -> Arc<Self> {
+    /// A cluster whose controllers are not yet started.
+    pub fn new(settings: ClusterSettings) -> Arc<Self> {
         let state = StateService::default();
-        state.set_limits(limits.0, limits.1);
-        let state_limits = limits;
-        let cancel = Duration::from_secs(40);
-        let limits = teams
+        state.set_limits(settings.state_rates);
+        let limits = settings
+            .teams
             .iter()
             .map(|team| (team.name.clone(), team.limit.cpus))
             .collect();
-        let slots = (0..controllers)
-            .map(|n| {
-                let slot = Slot {
-                    zone: zones[n % zones.len()].clone(),
-                    running: None,
-                    ended: None,
-                };
-                (format!("n{n}"), slot)
-            })
-            .collect();
         Arc::new(Self {
             start: Instant::now(),
-            lease: Duration::from_secs(15),
-            heartbeat: Duration::from_secs(3),
-            cancel,
+            lease: AGENT_LEASE,
+            heartbeat: HEARTBEAT_INTERVAL,
+            cancel: MAX_CANCEL_TIME,
             state,
-            state_limits,
-            teams,
-            types,
-            rules: Mutex::new(Rules::new(limits, cancel)),
+            state_rates: settings.state_rates,
+            teams: settings.teams,
+            types: settings.types,
+            rules: Mutex::new(Rules::new(limits, MAX_CANCEL_TIME)),
             specs: Mutex::default(),
             failing: Mutex::default(),
             completed: Mutex::default(),
-            controllers: Mutex::new(slots),
+            controllers: Mutex::new(controller_slots(&settings.zones, settings.controllers)),
             partitions: Mutex::default(),
-            lossy: Mutex::new(0.0),
-            late: Mutex::new((0.0, Duration::ZERO)),
+            response_loss: Mutex::new(0.0),
+            commit_delay: Mutex::default(),
             paused: Mutex::default(),
             cloud: Mutex::default(),
             faulty: Mutex::default(),
-            told: Mutex::default(),
-            codes: Mutex::default(),
-            dropped: Mutex::default(),
-            duplicates: Mutex::new((0.0, Duration::ZERO)),
+            reported_states: Mutex::default(),
+            submission_statuses: Mutex::default(),
+            duplicates: Mutex::default(),
             cancel_at_end: Mutex::new(0.0),
             gangs: Mutex::default(),
             versions: Mutex::default(),
             faults: FaultInjection::default(),
-            next,
+            announced_limits: settings.announced_limits,
             latency: Mutex::default(),
-            tuning,
+            tuning: settings.tuning,
             loopback: None,
         })
     }
 
+    /// The time since the start of the scenario.
     pub fn at(&self) -> Duration {
         self.start.elapsed()
     }
 
-    pub fn see(&self, event: Event) {
-        self.rules.lock().expect("rules").see(self.at(), event);
+    /// Passes an event to the rule checkers.
+    pub fn record(&self, event: Event) {
+        self.rules.lock().expect("rules").record(self.at(), event);
     }
 
-    pub fn calm(&self) {
-        self.rules.lock().expect("rules").calm(self.at());
+    /// All injected faults are over.
+    pub fn note_faults_ended(&self) {
+        self.rules
+            .lock()
+            .expect("rules")
+            .note_faults_ended(self.at());
     }
 
+    /// The scenario is over: lets the rule checkers look at it as a whole.
     pub fn finish(&self) {
         self.rules.lock().expect("rules").finish(self.at());
     }
 
-    /// From now on a share of all heartbeats is delivered again, up to this much
-    /// later, to any controller.
-    pub fn set_duplicates(&self, share: f64, late: Duration) {
-        *self.duplicates.lock().expect("copies") = (share, late);
-    }
-
-    pub fn duplicate_heartbeat(self: &Arc<Self>, tags: &[String], body: &str) {
-        let (share, late) = *self.duplicates.lock().expect("copies");
-        if share <= 0.0 || jitter::uniform(0.0, 1.0) >= share {
-            return;
-        }
-        let copy = DuplicateHeartbeat {
-            tags: tags.to_vec(),
-            body: body.to_owned(),
-        };
-        let Some(DuplicateHeartbeat { tags, body }) = self.faults.keep(copy) else {
-            return;
-        };
-        let names = self.controller_names();
-        let name = names[jitter::uniform(0.0, names.len() as f64) as usize].clone();
-        let simulation = self.clone();
-        let pause = Duration::from_secs(1) + late.mul_f64(jitter::uniform(0.0, 1.0));
-        tokio::spawn(async move {
-            tokio::time::sleep(pause).await;
-            simulation
-                .to_controller(&tags, &name, "POST", "/hello", body)
-                .await;
-        });
-    }
-
-    pub fn tick(self: &Arc<Self>) {
+    /// Lets the rule checkers look at what becomes wrong with time; called often.
+    pub fn check_rules(self: &Arc<Self>) {
         self.deliver_kept_duplicates();
-        self.rules.lock().expect("rules").tick(self.at());
+        self.rules.lock().expect("rules").check_deadlines(self.at());
         let machines = self.machines();
-        let rooms: Vec<Room> = machines.iter().filter_map(|m| m.room(self)).collect();
-        let there: Vec<(TaskId, Place)> = machines
+        let free: Vec<FreeCapacity> = machines
+            .iter()
+            .filter_map(|machine| machine.free_capacity(self))
+            .collect();
+        let placed: Vec<(TaskId, MachineKind)> = machines
             .iter()
-            .flat_map(|m| m.tasks().into_iter().map(|task| (task, m.place.clone())))
+            .flat_map(|machine| {
+                let tasks = machine.tasks().into_iter();
+                tasks.map(|task| (task, machine.kind.clone()))
+            })
             .collect();
         let mut rules = self.rules.lock().expect("rules");
-        rules.watch_waiting(self.at(), &rooms, &there);
+        rules.check_waiting(self.at(), &free, &placed);
     }
 
-    /// Users call off this many of the jobs that run, at the same moment; the
-    /// machines of these may hang then.
-    pub fn cancel_running(self: &Arc<Self>, count: usize, hang: Duration) {
-        let running = self.rules.lock().expect("rules").running_jobs();
-        let mut hung = BTreeSet::new();
-        for (job, machines) in running.into_iter().take(count) {
-            hung.extend(machines);
-            tokio::spawn(crate::users::cancel(self.clone(), job));
-        }
-        if !hang.is_zero() {
-            for machine in hung.into_iter().take(8) {
-                if let Some(machine) = self.machine(machine.as_str()) {
-                    machine.hang(hang);
-                }
-            }
-        }
-    }
-
-    /// From now on that share of jobs is called off as their last task completes.
-    pub fn set_cancel_at_end(&self, share: f64) {
-        *self.cancel_at_end.lock().expect("share") = share;
-    }
-
-    pub fn broken(&self) -> Vec<String> {
-        let mut broken = self.rules.lock().expect("rules").broken.clone();
+    /// The rules that were broken, one line each.
+    pub fn violations(&self) -> Vec<String> {
+        let mut broken = self.rules.lock().expect("rules").violations.clone();
         broken.extend(self.state.too_large());
         broken
     }
 
+    /// How many tasks of the job are on machines.
     pub fn running(&self, job: &JobId) -> usize {
         self.rules.lock().expect("rules").running(job)
     }
@@ -292,204 +299,8 @@
         self.rules.lock().expect("rules").used()
     }
 
+    /// How often a task was started.
     pub fn starts(&self) -> usize {
         self.rules.lock().expect("rules").starts
     }
-
-    pub fn spec(&self, job: &JobId) -> Option<JobSpec> {
-        self.specs.lock().expect("specs").get(job).cloned()
-    }
-
-    pub fn upload(&self, job: &JobId, spec: JobSpec, fails: bool) {
-        self.specs
-            .lock()
-            .expect("specs")
-            .insert(job.clone(), spec.clone());
-        self.see(Event::Submitted(job.clone(), Box::new(spec)));
-        if fails {
-            self.failing.lock().expect("failing").insert(job.clone());
-            self.see(Event::Fails(job.clone()));
-        }
-    }
-
-    pub fn fails(&self, job: &JobId) -> bool {
-        self.failing.lock().expect("failing").contains(job)
-    }
-
-    pub fn join_gang(&self, task: &TaskId, attempt: u64) {
-        let mut gangs = self.gangs.lock().expect("gangs");
-        if !gangs.join(&task.job, attempt, task.index) {
-            self.see(Event::Reused(task.clone(), attempt));
-        }
-    }
-
-    pub fn leave_gang(&self, task: &TaskId, attempt: u64) {
-        let mut gangs = self.gangs.lock().expect("gangs");
-        gangs.leave(&task.job, attempt, task.index);
-    }
-
-    pub fn stop_gang(&self, task: &TaskId, attempt: u64) {
-        let mut gangs = self.gangs.lock().expect("gangs");
-        gangs.stop(&task.job, attempt, task.index);
-    }
-
-    pub fn wait_in_gang(&self, task: &TaskId, attempt: u64, spec: &JobSpec) -> Next {
-        let mut gangs = self.gangs.lock().expect("gangs");
-        gangs.wait(&task.job, attempt, task.index, spec)
-    }
-
-    pub fn run_in_gang(&self, task: &TaskId, attempt: u64, spec: &JobSpec, saved: bool) -> Next {
-        let mut gangs = self.gangs.lock().expect("gangs");
-        gangs.run(&task.job, attempt, task.index, spec, saved)
-    }
-
-    pub fn is_completed(&self, task: &TaskId) -> bool {
-        self.completed.lock().expect("completed").contains(task)
-    }
-
-    pub fn complete(self: &Arc<Self>, task: &TaskId) {
-        let new = self
-            .completed
-            .lock()
-            .expect("completed")
-            .insert(task.clone());
-        self.see(Event::Completed(task.clone()));
-        let share = *self.cancel_at_end.lock().expect("share");
-        let over = self.rules.lock().expect("rules").is_complete(&task.job);
-        if new && over && share > 0.0 && jitter::uniform(0.0, 1.0) < share {
-            // About the time at which its result is written.
-            let pause = jitter::millis(0, 800);
-            let (simulation, job) = (self.clone(), task.job.clone());
-            tokio::spawn(async move {
-                tokio::time::sleep(pause).await;
-                crate::users::cancel(simulation, job).await;
-            });
-        }
-    }
-
-    /// A 200 that the agent had to drop.
-    pub fn note_dropped(&self, machine: &str) {
-        *self
-            .dropped
-            .lock()
-            .expect("dropped")
-            .entry(machine.into())
-            .or_default() += 1;
-    }
-
-    pub fn add_partition(&self, partition_between: Partition) {
-        self.partitions
-            .lock()
-            .expect("cuts")
-            .push(partition_between);
-    }
-
-    pub fn heal_partition(&self, partition_between: &Partition) {
-        self.partitions
-            .lock()
-            .expect("cuts")
-            .retain(|other| other != partition_between);
-    }
-
-    fn partition_between(&self, from: &[String], to: &[String]) -> Option<Partition> {
-        let partitions = self.partitions.lock().expect("cuts");
-        partitions
-            .iter()
-            .find(|partition_between| {
-                let has = |tags: &[String], tag: &String| tags.contains(tag);
-                (has(from, &partition_between.a) && has(to, &partition_between.b))
-                    || (has(from, &partition_between.b) && has(to, &partition_between.a))
-            })
-            .cloned()
-    }
-
-    pub fn set_lossy(&self, share: f64) {
-        *self.lossy.lock().expect("lossy") = share;
-    }
-
-    pub fn set_latency(&self, most: Duration) {
-        *self.latency.lock().expect("slow") = most;
-    }
-
-    pub fn set_late(&self, share: f64, late: Duration) {
-        *self.late.lock().expect("late") = (share, late);
-    }
-
-    pub fn pause_controller(&self, controller: &str, time: Duration) {
-        if self.loopback.is_some() {
-            let controllers = self.controllers.lock().expect("controllers");
-            let running = controllers
-                .get(controller)
-                .and_then(|slot| slot.running.as_ref());
-            if let Some(process) = running.and_then(|running| running.process.as_ref()) {
-                process.pause(time);
-            }
-            return;
-        }
-        let until = Instant::now() + time;
-        self.paused
-            .lock()
-            .expect("frozen")
-            .insert(controller.into(), until);
-    }
-
-    /// What a cordoned controller was about to say or to hear waits until it goes on.
-    async fn until_resumed(&self, controller: &str) {
-        let until = self.paused.lock().expect("frozen").get(controller).copied();
-        if let Some(until) = until {
-            tokio::time::sleep_until(until).await;
-        }
-    }
-
-    fn is_paused(&self, controller: &str) -> bool {
-        let until = self.paused.lock().expect("frozen").get(controller).copied();
-        until.is_some_and(|until| until > Instant::now())
-    }
-
-    /// A request to a controller's server; none: no connection.
-    pub async fn to_controller(
-        self: &Arc<Self>,
-        from: &[String],
-        name: &str,
-        method: &str,
-        path: &str,
-        body: String,
-    ) -> Option<(u16, String)> {
-        tokio::time::sleep(jitter::millis(1, 4)).await;
-        let tags = self.controller_tags(name);
-        while self.partition_between(from, &tags).is_some() {
-            tokio::time::sleep(Duration::from_millis(200)).await;
-        }
-        self.until_resumed(name).await;
-        let (router, life) = self.router(name)?;
-        if let Some(loopback) = &self.loopback {
-            return loopback.request(name, method, path, body).await;
-        }
-        let request = Request::builder()
-            .method(method)
-            .uri(path)
-            .body(Body::from(body))
-            .expect("a request");
-        let response = router.oneshot(request).await.expect("infallible");
-        let status = response.status().as_u16();
-        if status == 503 && path.starts_with("/api") {
-            assert!(
-                response.headers().contains_key("retry-after"),
-                "503 without Retry-After"
-            );
-        }
-        let bytes = axum::body::to_bytes(response.into_body(), 1 << 20)
-            .await
-            .ok()?;
-        tokio::time::sleep(jitter::millis(1, 4)).await;
-        // Decided before the freeze, said after it.
-        self.until_resumed(name).await;
-        while self.partition_between(from, &tags).is_some() {
-            tokio::time::sleep(Duration::from_millis(200)).await;
-        }
-        if !self.is_alive(name, life) {
-            return None;
-        }
-        Some((status, String::from_utf8_lossy(&bytes).into_owned()))
-    }
 }
--- a/crates/simulator/src/simulation/cloud.rs
+++ b/crates/simulator/src/simulation/cloud.rs
@@ -1,18 +1,113 @@
-//! The cloud of the simulated world: provision requests, boots and lists machines.
+//! The simulated cloud: it provisions, boots and lists machines, and takes them back.
 
-use std::sync::Arc;
+use std::{sync::Arc, time::Duration};
 
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-use super::{LIST_LAG, ProvisionedMachine, Simulation};
-use crate::{agent::Machine, rules::Place};
+use super::{Cloud, LIST_LAG, ProvisionedMachine, Simulation, TypeSpec};
+use crate::{
+    agent::{Capacity, Machine},
+    rules::MachineKind,
+};
+
+/// Machines in one provision request, at most.
+const MAX_MACHINES_IN_REQUEST: usize = 50;
+/// Machines in one request to release some, at most.
+const MAX_MACHINES_IN_RELEASE: usize = 100;
+
+impl ProvisionedMachine {
+    /// Whether the cloud lists the machine at this time.
+    fn is_listed(&self, at: Instant) -> bool {
+        self.created <= at && self.terminated_at.is_none_or(|terminated| terminated > at)
+    }
+
+    /// The machine's entry in a list of this time.
+    fn list_entry(&self, id: &str, at: Instant) -> Value {
+        let is_up = self.up_at.is_some_and(|up_at| up_at <= at);
+        let kind = &self.machine.kind;
+        json!({"uid": id, "addr": id, "breed": kind.machine_type,
+            "paddock": kind.zone, "loaners": kind.spot,
+            "stance": if is_up { "running" } else { "starting" },
+            "age_s": (at - self.created).as_secs_f64()})
+    }
+}
+
+impl TypeSpec {
+    /// The type's entry in the catalog.
+    fn catalog_entry(&self) -> Value {
+        json!({"label": self.name, "cpus": self.cpus, "gpus": 0, "ram_gb": self.memory,
+            "cache_gb": 40.0, "fetch_gb_per_s": 0.5, "rate": self.price,
+            "market_price": self.spot_price, "boot_s": self.boot, "paddocks": self.zones})
+    }
+}
+
+/// A controller's request for machines.
+struct ProvisionRequest {
+    name: String,
+    number: usize,
+    kind: MachineKind,
+}
+
+impl ProvisionRequest {
+    /// Reads a request, or panics: a controller may send none but valid ones.
+    fn read(body: &[u8]) -> Self {
+        let message: Value = serde_json::from_slice(body).expect("a provision request is JSON");
+        let text = |field: &str| {
+            let value = message[field].as_str();
+            value
+                .unwrap_or_else(|| panic!("a provision request has {field}"))
+                .to_owned()
+        };
+        let number = message["number"]
+            .as_u64()
+            .expect("a provision request has a number") as usize;
+        assert!(
+            (1..=MAX_MACHINES_IN_REQUEST).contains(&number),
+            "{number} machines in a request"
+        );
+        Self {
+            name: text("hire"),
+            number,
+            kind: MachineKind {
+                machine_type: text("breed"),
+                zone: text("paddock"),
+                spot: message["loaners"]
+                    .as_bool()
+                    .expect("a provision request says whether it wants spot machines"),
+            },
+        }
+    }
+}
+
+impl Cloud {
+    /// How many more machines of a kind there are.
+    fn capacity_left(&self, machine_type: &TypeSpec, kind: &MachineKind) -> usize {
+        if self.no_capacity {
+            return 0;
+        }
+        let machines = self.machines.values();
+        let taken = machines
+            .filter(|provisioned| {
+                provisioned.terminated_at.is_none() && provisioned.machine.kind == *kind
+            })
+            .count();
+        let existing = if kind.spot {
+            machine_type.spot_count
+        } else {
+            machine_type.count
+        };
+        existing.saturating_sub(taken)
+    }
+}
 
 impl Simulation {
+    /// The cloud answers nobody, or answers again.
     pub fn set_cloud(&self, down: bool) {
         self.cloud.lock().expect("cloud").down = down;
     }
 
+    /// The cloud has no machines left to provision, or has some again.
     pub fn set_no_capacity(&self, none: bool) {
         self.cloud.lock().expect("cloud").no_capacity = none;
     }
@@ -22,6 +117,7 @@
         self.faulty.lock().expect("faulty").insert(n);
     }
 
+    /// The machines that have booted and are not terminated.
     pub fn machines(&self) -> Vec<Arc<Machine>> {
         let cloud = self.cloud.lock().expect("cloud");
         cloud
@@ -52,6 +148,7 @@
         self.cloud.lock().expect("cloud").machines.len()
     }
 
+    /// A machine that has booted, terminated or not.
     pub(super) fn machine(&self, id: &str) -> Option<Arc<Machine>> {
         let cloud = self.cloud.lock().expect("cloud");
         let provisioned = cloud.machines.get(id)?;
@@ -61,7 +158,8 @@
             .then(|| provisioned.machine.clone())
     }
 
-    pub(super) async fn serve_cloud(
+    /// Answers a controller's request to the cloud: status and body.
+    pub(super) fn serve_cloud(
         self: &Arc<Self>,
         method: &str,
         path: &str,
@@ -72,140 +170,124 @@
         }
         match (method, path.split('?').next().unwrap_or(path)) {
             ("GET", "/catalog") => {
-                let breeds: Vec<Value> = self
-                    .types
-                    .iter()
-                    .map(|t| {
-                        json!({"label": t.name, "cpus": t.cpus, "gpus": 0, "ram_gb": t.memory,
-                            "cache_gb": 40.0, "fetch_gb_per_s": 0.5, "rate": t.price,
-                            "market_price": t.spot_price, "boot_s": t.boot, "paddocks": t.zones})
-                    })
-                    .collect();
-                (200, json!({"breeds": breeds}))
+                let types: Vec<Value> = self.types.iter().map(TypeSpec::catalog_entry).collect();
+                (200, json!({"breeds": types}))
             }
             ("POST", "/machines") => self.provision(body),
             ("POST", "/machines/return") => {
-                let message: Value = serde_json::from_slice(body).expect("a return");
-                let names = message["mounts"].as_array().expect("names").clone();
-                assert!(names.len() <= 100, "too many names in a return");
-                for name in names {
-                    self.remove(name.as_str().expect("a name"));
-                }
+                self.release(body);
                 (200, json!({}))
             }
-            ("GET", "/machines") => {
-                let then = Instant::now().checked_sub(LIST_LAG).unwrap_or(self.start);
-                let cloud = self.cloud.lock().expect("cloud");
-                let mounts: Vec<Value> = cloud
-                    .machines
-                    .iter()
-                    .filter(|(_, r)| {
-                        r.created <= then && r.terminated_at.is_none_or(|at| at > then)
-                    })
-                    .map(|(id, r)| {
-                        let up = r.up_at.is_some_and(|at| at <= then);
-                        json!({"uid": id, "addr": id, "breed": r.machine.place.kind,
-                            "paddock": r.machine.place.zone, "loaners": r.machine.place.spot,
-                            "stance": if up { "running" } else { "starting" },
-                            "age_s": (then - r.created).as_secs_f64()})
-                    })
-                    .collect();
-                (200, json!({"mounts": mounts, "truncated": false}))
-            }
+            ("GET", "/machines") => (
+                200,
+                json!({"mounts": self.list_machines(), "truncated": false}),
+            ),
             _ => (400, json!({"error": path})),
         }
     }
 
-    pub(super) fn provision(self: &Arc<Self>, body: &[u8]) -> (u16, Value) {
-        let message: Value = serde_json::from_slice(body).expect("a rent");
-        let name = message["hire"].as_str().expect("hire").to_owned();
-        let number = message["number"].as_u64().expect("number") as usize;
-        assert!((1..=50).contains(&number), "{number} machines in a request");
-        let place = Place {
-            kind: message["breed"].as_str().expect("breed").into(),
-            zone: message["paddock"].as_str().expect("paddock").into(),
-            spot: message["loaners"].as_bool().expect("loaners"),
-        };
+    fn release(&self, body: &[u8]) {
+        let message: Value = serde_json::from_slice(body).expect("a release is JSON");
+        let ids = message["mounts"].as_array().expect("a release has ids");
+        assert!(
+            ids.len() <= MAX_MACHINES_IN_RELEASE,
+            "too many names in a return"
+        );
+        for id in ids {
+            self.remove(id.as_str().expect("an id is a string"));
+        }
+    }
+
+    /// The machines as they were some time ago.
+    fn list_machines(&self) -> Vec<Value> {
+        let then = Instant::now().checked_sub(LIST_LAG).unwrap_or(self.start);
+        let cloud = self.cloud.lock().expect("cloud");
+        cloud
+            .machines
+            .iter()
+            .filter(|(_, provisioned)| provisioned.is_listed(then))
+            .map(|(id, provisioned)| provisioned.list_entry(id, then))
+            .collect()
+    }
+
+    /// Provisions as many of the machines as there are; a repeated request gets the same ones.
+    fn provision(self: &Arc<Self>, body: &[u8]) -> (u16, Value) {
+        let request = ProvisionRequest::read(body);
         let mut cloud = self.cloud.lock().expect("cloud");
-        if let Some(known) = cloud.provision_requests.get(&name) {
+        if let Some(known) = cloud.provision_requests.get(&request.name) {
             return (200, json!({"mounts": known}));
         }
-        let kind = self
+        let machine_type = self
             .types
             .iter()
-            .find(|t| t.name == place.kind)
-            .expect("a type of the catalog")
-            .clone();
-        let taken = cloud
-            .machines
-            .values()
-            .filter(|r| {
-                let other = &r.machine.place;
-                r.terminated_at.is_none()
-                    && other.kind == place.kind
-                    && other.zone == place.zone
-                    && other.spot == place.spot
-            })
-            .count();
-        let room = if place.spot {
-            kind.spot_count
-        } else {
-            kind.count
-        };
-        let free = if cloud.no_capacity {
-            0
-        } else {
-            room.saturating_sub(taken).min(number)
-        };
-        if free == 0 {
+            .find(|machine_type| machine_type.name == request.kind.machine_type)
+            .expect("a controller asks for types of the catalog");
+        let number = cloud
+            .capacity_left(machine_type, &request.kind)
+            .min(request.number);
+        if number == 0 {
             return (503, json!({"error": "no capacity"}));
         }
-        let mut names = Vec::new();
-        for _ in 0..free {
-            let id = format!("vm-{:06}", cloud.next);
-            let faulty = self.faulty.lock().expect("faulty").contains(&cloud.next);
-            cloud.next += 1;
-            let machine = Arc::new(Machine::new(
-                id.clone(),
-                place.clone(),
-                kind.cpus,
-                kind.memory,
-                faulty,
-            ));
-            cloud.machines.insert(
-                id.clone(),
-                ProvisionedMachine {
-                    machine: machine.clone(),
-                    created: Instant::now(),
-                    up_at: None,
-                    terminated_at: None,
-                },
-            );
-            names.push(id.clone());
-            let Some(boot) = self.faults.boot_time(kind.boot) else {
-                continue;
-            };
-            let (simulation, booted) = (self.clone(), id.clone());
-            tokio::spawn(async move {
-                tokio::time::sleep(boot).await;
-                {
-                    let mut cloud = simulation.cloud.lock().expect("cloud");
-                    match cloud.machines.get_mut(&booted) {
-                        Some(provisioned) if provisioned.terminated_at.is_none() => {
-                            provisioned.up_at = Some(Instant::now());
-                        }
-                        _ => return,
-                    }
-                }
-                if let Some(loopback) = &simulation.loopback {
-                    let address = loopback.serve_machine(&simulation, &machine).await;
-                    machine.address.get_or_init(|| address);
-                }
-                machine.live(simulation).await;
-            });
+        let ids: Vec<String> = (0..number)
+            .map(|_| self.provision_machine(&mut cloud, machine_type, &request.kind))
+            .collect();
+        cloud.provision_requests.insert(request.name, ids.clone());
+        (200, json!({"mounts": ids}))
+    }
+
+    /// Adds a machine, which boots unless a fault keeps it from that; its id.
+    fn provision_machine(
+        self: &Arc<Self>,
+        cloud: &mut Cloud,
+        machine_type: &TypeSpec,
+        kind: &MachineKind,
+    ) -> String {
+        let id = format!("vm-{:06}", cloud.next);
+        let is_faulty = self.faulty.lock().expect("faulty").contains(&cloud.next);
+        cloud.next += 1;
+        let capacity = Capacity {
+            cpus: machine_type.cpus,
+            memory: machine_type.memory,
+        };
+        let machine = Arc::new(Machine::new(id.clone(), kind.clone(), capacity, is_faulty));
+        cloud.machines.insert(
+            id.clone(),
+            ProvisionedMachine {
+                machine: machine.clone(),
+                created: Instant::now(),
+                up_at: None,
+                terminated_at: None,
+            },
+        );
+        if let Some(boot_time) = self.faults.boot_time(machine_type.boot) {
+            tokio::spawn(self.clone().boot_machine(machine, boot_time));
+        }
+        id
+    }
+
+    /// Boots a machine, if it is not terminated until then, and lets it run to its end.
+    async fn boot_machine(self: Arc<Self>, machine: Arc<Machine>, boot_time: Duration) {
+        tokio::time::sleep(boot_time).await;
+        if !self.note_booted(&machine.id) {
+            return;
+        }
+        if let Some(loopback) = &self.loopback {
+            let address = loopback.serve_machine(&self, &machine).await;
+            machine.address.get_or_init(|| address);
+        }
+        machine.run(self).await;
+    }
+
+    /// The machine is up from now on; false: it is terminated.
+    fn note_booted(&self, id: &str) -> bool {
+        let mut cloud = self.cloud.lock().expect("cloud");
+        match cloud.machines.get_mut(id) {
+            Some(provisioned) if provisioned.terminated_at.is_none() => {
+                provisioned.up_at = Some(Instant::now());
+                true
+            }
+            _ => false,
         }
-        cloud.provision_requests.insert(name, names.clone());
-        (200, json!({"mounts": names}))
     }
 
     /// The machine and all that was on it are gone.
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers of the simulated world: their processes, versions and leader.
+//! The controllers of the simulated cluster: their processes, versions and leader.
 
 use std::{
     sync::Arc,
@@ -18,10 +18,10 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-use super::{LIST_LAG, Running, SimNet, Simulation};
+use super::{ControllerProcess, LIST_LAG, SimNet, Simulation};
 use crate::{
     loopback::{Loopback, Process},
-    state_service::Limits,
+    state_service::{Limits, StateRates},
     versions::Version,
 };
 
@@ -45,11 +45,11 @@
     pub(super) fn router(&self, name: &str) -> Option<(Router, u64)> {
         let controllers = self.controllers.lock().expect("controllers");
         let running = controllers.get(name)?.running.as_ref()?;
-        Some((running.router.clone(), running.life))
+        Some((running.router.clone(), running.incarnation))
     }
 
-    pub(super) fn is_alive(&self, name: &str, life: u64) -> bool {
-        self.router(name).is_some_and(|(_, now)| now == life)
+    pub(super) fn is_alive(&self, name: &str, incarnation: u64) -> bool {
+        self.router(name).is_some_and(|(_, now)| now == incarnation)
     }
 
     pub fn boot_controller(self: &Arc<Self>, name: &str) {
@@ -70,13 +70,13 @@
                 .collect::<Vec<_>>();
             (controllers[name].zone.clone(), peers)
         };
-        let life = jitter::uniform(1.0, 1e15) as u64;
+        let incarnation = jitter::uniform(1.0, 1e15) as u64;
         let version = self.version(name);
         let start = self.start;
         let config = Config {
             name: ControllerName::new(name),
             zone: ZoneName::new(zone),
-            incarnation: Incarnation(life),
+            incarnation: Incarnation(incarnation),
             peers: peers.clone(),
             teams: self.teams.clone(),
             objectives: Vec::new(),
@@ -84,10 +84,10 @@
             agent_lease: self.lease,
             cancel: self.cancel,
             state: StateLimits {
-                rps: self.state_limits.0,
-                write_rps: self.state_limits.1,
-                next_rps: self.next.rps.min(self.state_limits.0),
-                next_write_rps: self.next.writes.min(self.state_limits.1),
+                rps: self.state_rates.rps,
+                write_rps: self.state_rates.write_rps,
+                next_rps: self.announced_limits.rps.min(self.state_rates.rps),
+                next_write_rps: self.announced_limits.writes.min(self.state_rates.write_rps),
                 value_bytes: self.limits_of(version).value,
                 txn_ops: self.limits_of(version).ops,
             },
@@ -104,7 +104,11 @@
         if let Some(loopback) = &self.loopback {
             let ended = {
                 let mut controllers = self.controllers.lock().expect("controllers");
-                controllers.get_mut(name).expect("a node").ended.take()
+                controllers
+                    .get_mut(name)
+                    .expect("a controller of the scenario")
+                    .ended
+                    .take()
             };
             let process = loopback.start(config, ended);
             let controller = process.controller.clone();
@@ -113,12 +117,12 @@
                 controller,
                 CancellationToken::new(),
                 JoinSet::new(),
-                life,
+                incarnation,
                 Some(process),
             );
             return;
         }
-        let net = Arc::new(SimNet::new(self, name, life));
+        let net = Arc::new(SimNet::new(self, name, incarnation));
         let addresses = peers
             .iter()
             .map(|(peer, _)| (peer.clone(), peer.to_string()))
@@ -138,7 +142,7 @@
         );
         let mut duties = JoinSet::new();
         controller.start(&mut duties);
-        self.set_running(name, controller, stop, duties, life, None);
+        self.set_running(name, controller, stop, duties, incarnation, None);
     }
 
     fn set_running(
@@ -147,19 +151,22 @@
         controller: Arc<Controller>,
         stop: CancellationToken,
         duties: JoinSet<&'static str>,
-        life: u64,
+        incarnation: u64,
         process: Option<Process>,
     ) {
-        let running = Running {
+        let running = ControllerProcess {
             router: server::router(controller.clone(), SocketBudget::new(500)),
             controller,
             stop,
             duties,
-            life,
+            incarnation,
             process,
         };
         let mut controllers = self.controllers.lock().expect("controllers");
-        controllers.get_mut(name).expect("a node").running = Some(running);
+        controllers
+            .get_mut(name)
+            .expect("a controller of the scenario")
+            .running = Some(running);
     }
 
     /// Moves this world to real sockets.
@@ -180,7 +187,9 @@
     pub(super) fn limits_of(&self, version: Version) -> Limits {
         match version {
             Version::BeforeGangs => Limits::default(),
-            Version::Gangs | Version::BeforeTransfers | Version::Current => self.next.clone(),
+            Version::Gangs | Version::BeforeTransfers | Version::Current => {
+                self.announced_limits.clone()
+            }
         }
     }
 
@@ -201,22 +210,32 @@
 
     /// The state service's limits fall to those that were announced.
     pub fn lower_limits(&self) {
-        let next = &self.next;
-        self.state.set_limits(next.rps, next.writes);
-        self.state.set_sizes(next.ops, next.value);
+        let announced = &self.announced_limits;
+        self.state.set_limits(StateRates {
+            rps: announced.rps,
+            write_rps: announced.writes,
+        });
+        self.state.set_sizes(announced.ops, announced.value);
     }
 
     pub fn kill_controller(&self, name: &str) {
         let running = {
             let mut controllers = self.controllers.lock().expect("controllers");
-            controllers.get_mut(name).expect("a node").running.take()
+            controllers
+                .get_mut(name)
+                .expect("a controller of the scenario")
+                .running
+                .take()
         };
         if let Some(mut running) = running {
             running.duties.abort_all();
             running.stop.cancel();
             let ended = running.process.map(Process::kill);
             let mut controllers = self.controllers.lock().expect("controllers");
-            controllers.get_mut(name).expect("a node").ended = ended;
+            controllers
+                .get_mut(name)
+                .expect("a controller of the scenario")
+                .ended = ended;
         }
     }
 
@@ -236,11 +255,11 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// The leading process: its controller, and which life of that controller.
-    pub fn leader_life(&self) -> Option<String> {
+    /// The leading process: its controller, and which incarnation of that controller.
+    pub fn leader_incarnation(&self) -> Option<String> {
         let name = self.leader()?;
         let controllers = self.controllers.lock().expect("controllers");
-        let life = controllers.get(&name)?.running.as_ref()?.life;
-        Some(format!("{name}-{life}"))
+        let incarnation = controllers.get(&name)?.running.as_ref()?.incarnation;
+        Some(format!("{name}-{incarnation}"))
     }
 }
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -33,23 +33,23 @@
 pub struct SimNet {
     simulation: Arc<Simulation>,
     controller: String,
-    life: u64,
+    incarnation: u64,
 }
 
 impl SimNet {
     /// The network of one process of a controller.
-    pub fn new(simulation: &Arc<Simulation>, controller: &str, life: u64) -> Self {
+    pub fn new(simulation: &Arc<Simulation>, controller: &str, incarnation: u64) -> Self {
         Self {
             simulation: simulation.clone(),
             controller: controller.to_owned(),
-            life,
+            incarnation,
         }
     }
 
     /// The network of the process that the controller runs now.
     pub fn of_living(simulation: &Arc<Simulation>, controller: &str) -> Option<Self> {
-        let (_, life) = simulation.router(controller)?;
-        Some(Self::new(simulation, controller, life))
+        let (_, incarnation) = simulation.router(controller)?;
+        Some(Self::new(simulation, controller, incarnation))
     }
 
     async fn execute(
@@ -64,7 +64,7 @@
         };
         match call.address.as_str() {
             "state" => {
-                let latency = *simulation.latency.lock().expect("slow");
+                let latency = *simulation.latency.lock().expect("latency");
                 if !latency.is_zero() {
                     tokio::time::sleep(latency.mul_f64(jitter::uniform(0.1, 1.0))).await;
                 }
@@ -73,7 +73,7 @@
                     .handle(controller, method, &call.path, &call.body)
                     .await
             }
-            "cloud" => simulation.serve_cloud(method, &call.path, &call.body).await,
+            "cloud" => simulation.serve_cloud(method, &call.path, &call.body),
             machine => match simulation.machine(machine) {
                 Some(machine) => machine.handle(simulation, &call.path, &call.body).await,
                 None => futures::future::pending().await,
@@ -92,12 +92,12 @@
         let here = self.simulation.controller_tags(&self.controller);
         let there = self.tags(&call.address);
         tokio::time::sleep(jitter::millis(1, 5)).await;
-        if !self.simulation.is_alive(&self.controller, self.life) {
+        if !self.simulation.is_alive(&self.controller, self.incarnation) {
             return futures::future::pending().await;
         }
-        if let Some(partition_between) = self.simulation.partition_between(&here, &there) {
-            if partition_between.holds_packets {
-                // Delivered once the cut is over, whoever has given up by then.
+        if let Some(partition) = self.simulation.partition_between(&here, &there) {
+            if partition.holds_packets {
+                // Delivered once the partition has healed, whoever has given up by then.
                 let (simulation, controller) = (self.simulation.clone(), self.controller.clone());
                 tokio::spawn(async move {
                     while simulation.partition_between(&here, &there).is_some() {
@@ -118,10 +118,10 @@
             });
             return futures::future::pending().await;
         }
-        let (share, late) = *self.simulation.late.lock().expect("late");
-        if call.path == "/commit" && jitter::uniform(0.0, 1.0) < share {
+        let commit_delay = *self.simulation.commit_delay.lock().expect("commit delay");
+        if call.path == "/commit" && jitter::uniform(0.0, 1.0) < commit_delay.share {
             let (simulation, controller) = (self.simulation.clone(), self.controller.clone());
-            let pause = late.mul_f64(jitter::uniform(0.0, 1.0));
+            let pause = commit_delay.max.mul_f64(jitter::uniform(0.0, 1.0));
             tokio::spawn(async move {
                 tokio::time::sleep(pause).await;
                 Self::execute(&simulation, &controller, &call).await;
@@ -130,10 +130,10 @@
         }
         let (status, value) = Self::execute(&self.simulation, &self.controller, &call).await;
         tokio::time::sleep(jitter::millis(1, 5)).await;
-        let lossy = *self.simulation.lossy.lock().expect("lossy");
+        let loss = *self.simulation.response_loss.lock().expect("response loss");
         let lost = call.address == "state"
             && !call.path.starts_with("/follow")
-            && jitter::uniform(0.0, 1.0) < lossy;
+            && jitter::uniform(0.0, 1.0) < loss;
         if lost || self.simulation.partition_between(&here, &there).is_some() {
             return futures::future::pending().await;
         }
@@ -180,7 +180,7 @@
                 let here = self.simulation.controller_tags(&self.controller);
                 let there = self.simulation.controller_tags(address);
                 if self.simulation.partition_between(&here, &there).is_some()
-                    || !self.simulation.is_alive(&self.controller, self.life)
+                    || !self.simulation.is_alive(&self.controller, self.incarnation)
                 {
                     return futures::future::pending().await;
                 }
@@ -198,7 +198,8 @@
                 let reads = self.simulation.protocol_version_of(address);
                 if reads < needed(&call) {
                     if needed(&call) == ProtocolVersion::QUOTA_TRANSFERS {
-                        self.simulation.see(Event::Unreadable(address.to_owned()));
+                        self.simulation
+                            .record(Event::UnreadableMessage(address.to_owned()));
                     }
                     return Err(SendError::NoAnswer("closed".into()));
                 }
--- /dev/null
+++ b/crates/simulator/src/state_service/database.rs
@@ -0,0 +1,288 @@
+//! What the simulated state service stores, and its transactions.
+
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    time::Duration,
+};
+
+use serde_json::{Value, json};
+use stallcove::protocol::key_value_store::{OperationMessage, TransactionRequest};
+use tokio::time::Instant;
+
+use super::{Limits, Reply, rate_limit::RateLimit};
+
+/// A transaction may have this many times as many conditions as changes.
+const CONDITIONS_PER_CHANGE: usize = 4;
+/// A transaction's message is never larger.
+const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
+/// Keys of outcomes, which are written once and never removed.
+const OUTCOME_PREFIX: &str = "fate/";
+
+/// A stored value.
+pub(super) struct Entry {
+    pub(super) value: Value,
+    /// The revision that wrote it.
+    pub(super) revision: u64,
+    /// The lease that it goes with.
+    lease: Option<u64>,
+}
+
+/// A change that followers are told of.
+pub(super) struct Change {
+    pub(super) revision: u64,
+    /// The change in the protocol's words.
+    pub(super) event: Value,
+}
+
+struct Lease {
+    time_to_live: Duration,
+    expires_at: Instant,
+}
+
+/// Keys, leases and changes, the limits and faults of the service, and what it has counted.
+#[derive(Default)]
+pub(super) struct Database {
+    /// The last change's revision.
+    pub(super) revision: u64,
+    pub(super) entries: BTreeMap<String, Entry>,
+    /// All changes ever, by revision.
+    pub(super) changes: Vec<Change>,
+    leases: BTreeMap<u64, Lease>,
+    last_lease: u64,
+    /// It answers nobody, and its leases do not expire.
+    pub(super) is_down: bool,
+    /// Controllers that it answers with 503 only.
+    pub(super) rejected_controllers: BTreeSet<String>,
+    pub(super) request_limit: RateLimit,
+    pub(super) write_limit: RateLimit,
+    /// Changes in a transaction and bytes in a value; none: those of the start.
+    pub(super) size_limits: Option<SizeLimits>,
+    /// Transactions beyond these.
+    pub(super) too_large: Vec<String>,
+    /// Changes asked for, those of failed transactions included.
+    pub(super) requested_changes: usize,
+    /// Changes made, by the kind of record: `+` written, `-` removed.
+    pub(super) changes_by_kind: BTreeMap<String, usize>,
+}
+
+/// How large a transaction may be.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct SizeLimits {
+    /// Changes in a transaction.
+    pub(super) changes: usize,
+    /// Bytes in a value.
+    pub(super) value_bytes: usize,
+}
+
+impl Default for SizeLimits {
+    fn default() -> Self {
+        let limits = Limits::default();
+        Self {
+            changes: limits.ops,
+            value_bytes: limits.value,
+        }
+    }
+}
+
+impl Database {
+    /// Removes the leases that have expired, with their keys.
+    pub(super) fn expire_leases(&mut self) {
+        if self.is_down {
+            return;
+        }
+        let now = Instant::now();
+        let expired: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| lease.expires_at <= now)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in expired {
+            self.leases.remove(&id);
+            self.remove_keys_of_lease(id);
+        }
+    }
+
+    fn remove_keys_of_lease(&mut self, id: u64) {
+        let keys: Vec<String> = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.lease == Some(id))
+            .map(|(key, _)| key.clone())
+            .collect();
+        if keys.is_empty() {
+            return;
+        }
+        self.revision += 1;
+        for key in keys {
+            self.remove(key);
+        }
+    }
+
+    /// A new lease; its number.
+    pub(super) fn grant_lease(&mut self, time_to_live: Duration) -> u64 {
+        self.last_lease += 1;
+        let lease = Lease {
+            time_to_live,
+            expires_at: Instant::now() + time_to_live,
+        };
+        self.leases.insert(self.last_lease, lease);
+        self.last_lease
+    }
+
+    /// Renews a lease; false: it does not exist.
+    #[must_use]
+    pub(super) fn renew_lease(&mut self, id: u64) -> bool {
+        let Some(lease) = self.leases.get_mut(&id) else {
+            return false;
+        };
+        lease.expires_at = Instant::now() + lease.time_to_live;
+        true
+    }
+
+    /// Renews all leases, as the service does when it comes back.
+    pub(super) fn renew_all_leases(&mut self) {
+        let now = Instant::now();
+        for lease in self.leases.values_mut() {
+            lease.expires_at = now + lease.time_to_live;
+        }
+    }
+
+    /// Applies a transaction if its conditions hold.
+    pub(super) fn commit(&mut self, body: &[u8]) -> Reply {
+        let Ok(transaction) = serde_json::from_slice::<TransactionRequest>(body) else {
+            return (400, json!({"error": "malformed"}));
+        };
+        if let Some(what) = self.find_too_large(&transaction) {
+            // Nobody is to send such a transaction.
+            self.too_large.push(format!("too large: {what}"));
+            return (400, json!({"error": "too large"}));
+        }
+        if !self
+            .write_limit
+            .try_use(transaction.operations.len() as f64)
+        {
+            return (429, json!({}));
+        }
+        self.requested_changes += transaction.operations.len();
+        assert!(
+            body.len() <= MAX_TRANSACTION_BYTES,
+            "too large a transaction"
+        );
+        let failed = self.failed_conditions(&transaction);
+        if !failed.is_empty() {
+            return (409, json!({"failed": failed, "ledger": self.revision}));
+        }
+        if !self.check_operations(&transaction.operations) {
+            return (400, json!({"error": "no such lease"}));
+        }
+        if !transaction.operations.is_empty() {
+            self.revision += 1;
+        }
+        for operation in transaction.operations {
+            self.apply(operation);
+        }
+        (200, json!({"ledger": self.revision}))
+    }
+
+    /// What is too large in a transaction, if anything is.
+    fn find_too_large(&self, transaction: &TransactionRequest) -> Option<String> {
+        let limits = self.size_limits.unwrap_or_default();
+        let changes = transaction.operations.len();
+        let conditions = transaction.conditions.len();
+        if changes > limits.changes || conditions > CONDITIONS_PER_CHANGE * limits.changes {
+            return Some(format!("{changes} changes, {conditions} conditions"));
+        }
+        transaction.operations.iter().find_map(|operation| {
+            let OperationMessage::Put { key, value, .. } = operation else {
+                return None;
+            };
+            let size = value.to_string().len();
+            (size > limits.value_bytes).then(|| format!("{key} has {size} bytes"))
+        })
+    }
+
+    /// The keys whose revision is not the one that the transaction depends on.
+    fn failed_conditions<'a>(&self, transaction: &'a TransactionRequest) -> Vec<&'a String> {
+        transaction
+            .conditions
+            .iter()
+            .filter(|condition| {
+                let entry = self.entries.get(&condition.key);
+                entry.map_or(0, |entry| entry.revision) != condition.revision
+            })
+            .map(|condition| &condition.key)
+            .collect()
+    }
+
+    /// Whether all leases that the operations name exist. Panics if a key changes twice, or an
+    /// outcome is written twice or removed: no controller may ask for that.
+    fn check_operations(&self, operations: &[OperationMessage]) -> bool {
+        let mut changed_keys = BTreeSet::new();
+        for operation in operations {
+            let key = match operation {
+                OperationMessage::Put { key, lease, .. } => {
+                    if lease.is_some_and(|id| !self.leases.contains_key(&id)) {
+                        return false;
+                    }
+                    key
+                }
+                OperationMessage::Delete { key } => key,
+            };
+            assert!(
+                changed_keys.insert(key),
+                "{key} changes twice in a transaction"
+            );
+            if !key.starts_with(OUTCOME_PREFIX) {
+                continue;
+            }
+            match operation {
+                OperationMessage::Put { .. } => assert!(
+                    !self.entries.contains_key(key),
+                    "an outcome is written twice"
+                ),
+                OperationMessage::Delete { .. } => panic!("an outcome is removed"),
+            }
+        }
+        true
+    }
+
+    /// Makes a change at the current revision.
+    fn apply(&mut self, operation: OperationMessage) {
+        match operation {
+            OperationMessage::Put { key, value, lease } => {
+                self.count('+', &key);
+                self.put(key, value, lease);
+            }
+            OperationMessage::Delete { key } => {
+                self.count('-', &key);
+                self.remove(key);
+            }
+        }
+    }
+
+    fn count(&mut self, sign: char, key: &str) {
+        let kind = key.split('/').next().unwrap_or(key);
+        let made = self.changes_by_kind.entry(format!("{sign}{kind}"));
+        *made.or_default() += 1;
+    }
+
+    fn put(&mut self, key: String, value: Value, lease: Option<u64>) {
+        let revision = self.revision;
+        let event = json!({"set": key, "data": value, "mark": revision});
+        let entry = Entry {
+            value,
+            revision,
+            lease,
+        };
+        self.entries.insert(key, entry);
+        self.changes.push(Change { revision, event });
+    }
+
+    fn remove(&mut self, key: String) {
+        self.entries.remove(&key);
+        let revision = self.revision;
+        let event = json!({"drop": key, "mark": revision});
+        self.changes.push(Change { revision, event });
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/state_service/mod.rs
@@ -0,0 +1,264 @@
+//! The simulated state service: a key-value store with leases, compare-and-swap transactions
+//! and a stream of changes.
+//!
+//! [`StateService`] owns the keys, the leases and the service's limits and faults. The simulated
+//! network passes it the controllers' requests; scenarios set the faults. It also checks what
+//! no controller may ever ask for: such a transaction is reported or panics.
+
+mod database;
+mod rate_limit;
+
+use std::{
+    collections::BTreeMap,
+    sync::{Arc, Mutex, MutexGuard},
+    time::Duration,
+};
+
+use serde_json::{Value, json};
+use stallcove::protocol::key_value_store::LeaseRequest;
+use tokio::{sync::Notify, time::Instant};
+
+use database::{Database, SizeLimits};
+use rate_limit::RateLimit;
+
+/// Entries on a page of a listing.
+const PAGE_ENTRIES: usize = 50;
+/// How often a held request for changes looks at the clock and the service's faults.
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(100);
+
+/// What it allows, and what it will allow from some moment on.
+#[derive(Clone, Debug)]
+pub struct Limits {
+    /// Requests a second.
+    pub rps: f64,
+    /// Changes a second.
+    pub writes: f64,
+    /// Changes in a transaction.
+    pub ops: usize,
+    /// Bytes in a value.
+    pub value: usize,
+}
+
+impl Default for Limits {
+    fn default() -> Self {
+        Self {
+            rps: f64::MAX,
+            writes: f64::MAX,
+            ops: 16,
+            value: 8 * 1024,
+        }
+    }
+}
+
+/// What it allows a second.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct StateRates {
+    /// Requests a second.
+    pub rps: f64,
+    /// Changes a second.
+    pub write_rps: f64,
+}
+
+/// HTTP status and body of an answer.
+pub type Reply = (u16, Value);
+
+/// The simulated state service.
+#[derive(Clone, Default)]
+pub struct StateService {
+    database: Arc<Mutex<Database>>,
+    changed: Arc<Notify>,
+}
+
+/// A parameter of the query in a path.
+fn query_parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
+    let (_, query) = path.split_once('?')?;
+    query
+        .split('&')
+        .filter_map(|pair| pair.split_once('='))
+        .find(|(key, _)| *key == name)
+        .map(|(_, value)| value)
+}
+
+impl StateService {
+    fn lock(&self) -> MutexGuard<'_, Database> {
+        self.database
+            .lock()
+            .expect("no thread panics while it holds the database")
+    }
+
+    /// Takes the service down, or up again. While it is down no lease expires; as it comes
+    /// back, all are renewed.
+    pub fn set_down(&self, down: bool) {
+        let mut database = self.lock();
+        database.expire_leases();
+        database.is_down = down;
+        if !down {
+            database.renew_all_leases();
+        }
+        drop(database);
+        self.changed.notify_waiters();
+    }
+
+    /// Limits requests and changes a second.
+    pub fn set_limits(&self, rates: StateRates) {
+        let mut database = self.lock();
+        database.request_limit = RateLimit::new(rates.rps);
+        database.write_limit = RateLimit::new(rates.write_rps);
+    }
+
+    /// The transactions that were refused because of their size.
+    pub fn too_large(&self) -> Vec<String> {
+        self.lock().too_large.clone()
+    }
+
+    /// Limits the changes in a transaction and the bytes in a value.
+    pub fn set_sizes(&self, changes: usize, value_bytes: usize) {
+        self.lock().size_limits = Some(SizeLimits {
+            changes,
+            value_bytes,
+        });
+    }
+
+    /// Changes asked for, those of failed transactions included.
+    pub fn changes(&self) -> usize {
+        self.lock().requested_changes
+    }
+
+    /// Changes made, by the kind of record: `+` written, `-` removed.
+    pub fn changes_by_kind(&self) -> BTreeMap<String, usize> {
+        self.lock().changes_by_kind.clone()
+    }
+
+    /// How many keys begin with the prefix, for scenarios that say how many there should be.
+    pub fn keys(&self, prefix: &str) -> usize {
+        let database = self.lock();
+        database
+            .entries
+            .keys()
+            .filter(|key| key.starts_with(prefix))
+            .count()
+    }
+
+    /// Answers this controller with 503 only, or normally again.
+    pub fn set_rejected(&self, controller: &str, rejected: bool) {
+        let mut database = self.lock();
+        if rejected {
+            database.rejected_controllers.insert(controller.into());
+        } else {
+            database.rejected_controllers.remove(controller);
+        }
+    }
+
+    /// Answers a controller's request. One for changes is held until there are some.
+    pub async fn handle(&self, from: &str, method: &str, path: &str, body: &[u8]) -> Reply {
+        if path.starts_with("/follow") {
+            return self.follow(from, path).await;
+        }
+        let reply = {
+            let mut database = self.lock();
+            if database.is_down || database.rejected_controllers.contains(from) {
+                return (503, json!({}));
+            }
+            if !database.request_limit.try_use(1.0) {
+                return (429, json!({}));
+            }
+            database.expire_leases();
+            execute(&mut database, method, path, body)
+        };
+        self.changed.notify_waiters();
+        reply
+    }
+
+    async fn follow(&self, controller: &str, path: &str) -> Reply {
+        let from: u64 = query_parameter(path, "from")
+            .and_then(|number| number.parse().ok())
+            .expect("a controller names the revision that it follows from");
+        let hold_ms: u64 = query_parameter(path, "hold_ms")
+            .and_then(|number| number.parse().ok())
+            .unwrap_or(0);
+        let until = Instant::now() + Duration::from_millis(hold_ms);
+        if !self.lock().request_limit.try_use(1.0) {
+            return (429, json!({}));
+        }
+        loop {
+            let changed = self.changed.notified();
+            {
+                let mut database = self.lock();
+                let is_rejected =
+                    database.is_down || database.rejected_controllers.contains(controller);
+                if is_rejected && hold_ms == 0 {
+                    return (503, json!({}));
+                }
+                database.expire_leases();
+                let first = database
+                    .changes
+                    .partition_point(|change| change.revision <= from);
+                let news = &database.changes[first..];
+                if !is_rejected && (!news.is_empty() || Instant::now() >= until) {
+                    let events: Vec<&Value> = news.iter().map(|change| &change.event).collect();
+                    return (200, json!({"ledger": database.revision, "events": events}));
+                }
+            }
+            tokio::select! {
+                biased;
+                _ = changed => {}
+                _ = tokio::time::sleep(FOLLOW_INTERVAL) => {}
+            }
+        }
+    }
+}
+
+/// Carries out a request that is answered at once.
+fn execute(database: &mut Database, method: &str, path: &str, body: &[u8]) -> Reply {
+    match (method, path) {
+        ("POST", "/commit") => database.commit(body),
+        ("POST", "/grants") => {
+            let request: LeaseRequest =
+                serde_json::from_slice(body).expect("a controller says how long a lease lasts");
+            let id = database.grant_lease(Duration::from_millis(request.ttl_ms));
+            (200, json!({"tether": id}))
+        }
+        ("POST", _) if path.ends_with("/touch") => {
+            let id: u64 = path
+                .trim_start_matches("/grants/")
+                .trim_end_matches("/touch")
+                .parse()
+                .expect("a controller renews a lease by its number");
+            match database.renew_lease(id) {
+                true => (200, json!({})),
+                false => (404, json!({})),
+            }
+        }
+        ("GET", _) if path.starts_with("/kv/") => read(database, &path["/kv/".len()..]),
+        ("GET", _) if path.starts_with("/kv?") => list(database, path),
+        _ => (400, json!({"error": path})),
+    }
+}
+
+fn read(database: &Database, key: &str) -> Reply {
+    match database.entries.get(key) {
+        Some(entry) => (
+            200,
+            json!({"k": key, "data": entry.value, "mark": entry.revision}),
+        ),
+        None => (404, json!({"ledger": database.revision})),
+    }
+}
+
+/// A page of the entries with a prefix, in the order of their keys.
+fn list(database: &Database, path: &str) -> Reply {
+    let prefix = query_parameter(path, "starts").unwrap_or("");
+    let after = query_parameter(path, "from").unwrap_or("");
+    let entries: Vec<Value> = database
+        .entries
+        .iter()
+        .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after)
+        .map(|(key, entry)| json!({"k": key, "data": entry.value, "mark": entry.revision}))
+        .collect();
+    let page = &entries[..entries.len().min(PAGE_ENTRIES)];
+    let is_truncated = entries.len() > PAGE_ENTRIES;
+    (
+        200,
+        json!({"entries": page, "truncated": is_truncated, "ledger": database.revision}),
+    )
+}
--- a/crates/simulator/src/users.rs
+++ b/crates/simulator/src/users.rs
@@ -1,11 +1,14 @@
-//! Users' simulator: they submit, poll and cancel, and repeat what got no answer.
+//! Simulated users: they submit, poll and cancel, and repeat what got no answer.
 
 use std::{sync::Arc, time::Duration};
 
 use serde_json::{Value, json};
 use stallcove::storage::{JobId, JobKind, JobSpec, Priority, jitter};
 
-use crate::{rules::Event, simulation::Simulation};
+use crate::{
+    rules::{Event, UserAnswer},
+    simulation::Simulation,
+};
 
 /// A submission as users write it.
 pub fn write_job(id: &JobId, spec: &JobSpec) -> Value {
@@ -27,6 +30,8 @@
     })
 }
 
+/// A request through the load balancer, with this time limit at each controller; none: no
+/// answer in time.
 async fn ask(
     simulation: &Arc<Simulation>,
     method: &str,
@@ -42,8 +47,8 @@
         let name = &names[(first + n) % names.len()];
         let call = simulation.to_controller(&tags, name, method, path, body.clone());
         match tokio::time::timeout(limit, call).await {
-            Ok(Some((code, text))) => {
-                return Some((code, serde_json::from_str(&text).unwrap_or(Value::Null)));
+            Ok(Some((status, text))) => {
+                return Some((status, serde_json::from_str(&text).unwrap_or(Value::Null)));
             }
             Ok(None) => continue,
             Err(_) => return None,
@@ -52,31 +57,37 @@
     None
 }
 
-fn see(
-    simulation: &Arc<Simulation>,
-    asked: Duration,
-    job: &JobId,
-    (code, answer): (u16, &Value),
-    submission: bool,
-) {
-    let state = answer["stance"].as_str().map(str::to_owned);
+/// A user has got an answer about a job.
+fn take_answer(simulation: &Arc<Simulation>, request: SentRequest<'_>, answer: (u16, &Value)) {
+    let (status, body) = answer;
+    let job = request.job;
+    let state = body["stance"].as_str().map(str::to_owned);
     if let Some(state) = &state {
-        let mut told = simulation.told.lock().expect("told");
-        let before = told.insert(job.clone(), state.clone());
+        let mut reported = simulation.reported_states.lock().expect("reported states");
+        let before = reported.insert(job.clone(), state.clone());
         if simulation.faults.polls_in_bursts() && is_news(before.as_deref(), state) {
             simulation.poll_in_burst(job);
         }
     }
-    simulation.see(Event::Answer {
-        asked,
+    simulation.record(Event::UserAnswered(UserAnswer {
+        requested_at: request.requested_at,
         job: job.clone(),
-        code,
+        status,
         state,
-        submission,
-    });
+        is_submission: request.is_submission,
+    }));
 }
 
-/// Whether a user learns that the job was accepted, is over, or was called off.
+/// A request about a job that is on its way.
+#[derive(Clone, Copy)]
+struct SentRequest<'a> {
+    job: &'a JobId,
+    /// When it was sent, since the start of the scenario.
+    requested_at: Duration,
+    is_submission: bool,
+}
+
+/// Whether a user learns that the job was accepted, is over, or was cancelled.
 fn is_news(before: Option<&str>, now: &str) -> bool {
     before.is_none() || (before != Some(now) && matches!(now, "done" | "cancelled"))
 }
@@ -85,18 +96,26 @@
 pub async fn poll(simulation: &Arc<Simulation>, name: &str, job: &JobId) {
     let tags = ["users".to_owned()];
     let path = format!("/api/jobs/{job}");
-    let asked = simulation.at();
+    let requested_at = simulation.at();
     let call = simulation.to_controller(&tags, name, "GET", &path, String::new());
-    if let Ok(Some((code, text))) = tokio::time::timeout(Duration::from_secs(2), call).await {
+    if let Ok(Some((status, text))) = tokio::time::timeout(Duration::from_secs(2), call).await {
         let answer: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
-        see(simulation, asked, job, (code, &answer), false);
+        take_answer(
+            simulation,
+            SentRequest {
+                job,
+                requested_at,
+                is_submission: false,
+            },
+            (status, &answer),
+        );
     }
 }
 
 /// Sends the submission once more.
 pub async fn submit_at_once(simulation: &Arc<Simulation>, job: &JobId, spec: &JobSpec) {
     let body = write_job(job, spec).to_string();
-    let asked = simulation.at();
+    let requested_at = simulation.at();
     let answer = ask(
         simulation,
         "POST",
@@ -105,8 +124,16 @@
         Duration::from_secs(5),
     )
     .await;
-    if let Some((code, answer)) = answer {
-        see(simulation, asked, job, (code, &answer), true);
+    if let Some((status, answer)) = answer {
+        take_answer(
+            simulation,
+            SentRequest {
+                job,
+                requested_at,
+                is_submission: true,
+            },
+            (status, &answer),
+        );
     }
 }
 
@@ -122,9 +149,17 @@
         tokio::time::sleep(simulation.faults.poll_interval()).await;
         let path = format!("/api/jobs/{job}");
         let limit = Duration::from_secs(2);
-        let asked = simulation.at();
-        if let Some((code, answer)) = ask(&simulation, "GET", &path, String::new(), limit).await {
-            see(&simulation, asked, &job, (code, &answer), false);
+        let requested_at = simulation.at();
+        if let Some((status, answer)) = ask(&simulation, "GET", &path, String::new(), limit).await {
+            take_answer(
+                &simulation,
+                SentRequest {
+                    job: &job,
+                    requested_at,
+                    is_submission: false,
+                },
+                (status, &answer),
+            );
         }
     }
 }
@@ -138,17 +173,25 @@
     let body = write_job(job, spec).to_string();
     for _ in 0..30 {
         let limit = Duration::from_secs(5);
-        let asked = simulation.at();
-        if let Some((code, answer)) =
+        let requested_at = simulation.at();
+        if let Some((status, answer)) =
             ask(simulation, "POST", "/api/jobs", body.clone(), limit).await
         {
             simulation
-                .codes
+                .submission_statuses
                 .lock()
-                .expect("codes")
-                .insert(job.clone(), code);
-            see(simulation, asked, job, (code, &answer), true);
-            match code {
+                .expect("submission statuses")
+                .insert(job.clone(), status);
+            take_answer(
+                simulation,
+                SentRequest {
+                    job,
+                    requested_at,
+                    is_submission: true,
+                },
+                (status, &answer),
+            );
+            match status {
                 200 | 201 => return Some(true),
                 400 | 422 => return Some(false),
                 _ => {}
@@ -159,15 +202,25 @@
     None
 }
 
+/// Asks to cancel the job, until a controller has confirmed it.
 pub async fn cancel(simulation: Arc<Simulation>, job: JobId) {
-    simulation.see(Event::CancelRequested(job.clone()));
+    simulation.record(Event::CancelRequested(job.clone()));
     for _ in 0..60 {
         let path = format!("/api/jobs/{job}/abort");
         let limit = Duration::from_secs(5);
-        let asked = simulation.at();
-        if let Some((code, answer)) = ask(&simulation, "POST", &path, String::new(), limit).await {
-            see(&simulation, asked, &job, (code, &answer), false);
-            if code == 200 {
+        let requested_at = simulation.at();
+        if let Some((status, answer)) = ask(&simulation, "POST", &path, String::new(), limit).await
+        {
+            take_answer(
+                &simulation,
+                SentRequest {
+                    job: &job,
+                    requested_at,
+                    is_submission: false,
+                },
+                (status, &answer),
+            );
+            if status == 200 {
                 return;
             }
         }
@@ -199,12 +252,12 @@
 /// Sends submissions that lack a field or can never run.
 pub async fn send_invalid(simulation: Arc<Simulation>, spec: JobSpec) {
     let whole = write_job(&JobId::new("job-990000"), &spec);
-    let mut wrong: Vec<(String, u16, Value)> = Vec::new();
+    let mut invalid: Vec<(String, u16, Value)> = Vec::new();
     for field in REQUIRED {
         let mut body = whole.clone();
         let fields = body.as_object_mut().expect("an object");
         if fields.remove(field).is_some() {
-            wrong.push((format!("a job without {field}"), 400, body));
+            invalid.push((format!("a job without {field}"), 400, body));
         }
     }
     for (field, value, code) in [
@@ -220,27 +273,31 @@
     ] {
         let mut body = whole.clone();
         body[field] = value.clone();
-        wrong.push((format!("a job with {field} {value}"), code, body));
+        invalid.push((format!("a job with {field} {value}"), code, body));
     }
     // Only their first task would fit; they need room for all at once.
     for gait in ["group", "daemon"] {
         let mut body = whole.clone();
         body["gait"] = json!(gait);
         body["strides"] = json!(50_000);
-        wrong.push((format!("a {gait} beyond the team's limit"), 422, body));
+        invalid.push((format!("a {gait} beyond the team's limit"), 422, body));
     }
     let mut empty = whole.clone();
     empty["gait"] = json!("group");
     empty["strides"] = json!(0);
-    wrong.push(("a gang without tasks".into(), 400, empty));
-    for (n, (what, expected, mut body)) in wrong.into_iter().enumerate() {
+    invalid.push(("a gang without tasks".into(), 400, empty));
+    for (n, (what, expected, mut body)) in invalid.into_iter().enumerate() {
         if body.get("uid").is_some() {
             body["uid"] = json!(format!("job-99{n:04}"));
         }
         let limit = Duration::from_secs(5);
         let text = body.to_string();
-        if let Some((code, _)) = ask(&simulation, "POST", "/api/jobs", text, limit).await {
-            simulation.see(Event::InvalidAnswered(what, expected, code));
+        if let Some((status, _)) = ask(&simulation, "POST", "/api/jobs", text, limit).await {
+            simulation.record(Event::InvalidSubmissionAnswered {
+                what,
+                expected,
+                status,
+            });
         }
     }
 }
--- a/crates/simulator/src/versions.rs
+++ b/crates/simulator/src/versions.rs
@@ -2,7 +2,7 @@
 
 use stallcove::coordination::{Tuning, clients::ProtocolVersion};
 
-/// What a controller of the simulated world plays. An earlier version is played by this
+/// What a controller of the simulated cluster plays. An earlier version is played by this
 /// one, which tells the protocol version of the earlier one and keeps to what that one knew.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Version {
--- a/tests/checkers.rs
+++ b/tests/checkers.rs
@@ -1,9 +1,9 @@
-//! The simulator' rule checkers are proven to fire: each rule is fed a history
+//! The simulator's rule checkers are proven to fire: each rule is fed a history
 //! that breaks it, and one beside it that does not.
 
 use std::{collections::BTreeMap, time::Duration};
 
-use simulator::rules::{Event, Place, Room, Rules};
+use simulator::rules::{Event, FreeCapacity, MachineKind, Rules, UserAnswer};
 use stallcove::storage::*;
 
 fn spec(spot: bool, spread: bool, one_zone: bool) -> Box<JobSpec> {
@@ -39,26 +39,26 @@
 }
 
 fn on(task: u32, machine: &str, kind: &str, zone: &str, spot: bool) -> Event {
-    Event::On(
+    Event::TaskStarted(
         TaskId::new(job(), task),
         MachineId::new(machine),
-        Place {
-            kind: kind.into(),
+        MachineKind {
+            machine_type: kind.into(),
             zone: zone.into(),
             spot,
         },
     )
 }
 
-fn answer(code: u16, state: &str, submission: bool) -> Event {
-    Event::Answer {
+fn answer(status: u16, state: &str, is_submission: bool) -> Event {
+    Event::UserAnswered(UserAnswer {
         // Set to the time of the event by `play`.
-        asked: Duration::ZERO,
+        requested_at: Duration::ZERO,
         job: job(),
-        code,
+        status,
         state: (!state.is_empty()).then(|| state.to_owned()),
-        submission,
-    }
+        is_submission,
+    })
 }
 
 fn play(events: Vec<(u64, Event)>) -> Vec<String> {
@@ -66,35 +66,35 @@
     let mut rules = Rules::new(limits, Duration::from_secs(40));
     for (at, mut event) in events {
         let at = Duration::from_secs(at);
-        if let Event::Answer { asked, .. } = &mut event {
-            *asked = at;
+        if let Event::UserAnswered(answer) = &mut event {
+            answer.requested_at = at;
         }
-        rules.see(at, event);
-        rules.tick(at);
+        rules.record(at, event);
+        rules.check_deadlines(at);
     }
-    rules.broken
+    rules.violations
 }
 
-/// A whole day of it, with all troubles over at `calm`.
-fn play_to(end: u64, calm: u64, events: Vec<(u64, Event)>) -> Vec<String> {
+/// A whole scenario, with all faults over at `faults_end`.
+fn play_to(end: u64, faults_end: u64, events: Vec<(u64, Event)>) -> Vec<String> {
     let limits = BTreeMap::from([(TeamName::new("team"), 100.0)]);
     let mut rules = Rules::new(limits, Duration::from_secs(40));
     let mut events = events.into_iter().peekable();
     for second in 0..=end {
         let at = Duration::from_secs(second);
-        if second == calm {
-            rules.calm(at);
+        if second == faults_end {
+            rules.note_faults_ended(at);
         }
         while let Some((_, mut event)) = events.next_if(|(time, _)| *time <= second) {
-            if let Event::Answer { asked, .. } = &mut event {
-                *asked = at;
+            if let Event::UserAnswered(answer) = &mut event {
+                answer.requested_at = at;
             }
-            rules.see(at, event);
+            rules.record(at, event);
         }
-        rules.tick(at);
+        rules.check_deadlines(at);
     }
     rules.finish(Duration::from_secs(end));
-    rules.broken
+    rules.violations
 }
 
 #[test]
@@ -109,9 +109,9 @@
         ]
     };
     assert_eq!(play_to(170, 20, history(95)), Vec::<String>::new());
-    let broken = play_to(200, 20, history(96));
-    assert!(broken[0].contains("forgotten"), "{broken:?}");
-    // What was refused while troubles lasted does not count.
+    let violations = play_to(200, 20, history(96));
+    assert!(violations[0].contains("forgotten"), "{violations:?}");
+    // What was refused while faults lasted does not count.
     assert_eq!(play_to(200, 126, history(2)), Vec::<String>::new());
 }
 
@@ -124,26 +124,29 @@
         spec.tasks = if n == 3 { 5 } else { 1 };
         events.push((0, Event::Submitted(id.clone(), spec)));
         let mut accepted = answer(201, "queued", true);
-        if let Event::Answer { job, .. } = &mut accepted {
-            *job = id;
+        if let Event::UserAnswered(answer) = &mut accepted {
+            answer.job = id;
         }
         events.push((1, accepted));
     }
     let start = |job: u32, task: u32| {
         let task = TaskId::new(JobId::new(format!("job-{job}")), task);
-        let place = Place {
-            kind: "small".into(),
+        let kind = MachineKind {
+            machine_type: "small".into(),
             zone: "a".into(),
             spot: false,
         };
-        Event::On(task, MachineId::new(format!("vm-{job}")), place)
+        Event::TaskStarted(task, MachineId::new(format!("vm-{job}")), kind)
     };
     events.push((50, start(0, 0)));
     let mut served = events.clone();
     served.extend((0..5).map(|task| (239, start(3, task))));
     let fired = |events: Vec<(u64, Event)>, what: &str| {
-        let broken = play_to(300, 290, events);
-        assert!(broken.iter().any(|line| line.contains(what)), "{broken:?}");
+        let violations = play_to(300, 290, events);
+        assert!(
+            violations.iter().any(|line| line.contains(what)),
+            "{violations:?}"
+        );
     };
     assert_eq!(play_to(300, 290, served.clone()), Vec::<String>::new());
     fired(events.clone(), "unserved: class");
@@ -153,37 +156,37 @@
     fired(events, "began_late");
 }
 
-/// A job of two tasks, one of them on a machine, with this room left from the 20th
-/// second on; all troubles are over at the tenth.
-fn watch(spec: Box<JobSpec>, rooms: &[Room], end: u64) -> Vec<String> {
+/// A job of two tasks, one of them on a machine, with this capacity left from the 20th
+/// second on; all faults are over at the tenth.
+fn watch(spec: Box<JobSpec>, free: &[FreeCapacity], end: u64) -> Vec<String> {
     let limits = BTreeMap::from([(TeamName::new("team"), 8.0)]);
     let mut rules = Rules::new(limits, Duration::from_secs(40));
-    let there = [(
+    let placed = [(
         TaskId::new(job(), 0),
-        Place {
-            kind: "small".into(),
+        MachineKind {
+            machine_type: "small".into(),
             zone: "a".into(),
             spot: false,
         },
     )];
-    rules.see(Duration::ZERO, Event::Submitted(job(), spec));
-    rules.see(Duration::ZERO, answer(201, "queued", true));
+    rules.record(Duration::ZERO, Event::Submitted(job(), spec));
+    rules.record(Duration::ZERO, answer(201, "queued", true));
     for second in 0..=end {
         let at = Duration::from_secs(second);
         if second == 10 {
-            rules.calm(at);
+            rules.note_faults_ended(at);
         }
-        let rooms = if second < 20 { &[] } else { rooms };
-        rules.watch_waiting(at, rooms, &there);
+        let free = if second < 20 { &[] } else { free };
+        rules.check_waiting(at, free, &placed);
     }
-    rules.broken
+    rules.violations
 }
 
 #[test]
 fn waited() {
-    let room = |cpus: f64, zone: &str, spot: bool| Room {
-        place: Place {
-            kind: "small".into(),
+    let free = |cpus: f64, zone: &str, spot: bool| FreeCapacity {
+        kind: MachineKind {
+            machine_type: "small".into(),
             zone: zone.into(),
             spot,
         },
@@ -191,47 +194,57 @@
         memory: 8.0,
     };
     let plain = || spec(false, false, false);
-    let broken = watch(plain(), &[room(4.0, "b", false)], 111);
-    assert!(broken[0].contains("waited: job-1: 1 tasks"), "{broken:?}");
-    let quiet = |spec: Box<JobSpec>, rooms: &[Room], end: u64| {
-        assert_eq!(watch(spec, rooms, end), Vec::<String>::new());
+    let violations = watch(plain(), &[free(4.0, "b", false)], 111);
+    assert!(
+        violations[0].contains("waited: job-1: 1 tasks"),
+        "{violations:?}"
+    );
+    let quiet = |spec: Box<JobSpec>, free: &[FreeCapacity], end: u64| {
+        assert_eq!(watch(spec, free, end), Vec::<String>::new());
     };
-    quiet(plain(), &[room(4.0, "b", false)], 110);
+    quiet(plain(), &[free(4.0, "b", false)], 110);
     quiet(plain(), &[], 300);
     quiet(
         plain(),
-        &[room(3.0, "b", false), room(3.0, "b", false)],
+        &[free(3.0, "b", false), free(3.0, "b", false)],
         300,
     );
-    quiet(plain(), &[room(4.0, "b", true)], 300);
+    quiet(plain(), &[free(4.0, "b", true)], 300);
     // Bound to the zone of the other one.
-    quiet(spec(false, false, true), &[room(4.0, "b", false)], 300);
-    quiet(spec(false, true, false), &[room(4.0, "a", false)], 300);
+    quiet(spec(false, false, true), &[free(4.0, "b", false)], 300);
+    quiet(spec(false, true, false), &[free(4.0, "a", false)], 300);
     let mut large = plain();
     large.per_task.cpus = 5.0;
-    quiet(large, &[room(8.0, "b", false)], 300);
+    quiet(large, &[free(8.0, "b", false)], 300);
 }
 
 #[test]
 fn reused() {
-    let again = Event::Reused(TaskId::new(job(), 1), 4);
+    let again = Event::AttemptReused(TaskId::new(job(), 1), 4);
     fires("reused", vec![submitted(), (2, again)]);
 }
 
 #[test]
-fn odd() {
-    fires("unreadable", vec![(1, Event::Unreadable("n1".into()))]);
-    let answered = |expected, code| Event::InvalidAnswered("a job".into(), expected, code);
-    fires("odd", vec![(1, answered(400, 201))]);
-    fires("odd", vec![(1, answered(422, 400))]);
+fn unreadable_and_wrong_status() {
+    fires(
+        "unreadable",
+        vec![(1, Event::UnreadableMessage("n1".into()))],
+    );
+    let answered = |expected, status| Event::InvalidSubmissionAnswered {
+        what: "a job".into(),
+        expected,
+        status,
+    };
+    fires("wrong_status", vec![(1, answered(400, 201))]);
+    fires("wrong_status", vec![(1, answered(422, 400))]);
     quiet(vec![(1, answered(422, 422)), (2, answered(400, 503))]);
 }
 
 fn fires(rule: &str, events: Vec<(u64, Event)>) {
-    let broken = play(events);
+    let violations = play(events);
     assert!(
-        broken.iter().any(|line| line.contains(rule)),
-        "{rule} did not fire: {broken:?}"
+        violations.iter().any(|line| line.contains(rule)),
+        "{rule} did not fire: {violations:?}"
     );
 }
 
@@ -244,11 +257,11 @@
 }
 
 fn off(task: u32, machine: &str) -> Event {
-    Event::Off(TaskId::new(job(), task), MachineId::new(machine))
+    Event::TaskStopped(TaskId::new(job(), task), MachineId::new(machine))
 }
 
 fn done(task: u32) -> Event {
-    Event::Completed(TaskId::new(job(), task))
+    Event::TaskCompleted(TaskId::new(job(), task))
 }
 
 #[test]
