--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,4 +1,8 @@
-//! Simulator for everything around the controllers.
+//! A simulator of everything around the controllers, for tests of the whole program.
+//!
+//! [`scenario`] reads and plays scenarios on a [`simulation`]: a cluster with a simulated
+//! [`state_service`], cloud, network, [`agent`]s and [`users`], into which faults are injected.
+//! The [`rules`] of the protocol are checked on all that happens in it.
 
 pub mod agent;
 pub mod faults;
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -41,21 +41,24 @@
 };
 
 /// Ports of each controller's address.
-const PUBLIC: u16 = 8080;
-const PRIVATE: u16 = 8081;
-const STATE: u16 = 8082;
-const CLOUD: u16 = 8083;
+const PUBLIC_PORT: u16 = 8080;
+const PRIVATE_PORT: u16 = 8081;
+const STATE_PORT: u16 = 8082;
+const CLOUD_PORT: u16 = 8083;
 /// The first machine's port, on the address of the machines.
-const FIRST_MACHINE: u16 = 10_000;
-const MACHINES: u8 = 250;
+const FIRST_MACHINE_PORT: u16 = 10_000;
+/// The host number of all machines.
+const MACHINES_HOST: u8 = 250;
 /// Sockets that a controller may have open.
 const SOCKETS: usize = 500;
-/// A request that the simulator leave unanswered ends by then.
+/// A request that the simulator leaves unanswered ends by then.
 const UNANSWERED: Duration = Duration::from_secs(6);
+/// How long a user or an agent waits for an answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// The largest body of a request.
 const BODY_LIMIT: usize = 1 << 20;
 
-/// The addresses of one world.
+/// The addresses of one simulated cluster.
 pub struct Loopback {
     /// Two bytes that tell this test process from others on the machine.
     network: [u8; 2],
@@ -69,7 +72,7 @@
         let process = std::process::id();
         Self {
             network: [(process >> 8) as u8 | 1, process as u8],
-            next_machine: AtomicU16::new(FIRST_MACHINE),
+            next_machine: AtomicU16::new(FIRST_MACHINE_PORT),
             client: HttpNetwork::new(SocketBudget::new(4 * SOCKETS)),
         }
     }
@@ -95,9 +98,9 @@
         path: &str,
         body: String,
     ) -> Option<(u16, String)> {
-        let call = HttpRequest {
+        let request = HttpRequest {
             destination: Destination::Service,
-            address: self.of_controller(controller, PUBLIC).to_string(),
+            address: self.of_controller(controller, PUBLIC_PORT).to_string(),
             method: if method == "GET" {
                 Method::Get
             } else {
@@ -107,7 +110,7 @@
             body: body.into(),
             timeout: REQUEST_TIMEOUT,
         };
-        let reply = self.client.send_request(call).await.ok()?;
+        let reply = self.client.send_request(request).await.ok()?;
         Some((
             reply.status,
             String::from_utf8_lossy(&reply.body).into_owned(),
@@ -116,7 +119,7 @@
 
     /// Lets the state service and the cloud listen for one controller.
     pub async fn serve_services(&self, simulation: &Arc<Simulation>, controller: &str) {
-        for (service, port) in [("state", STATE), ("cloud", CLOUD)] {
+        for (service, port) in [("state", STATE_PORT), ("cloud", CLOUD_PORT)] {
             let gateway = Gateway {
                 simulation: simulation.clone(),
                 controller: controller.to_owned(),
@@ -134,7 +137,7 @@
         machine: &Arc<Machine>,
     ) -> String {
         let port = self.next_machine.fetch_add(1, Ordering::Relaxed);
-        let address = self.address(MACHINES, port);
+        let address = self.address(MACHINES_HOST, port);
         let state = (simulation.clone(), machine.clone());
         let router = Router::new().fallback(answer_for_machine).with_state(state);
         serve(address, router).await;
@@ -145,17 +148,17 @@
     pub fn start(&self, config: Config, before: Option<JoinHandle<()>>) -> Process {
         let name = config.name.as_str();
         let addresses = Addresses {
-            public: self.of_controller(name, PUBLIC),
-            private: self.of_controller(name, PRIVATE),
-            state: self.of_controller(name, STATE),
-            cloud: self.of_controller(name, CLOUD),
+            public: self.of_controller(name, PUBLIC_PORT),
+            private: self.of_controller(name, PRIVATE_PORT),
+            state: self.of_controller(name, STATE_PORT),
+            cloud: self.of_controller(name, CLOUD_PORT),
             peers: config
                 .peers
                 .iter()
                 .map(|(peer, _)| {
                     (
                         peer.clone(),
-                        self.of_controller(peer.as_str(), PRIVATE).to_string(),
+                        self.of_controller(peer.as_str(), PRIVATE_PORT).to_string(),
                     )
                 })
                 .collect(),
@@ -176,6 +179,7 @@
     }
 }
 
+/// Where a controller listens, and where it reaches the others.
 struct Addresses {
     public: SocketAddr,
     private: SocketAddr,
@@ -186,6 +190,7 @@
 
 /// A controller, as a thread with a runtime of its own.
 pub struct Process {
+    /// The controller that runs in it.
     pub controller: Arc<Controller>,
     handle: Handle,
     stop: CancellationToken,
@@ -193,18 +198,19 @@
 }
 
 impl Process {
-    /// Ends it without a word: its sockets close, whatever it was about to do.
+    /// Ends it at once: its sockets close, whatever it was about to do. Its thread, to wait for.
     pub fn kill(self) -> JoinHandle<()> {
         self.stop.cancel();
         self.thread
     }
 
-    /// It stands still while its clocks run on.
+    /// The process stands still while its clocks run on.
     pub fn pause(&self, time: Duration) {
         self.handle.spawn(async move { std::thread::sleep(time) });
     }
 }
 
+/// The thread of a controller: the process that had its addresses before must have ended.
 fn run(
     config: Config,
     addresses: Addresses,
@@ -230,41 +236,53 @@
         ),
         stop.clone(),
     );
+    // Nobody waits for it only if the test has ended.
     let _ = started.send((controller.clone(), runtime.handle().clone()));
     if let Some(before) = before {
-        // One that stands still keeps its addresses until it goes on.
+        // A paused process keeps its addresses until it goes on.
         before.join().expect("the process before ends in order");
     }
-    runtime.block_on(async {
-        let public = TcpListener::bind(addresses.public)
-            .await
-            .expect("a free port");
-        let private = TcpListener::bind(addresses.private)
-            .await
-            .expect("a free port");
-        let mut duties = JoinSet::new();
-        controller.start(&mut duties);
-        let router = server::router(controller.clone(), sockets.clone());
-        duties.spawn({
-            let (sockets, stop) = (sockets.clone(), stop.clone());
-            async move {
-                server::serve(router, public, sockets, stop).await;
-                "server"
-            }
-        });
-        duties.spawn({
-            let (controller, stop) = (controller.clone(), stop.clone());
-            async move {
-                peer_connections::serve(controller, private, sockets, stop).await;
-                "links"
-            }
-        });
-        stop.cancelled().await;
-        duties.abort_all();
-    });
+    runtime.block_on(serve_controller(
+        &controller,
+        addresses.public,
+        addresses.private,
+        &sockets,
+        &stop,
+    ));
     runtime.shutdown_background();
 }
 
+/// Runs the controller's duties and its two servers until it is stopped.
+async fn serve_controller(
+    controller: &Arc<Controller>,
+    public: SocketAddr,
+    private: SocketAddr,
+    sockets: &SocketBudget,
+    stop: &CancellationToken,
+) {
+    let public = TcpListener::bind(public).await.expect("a free port");
+    let private = TcpListener::bind(private).await.expect("a free port");
+    let mut duties = JoinSet::new();
+    controller.start(&mut duties);
+    let router = server::router(controller.clone(), sockets.clone());
+    duties.spawn({
+        let (sockets, stop) = (sockets.clone(), stop.clone());
+        async move {
+            server::serve(router, public, sockets, stop).await;
+            "server"
+        }
+    });
+    duties.spawn({
+        let (controller, sockets, stop) = (controller.clone(), sockets.clone(), stop.clone());
+        async move {
+            peer_connections::serve(controller, private, sockets, stop).await;
+            "links"
+        }
+    });
+    stop.cancelled().await;
+    duties.abort_all();
+}
+
 /// What a service answers to one controller.
 #[derive(Clone)]
 struct Gateway {
@@ -289,7 +307,7 @@
     let Ok(body) = axum::body::to_bytes(body, BODY_LIMIT).await else {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     };
-    let call = HttpRequest {
+    let request = HttpRequest {
         destination: Destination::Service,
         address: gateway.service.to_owned(),
         method: match parts.method.as_str() {
@@ -304,11 +322,11 @@
         body,
         timeout: UNANSWERED,
     };
-    let held = call.path.starts_with("/follow");
+    let held = request.path.starts_with("/follow");
     let network = SimNet::of_living(&gateway.simulation, &gateway.controller);
     let answer = async {
         match network {
-            Some(network) => network.send(call).await.ok(),
+            Some(network) => network.send(request).await.ok(),
             None => None,
         }
     };
--- a/crates/simulator/src/scenario/expectations.rs
+++ b/crates/simulator/src/scenario/expectations.rs
@@ -74,10 +74,10 @@
             check(holds, format!("{running} tasks run"))
         }
         [job, state] => {
-            let told = simulation.reported_states.lock().expect("reported states");
-            let told = told.get(&job_id(job)).cloned();
-            let holds = told.as_deref() == Some(*state);
-            check(holds, format!("its user was told {told:?}"))
+            let states = simulation.reported_states.lock().expect("reported states");
+            let found = states.get(&job_id(job)).cloned();
+            let holds = found.as_deref() == Some(*state);
+            check(holds, format!("its user was told {found:?}"))
         }
         other => panic!("unknown expectation {other:?}"),
     }
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -23,6 +23,7 @@
 use actions::{act, run_later};
 use words::Words;
 
+/// What happens at a time, since the start of the scenario.
 #[derive(Clone, Debug)]
 struct TimedAction {
     at: Duration,
@@ -33,7 +34,9 @@
 /// CPUs that teams used at one time.
 #[derive(Clone, Debug)]
 pub struct UsageSample {
+    /// Since the start of the scenario.
     pub at: Duration,
+    /// CPUs by team.
     pub used: BTreeMap<TeamName, f64>,
 }
 
@@ -44,7 +47,9 @@
     pub wrong: Vec<String>,
     /// By time of submission, how long each job took to start.
     pub waits: Vec<(Duration, Option<Duration>)>,
+    /// What teams used over time.
     pub used: Vec<UsageSample>,
+    /// How often a task was started.
     pub starts: usize,
     /// Changes asked of the state service.
     pub changes: usize,
@@ -61,7 +66,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "failed={} starts={} rented={} changes={}",
+            "failed={} starts={} provisioned={} changes={}",
             self.wrong.len(),
             self.starts,
             self.provisioned,
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -1,6 +1,7 @@
 //! The controllers of the simulated cluster: their processes, versions and leader.
 
 use std::{
+    collections::BTreeMap,
     sync::Arc,
     time::{Duration, SystemTime},
 };
@@ -18,14 +19,43 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-use super::{ControllerProcess, LIST_LAG, SimNet, Simulation};
+use super::{ControllerProcess, ControllerSlot, LIST_LAG, SimNet, Simulation};
 use crate::{
     loopback::{Loopback, Process},
     state_service::{Limits, StateRates},
     versions::Version,
 };
 
+/// Requests that the cloud allows a second.
+const CLOUD_RPS: f64 = 5.0;
+/// Connections that a controller accepts.
+const MAX_CONNECTIONS: usize = 500;
+/// Machines that a controller's settings provide for.
+const MACHINES_TRACKED: usize = 8_192;
+/// The wall clock at the start of a scenario, since the Unix epoch.
+const WALL_CLOCK_START: Duration = Duration::from_secs(1_700_000_000);
+
+/// Where a controller is, and the other controllers with their zones.
+struct ControllerPlace {
+    zone: ZoneName,
+    peers: Vec<(ControllerName, ZoneName)>,
+}
+
+fn controller_router(controller: &Arc<Controller>) -> Router {
+    server::router(controller.clone(), SocketBudget::new(MAX_CONNECTIONS))
+}
+
+fn slot_of<'a>(
+    controllers: &'a mut BTreeMap<String, ControllerSlot>,
+    name: &str,
+) -> &'a mut ControllerSlot {
+    controllers
+        .get_mut(name)
+        .expect("a controller of the scenario")
+}
+
 impl Simulation {
+    /// The names of all controllers, running or not.
     pub fn controller_names(&self) -> Vec<String> {
         self.controllers
             .lock()
@@ -35,6 +65,7 @@
             .collect()
     }
 
+    /// The sides of a network partition that the controller is on.
     pub(super) fn controller_tags(&self, name: &str) -> Vec<String> {
         let zone = self.controllers.lock().expect("controllers")[name]
             .zone
@@ -42,134 +73,147 @@
         vec![name.to_owned(), "controllers".into(), zone]
     }
 
+    /// The server and the incarnation of a running controller.
     pub(super) fn router(&self, name: &str) -> Option<(Router, u64)> {
         let controllers = self.controllers.lock().expect("controllers");
         let running = controllers.get(name)?.running.as_ref()?;
         Some((running.router.clone(), running.incarnation))
     }
 
+    /// Whether this incarnation of the controller still runs.
     pub(super) fn is_alive(&self, name: &str, incarnation: u64) -> bool {
         self.router(name).is_some_and(|(_, now)| now == incarnation)
     }
 
+    /// Starts the controller, unless it runs already.
     pub fn boot_controller(self: &Arc<Self>, name: &str) {
-        let (zone, peers) = {
-            let controllers = self.controllers.lock().expect("controllers");
-            if controllers[name].running.is_some() {
-                return;
-            }
-            let peers = controllers
-                .iter()
-                .filter(|(other, _)| *other != name)
-                .map(|(other, slot)| {
-                    (
-                        ControllerName::new(other.as_str()),
-                        ZoneName::new(slot.zone.as_str()),
-                    )
-                })
-                .collect::<Vec<_>>();
-            (controllers[name].zone.clone(), peers)
+        let Some(place) = self.place_of_stopped(name) else {
+            return;
         };
         let incarnation = jitter::uniform(1.0, 1e15) as u64;
+        let peers: Vec<ControllerName> = place.peers.iter().map(|(peer, _)| peer.clone()).collect();
+        let config = self.controller_config(name, incarnation, place);
+        let process = match &self.loopback {
+            Some(loopback) => self.start_on_loopback(loopback, name, incarnation, config),
+            None => self.start_simulated(name, incarnation, config, &peers),
+        };
+        let mut controllers = self.controllers.lock().expect("controllers");
+        slot_of(&mut controllers, name).running = Some(process);
+    }
+
+    /// Zone and peers of a controller that does not run; none: it runs.
+    fn place_of_stopped(&self, name: &str) -> Option<ControllerPlace> {
+        let controllers = self.controllers.lock().expect("controllers");
+        if controllers[name].running.is_some() {
+            return None;
+        }
+        let peers = controllers
+            .iter()
+            .filter(|(other, _)| *other != name)
+            .map(|(other, slot)| {
+                let zone = ZoneName::new(slot.zone.as_str());
+                (ControllerName::new(other.as_str()), zone)
+            })
+            .collect();
+        Some(ControllerPlace {
+            zone: ZoneName::new(controllers[name].zone.as_str()),
+            peers,
+        })
+    }
+
+    fn controller_config(&self, name: &str, incarnation: u64, place: ControllerPlace) -> Config {
         let version = self.version(name);
         let start = self.start;
-        let config = Config {
+        Config {
             name: ControllerName::new(name),
-            zone: ZoneName::new(zone),
+            zone: place.zone,
             incarnation: Incarnation(incarnation),
-            peers: peers.clone(),
+            peers: place.peers,
             teams: self.teams.clone(),
             objectives: Vec::new(),
             heartbeat_interval: self.heartbeat,
             agent_lease: self.lease,
             cancel: self.cancel,
-            state: StateLimits {
-                rps: self.state_rates.rps,
-                write_rps: self.state_rates.write_rps,
-                next_rps: self.announced_limits.rps.min(self.state_rates.rps),
-                next_write_rps: self.announced_limits.writes.min(self.state_rates.write_rps),
-                value_bytes: self.limits_of(version).value,
-                txn_ops: self.limits_of(version).ops,
-            },
-            cloud_rps: 5.0,
+            state: self.state_limits_for(version),
+            cloud_rps: CLOUD_RPS,
             list_lag: LIST_LAG,
-            max_connections: 500,
-            machines_tracked: 8_192,
+            max_connections: MAX_CONNECTIONS,
+            machines_tracked: MACHINES_TRACKED,
             tuning: version.tuning(&self.tuning),
             protocol_version: version.protocol_version(&self.tuning),
-            wall: Arc::new(move || {
-                SystemTime::UNIX_EPOCH + Duration::from_secs(1_700_000_000) + start.elapsed()
-            }),
-        };
-        if let Some(loopback) = &self.loopback {
-            let ended = {
-                let mut controllers = self.controllers.lock().expect("controllers");
-                controllers
-                    .get_mut(name)
-                    .expect("a controller of the scenario")
-                    .ended
-                    .take()
-            };
-            let process = loopback.start(config, ended);
-            let controller = process.controller.clone();
-            self.set_running(
-                name,
-                controller,
-                CancellationToken::new(),
-                JoinSet::new(),
-                incarnation,
-                Some(process),
-            );
-            return;
+            wall: Arc::new(move || SystemTime::UNIX_EPOCH + WALL_CLOCK_START + start.elapsed()),
+        }
+    }
+
+    /// The state service's limits as the settings of a controller of this version have them.
+    fn state_limits_for(&self, version: Version) -> StateLimits {
+        let rates = self.state_rates;
+        let sizes = self.limits_of(version);
+        StateLimits {
+            rps: rates.rps,
+            write_rps: rates.write_rps,
+            next_rps: self.announced_limits.rps.min(rates.rps),
+            next_write_rps: self.announced_limits.writes.min(rates.write_rps),
+            value_bytes: sizes.value,
+            txn_ops: sizes.ops,
         }
-        let net = Arc::new(SimNet::new(self, name, incarnation));
-        let addresses = peers
-            .iter()
-            .map(|(peer, _)| (peer.clone(), peer.to_string()))
-            .collect();
-        let stop = CancellationToken::new();
-        let controller = Controller::new(
-            config,
-            network_clients::clients(
-                net,
-                Addresses {
-                    state: "state".into(),
-                    cloud: "cloud".into(),
-                    peers: addresses,
-                },
-            ),
-            stop.clone(),
-        );
-        let mut duties = JoinSet::new();
-        controller.start(&mut duties);
-        self.set_running(name, controller, stop, duties, incarnation, None);
     }
 
-    fn set_running(
+    fn start_on_loopback(
         &self,
+        loopback: &Loopback,
         name: &str,
-        controller: Arc<Controller>,
-        stop: CancellationToken,
-        duties: JoinSet<&'static str>,
         incarnation: u64,
-        process: Option<Process>,
-    ) {
-        let running = ControllerProcess {
-            router: server::router(controller.clone(), SocketBudget::new(500)),
+        config: Config,
+    ) -> ControllerProcess {
+        let ended = {
+            let mut controllers = self.controllers.lock().expect("controllers");
+            slot_of(&mut controllers, name).ended.take()
+        };
+        let process = loopback.start(config, ended);
+        let controller = process.controller.clone();
+        ControllerProcess {
+            router: controller_router(&controller),
+            controller,
+            stop: CancellationToken::new(),
+            duties: JoinSet::new(),
+            incarnation,
+            process: Some(process),
+        }
+    }
+
+    fn start_simulated(
+        self: &Arc<Self>,
+        name: &str,
+        incarnation: u64,
+        config: Config,
+        peers: &[ControllerName],
+    ) -> ControllerProcess {
+        let network = Arc::new(SimNet::new(self, name, incarnation));
+        let addresses = Addresses {
+            state: "state".into(),
+            cloud: "cloud".into(),
+            peers: peers
+                .iter()
+                .map(|peer| (peer.clone(), peer.to_string()))
+                .collect(),
+        };
+        let stop = CancellationToken::new();
+        let clients = network_clients::clients(network, addresses);
+        let controller = Controller::new(config, clients, stop.clone());
+        let mut duties = JoinSet::new();
+        controller.start(&mut duties);
+        ControllerProcess {
+            router: controller_router(&controller),
             controller,
             stop,
             duties,
             incarnation,
-            process,
-        };
-        let mut controllers = self.controllers.lock().expect("controllers");
-        controllers
-            .get_mut(name)
-            .expect("a controller of the scenario")
-            .running = Some(running);
+            process: None,
+        }
     }
 
-    /// Moves this world to real sockets.
+    /// Moves this cluster to real sockets.
     pub fn use_loopback(&mut self) {
         self.loopback = Some(Loopback::default());
     }
@@ -199,11 +243,13 @@
         versions.insert(name.to_owned(), version);
     }
 
+    /// The version that the controller has, or will have from its next start on.
     pub(super) fn version(&self, name: &str) -> Version {
         let versions = self.versions.lock().expect("versions");
         versions.get(name).copied().unwrap_or_default()
     }
 
+    /// What the controller can read and write.
     pub(super) fn protocol_version_of(&self, name: &str) -> ProtocolVersion {
         self.version(name).protocol_version(&self.tuning)
     }
@@ -218,25 +264,20 @@
         self.state.set_sizes(announced.ops, announced.value);
     }
 
+    /// Ends the controller's process at once, if it runs.
     pub fn kill_controller(&self, name: &str) {
         let running = {
             let mut controllers = self.controllers.lock().expect("controllers");
-            controllers
-                .get_mut(name)
-                .expect("a controller of the scenario")
-                .running
-                .take()
+            slot_of(&mut controllers, name).running.take()
         };
-        if let Some(mut running) = running {
-            running.duties.abort_all();
-            running.stop.cancel();
-            let ended = running.process.map(Process::kill);
-            let mut controllers = self.controllers.lock().expect("controllers");
-            controllers
-                .get_mut(name)
-                .expect("a controller of the scenario")
-                .ended = ended;
-        }
+        let Some(mut running) = running else {
+            return;
+        };
+        running.duties.abort_all();
+        running.stop.cancel();
+        let ended = running.process.map(Process::kill);
+        let mut controllers = self.controllers.lock().expect("controllers");
+        slot_of(&mut controllers, name).ended = ended;
     }
 
     /// The controller that leads, as far as anybody thinks so.
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -1,4 +1,5 @@
-//! The simulated network, as one controller's process sees it.
+//! The simulated network, as one controller's process sees it: delays, partitions, lost
+//! answers and process pauses stand between it and the simulated services.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,9 +16,12 @@
 use super::Simulation;
 use crate::rules::Event;
 
-/// What a controller must read to understand a call.
-fn needed(call: &PeerRequest) -> ProtocolVersion {
-    match call {
+/// How often a held request looks whether its partition has healed.
+const HELD_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The protocol version that a controller must have to read a request.
+fn needed_version(request: &PeerRequest) -> ProtocolVersion {
+    match request {
         PeerRequest::CancelledSince(_) => ProtocolVersion::CANCELLATIONS,
         PeerRequest::RequestQuota(_) | PeerRequest::SetQuotaTargets(_) => {
             ProtocolVersion::QUOTA_TRANSFERS
@@ -55,14 +59,14 @@
     async fn execute(
         simulation: &Arc<Simulation>,
         controller: &str,
-        call: &HttpRequest,
+        request: &HttpRequest,
     ) -> (u16, Value) {
-        let method = match call.method {
+        let method = match request.method {
             Method::Get => "GET",
             Method::Post => "POST",
             Method::Delete => "DELETE",
         };
-        match call.address.as_str() {
+        match request.address.as_str() {
             "state" => {
                 let latency = *simulation.latency.lock().expect("latency");
                 if !latency.is_zero() {
@@ -70,12 +74,16 @@
                 }
                 simulation
                     .state
-                    .handle(controller, method, &call.path, &call.body)
+                    .handle(controller, method, &request.path, &request.body)
                     .await
             }
-            "cloud" => simulation.serve_cloud(method, &call.path, &call.body),
+            "cloud" => simulation.serve_cloud(method, &request.path, &request.body),
             machine => match simulation.machine(machine) {
-                Some(machine) => machine.handle(simulation, &call.path, &call.body).await,
+                Some(machine) => {
+                    machine
+                        .handle(simulation, &request.path, &request.body)
+                        .await
+                }
                 None => futures::future::pending().await,
             },
         }
@@ -88,53 +96,29 @@
         }
     }
 
-    pub async fn send(&self, call: HttpRequest) -> Result<HttpResponse, SendError> {
+    /// Sends a request; its answer may never come.
+    pub async fn send(&self, request: HttpRequest) -> Result<HttpResponse, SendError> {
         let here = self.simulation.controller_tags(&self.controller);
-        let there = self.tags(&call.address);
+        let there = self.tags(&request.address);
         tokio::time::sleep(jitter::millis(1, 5)).await;
         if !self.simulation.is_alive(&self.controller, self.incarnation) {
             return futures::future::pending().await;
         }
         if let Some(partition) = self.simulation.partition_between(&here, &there) {
             if partition.holds_packets {
-                // Delivered once the partition has healed, whoever has given up by then.
-                let (simulation, controller) = (self.simulation.clone(), self.controller.clone());
-                tokio::spawn(async move {
-                    while simulation.partition_between(&here, &there).is_some() {
-                        tokio::time::sleep(Duration::from_millis(100)).await;
-                    }
-                    Self::execute(&simulation, &controller, &call).await;
-                });
+                self.execute_once_healed(request, here, there);
             }
             return futures::future::pending().await;
         }
-        if call.path == "/orders"
-            && let Some(pause) = self.simulation.faults.draw_command_delay()
-        {
-            let (simulation, controller) = (self.simulation.clone(), self.controller.clone());
-            tokio::spawn(async move {
-                tokio::time::sleep(pause).await;
-                Self::execute(&simulation, &controller, &call).await;
-            });
-            return futures::future::pending().await;
-        }
-        let commit_delay = *self.simulation.commit_delay.lock().expect("commit delay");
-        if call.path == "/commit" && jitter::uniform(0.0, 1.0) < commit_delay.share {
-            let (simulation, controller) = (self.simulation.clone(), self.controller.clone());
-            let pause = commit_delay.max.mul_f64(jitter::uniform(0.0, 1.0));
-            tokio::spawn(async move {
-                tokio::time::sleep(pause).await;
-                Self::execute(&simulation, &controller, &call).await;
-            });
+        if let Some(delay) = self.draw_delay(&request) {
+            self.execute_later(request, delay);
             return futures::future::pending().await;
         }
-        let (status, value) = Self::execute(&self.simulation, &self.controller, &call).await;
+        let (status, value) = Self::execute(&self.simulation, &self.controller, &request).await;
         tokio::time::sleep(jitter::millis(1, 5)).await;
-        let loss = *self.simulation.response_loss.lock().expect("response loss");
-        let lost = call.address == "state"
-            && !call.path.starts_with("/follow")
-            && jitter::uniform(0.0, 1.0) < loss;
-        if lost || self.simulation.partition_between(&here, &there).is_some() {
+        if self.draw_response_loss(&request)
+            || self.simulation.partition_between(&here, &there).is_some()
+        {
             return futures::future::pending().await;
         }
         Ok(HttpResponse {
@@ -142,6 +126,47 @@
             body: Bytes::from(value.to_string()),
         })
     }
+
+    /// How late an unanswered request is carried out; none: at once, with an answer.
+    fn draw_delay(&self, request: &HttpRequest) -> Option<Duration> {
+        if request.path == "/orders"
+            && let Some(delay) = self.simulation.faults.draw_command_delay()
+        {
+            return Some(delay);
+        }
+        let delay = *self.simulation.commit_delay.lock().expect("commit delay");
+        if request.path == "/commit" && jitter::uniform(0.0, 1.0) < delay.share {
+            return Some(delay.max.mul_f64(jitter::uniform(0.0, 1.0)));
+        }
+        None
+    }
+
+    /// Whether the answer to an executed request is lost.
+    fn draw_response_loss(&self, request: &HttpRequest) -> bool {
+        let share = *self.simulation.response_loss.lock().expect("response loss");
+        request.address == "state"
+            && !request.path.starts_with("/follow")
+            && jitter::uniform(0.0, 1.0) < share
+    }
+
+    fn execute_later(&self, request: HttpRequest, delay: Duration) {
+        let (simulation, controller) = (self.simulation.clone(), self.controller.clone());
+        tokio::spawn(async move {
+            tokio::time::sleep(delay).await;
+            Self::execute(&simulation, &controller, &request).await;
+        });
+    }
+
+    /// Delivers a request once the partition has healed, whoever has given up by then.
+    fn execute_once_healed(&self, request: HttpRequest, here: Vec<String>, there: Vec<String>) {
+        let (simulation, controller) = (self.simulation.clone(), self.controller.clone());
+        tokio::spawn(async move {
+            while simulation.partition_between(&here, &there).is_some() {
+                tokio::time::sleep(HELD_REQUEST_INTERVAL).await;
+            }
+            Self::execute(&simulation, &controller, &request).await;
+        });
+    }
 }
 
 impl Network for SimNet {
@@ -194,10 +219,11 @@
                 let Some(controller) = controller else {
                     return Err(SendError::NotSent("refused".into()));
                 };
-                let call = peer_frames::decode_request(&frame).expect("a call");
-                let reads = self.simulation.protocol_version_of(address);
-                if reads < needed(&call) {
-                    if needed(&call) == ProtocolVersion::QUOTA_TRANSFERS {
+                let request =
+                    peer_frames::decode_request(&frame).expect("a controller sends valid frames");
+                let needed = needed_version(&request);
+                if self.simulation.protocol_version_of(address) < needed {
+                    if needed == ProtocolVersion::QUOTA_TRANSFERS {
                         self.simulation
                             .record(Event::UnreadableMessage(address.to_owned()));
                     }
--- a/crates/simulator/src/state_service/database.rs
+++ b/crates/simulator/src/state_service/database.rs
@@ -20,6 +20,7 @@
 
 /// A stored value.
 pub(super) struct Entry {
+    /// What was written, as JSON.
     pub(super) value: Value,
     /// The revision that wrote it.
     pub(super) revision: u64,
@@ -29,6 +30,7 @@
 
 /// A change that followers are told of.
 pub(super) struct Change {
+    /// The revision that made it.
     pub(super) revision: u64,
     /// The change in the protocol's words.
     pub(super) event: Value,
@@ -44,6 +46,7 @@
 pub(super) struct Database {
     /// The last change's revision.
     pub(super) revision: u64,
+    /// What is stored now, by key.
     pub(super) entries: BTreeMap<String, Entry>,
     /// All changes ever, by revision.
     pub(super) changes: Vec<Change>,
@@ -53,7 +56,9 @@
     pub(super) is_down: bool,
     /// Controllers that it answers with 503 only.
     pub(super) rejected_controllers: BTreeSet<String>,
+    /// Requests a second.
     pub(super) request_limit: RateLimit,
+    /// Changes a second.
     pub(super) write_limit: RateLimit,
     /// Changes in a transaction and bytes in a value; none: those of the start.
     pub(super) size_limits: Option<SizeLimits>,
--- a/crates/simulator/src/users.rs
+++ b/crates/simulator/src/users.rs
@@ -10,6 +10,15 @@
     simulation::Simulation,
 };
 
+/// How long a user waits for the answer to a submission or a cancellation.
+const SUBMISSION_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a user waits for the answer to a poll.
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
+/// How often a user submits a job that is neither accepted nor refused for good.
+const MAX_SUBMISSIONS: usize = 30;
+/// How often a user asks to cancel a job.
+const MAX_CANCEL_REQUESTS: usize = 60;
+
 /// A submission as users write it.
 pub fn write_job(id: &JobId, spec: &JobSpec) -> Value {
     json!({
@@ -98,7 +107,7 @@
     let path = format!("/api/jobs/{job}");
     let requested_at = simulation.at();
     let call = simulation.to_controller(&tags, name, "GET", &path, String::new());
-    if let Ok(Some((status, text))) = tokio::time::timeout(Duration::from_secs(2), call).await {
+    if let Ok(Some((status, text))) = tokio::time::timeout(POLL_TIMEOUT, call).await {
         let answer: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
         take_answer(
             simulation,
@@ -116,14 +125,7 @@
 pub async fn submit_at_once(simulation: &Arc<Simulation>, job: &JobId, spec: &JobSpec) {
     let body = write_job(job, spec).to_string();
     let requested_at = simulation.at();
-    let answer = ask(
-        simulation,
-        "POST",
-        "/api/jobs",
-        body,
-        Duration::from_secs(5),
-    )
-    .await;
+    let answer = ask(simulation, "POST", "/api/jobs", body, SUBMISSION_TIMEOUT).await;
     if let Some((status, answer)) = answer {
         take_answer(
             simulation,
@@ -148,9 +150,10 @@
     loop {
         tokio::time::sleep(simulation.faults.poll_interval()).await;
         let path = format!("/api/jobs/{job}");
-        let limit = Duration::from_secs(2);
         let requested_at = simulation.at();
-        if let Some((status, answer)) = ask(&simulation, "GET", &path, String::new(), limit).await {
+        if let Some((status, answer)) =
+            ask(&simulation, "GET", &path, String::new(), POLL_TIMEOUT).await
+        {
             take_answer(
                 &simulation,
                 SentRequest {
@@ -171,11 +174,16 @@
     spec: &JobSpec,
 ) -> Option<bool> {
     let body = write_job(job, spec).to_string();
-    for _ in 0..30 {
-        let limit = Duration::from_secs(5);
+    for _ in 0..MAX_SUBMISSIONS {
         let requested_at = simulation.at();
-        if let Some((status, answer)) =
-            ask(simulation, "POST", "/api/jobs", body.clone(), limit).await
+        if let Some((status, answer)) = ask(
+            simulation,
+            "POST",
+            "/api/jobs",
+            body.clone(),
+            SUBMISSION_TIMEOUT,
+        )
+        .await
         {
             simulation
                 .submission_statuses
@@ -205,11 +213,17 @@
 /// Asks to cancel the job, until a controller has confirmed it.
 pub async fn cancel(simulation: Arc<Simulation>, job: JobId) {
     simulation.record(Event::CancelRequested(job.clone()));
-    for _ in 0..60 {
+    for _ in 0..MAX_CANCEL_REQUESTS {
         let path = format!("/api/jobs/{job}/abort");
-        let limit = Duration::from_secs(5);
         let requested_at = simulation.at();
-        if let Some((status, answer)) = ask(&simulation, "POST", &path, String::new(), limit).await
+        if let Some((status, answer)) = ask(
+            &simulation,
+            "POST",
+            &path,
+            String::new(),
+            SUBMISSION_TIMEOUT,
+        )
+        .await
         {
             take_answer(
                 &simulation,
@@ -249,18 +263,9 @@
     "saddle_s",
 ];
 
-/// Sends submissions that lack a field or can never run.
-pub async fn send_invalid(simulation: Arc<Simulation>, spec: JobSpec) {
-    let whole = write_job(&JobId::new("job-990000"), &spec);
-    let mut invalid: Vec<(String, u16, Value)> = Vec::new();
-    for field in REQUIRED {
-        let mut body = whole.clone();
-        let fields = body.as_object_mut().expect("an object");
-        if fields.remove(field).is_some() {
-            invalid.push((format!("a job without {field}"), 400, body));
-        }
-    }
-    for (field, value, code) in [
+/// Changed fields with which a submission is refused with a status.
+fn invalid_fields() -> [(&'static str, Value, u16); 9] {
+    [
         ("stable", json!("nobody"), 422),
         ("cpus", json!(90_000.0), 422),
         ("ram_gb", json!(90_000.0), 422),
@@ -270,32 +275,73 @@
         ("loaners", Value::Null, 400),
         ("strides", json!(0), 400),
         ("cpus", json!(-1.0), 400),
-    ] {
-        let mut body = whole.clone();
-        body[field] = value.clone();
-        invalid.push((format!("a job with {field} {value}"), code, body));
+    ]
+}
+
+/// A submission that must be refused.
+struct InvalidSubmission {
+    /// What is invalid in it.
+    what: String,
+    /// The HTTP status that it must get.
+    expected: u16,
+    body: Value,
+}
+
+impl InvalidSubmission {
+    fn new(what: impl Into<String>, expected: u16, body: Value) -> Self {
+        Self {
+            what: what.into(),
+            expected,
+            body,
+        }
     }
-    // Only their first task would fit; they need room for all at once.
-    for gait in ["group", "daemon"] {
-        let mut body = whole.clone();
-        body["gait"] = json!(gait);
+}
+
+/// A valid submission in all the ways that make it invalid.
+fn invalid_submissions(valid: &Value) -> Vec<InvalidSubmission> {
+    let mut invalid = Vec::new();
+    for field in REQUIRED {
+        let mut body = valid.clone();
+        let fields = body.as_object_mut().expect("a submission is an object");
+        if fields.remove(field).is_some() {
+            let what = format!("a job without {field}");
+            invalid.push(InvalidSubmission::new(what, 400, body));
+        }
+    }
+    for (field, value, status) in invalid_fields() {
+        let mut body = valid.clone();
+        let what = format!("a job with {field} {value}");
+        body[field] = value;
+        invalid.push(InvalidSubmission::new(what, status, body));
+    }
+    // Only their first task would fit; they need capacity for all at once.
+    for kind in ["group", "daemon"] {
+        let mut body = valid.clone();
+        body["gait"] = json!(kind);
         body["strides"] = json!(50_000);
-        invalid.push((format!("a {gait} beyond the team's limit"), 422, body));
+        let what = format!("a {kind} beyond the team's limit");
+        invalid.push(InvalidSubmission::new(what, 422, body));
     }
-    let mut empty = whole.clone();
+    let mut empty = valid.clone();
     empty["gait"] = json!("group");
     empty["strides"] = json!(0);
-    invalid.push(("a gang without tasks".into(), 400, empty));
-    for (n, (what, expected, mut body)) in invalid.into_iter().enumerate() {
-        if body.get("uid").is_some() {
-            body["uid"] = json!(format!("job-99{n:04}"));
+    invalid.push(InvalidSubmission::new("a gang without tasks", 400, empty));
+    invalid
+}
+
+/// Sends submissions that lack a field or can never run.
+pub async fn send_invalid(simulation: Arc<Simulation>, spec: JobSpec) {
+    let valid = write_job(&JobId::new("job-990000"), &spec);
+    for (n, mut invalid) in invalid_submissions(&valid).into_iter().enumerate() {
+        if invalid.body.get("uid").is_some() {
+            invalid.body["uid"] = json!(format!("job-99{n:04}"));
         }
-        let limit = Duration::from_secs(5);
-        let text = body.to_string();
-        if let Some((status, _)) = ask(&simulation, "POST", "/api/jobs", text, limit).await {
+        let text = invalid.body.to_string();
+        let answer = ask(&simulation, "POST", "/api/jobs", text, SUBMISSION_TIMEOUT).await;
+        if let Some((status, _)) = answer {
             simulation.record(Event::InvalidSubmissionAnswered {
-                what,
-                expected,
+                what: invalid.what,
+                expected: invalid.expected,
                 status,
             });
         }
--- a/crates/simulator/src/versions.rs
+++ b/crates/simulator/src/versions.rs
@@ -6,13 +6,14 @@
 /// one, which tells the protocol version of the earlier one and keeps to what that one knew.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Version {
-    /// Says nothing of what it reads, drops links on frames that it can't read, and
+    /// Says nothing of what it reads, closes connections on frames that it can't read, and
     /// knows nothing of formats and limits to come.
     BeforeGangs,
     /// Runs gangs, and keeps to limits to come.
     Gangs,
     /// Knows nothing of quota transfers.
     BeforeTransfers,
+    /// This version.
     #[default]
     Current,
 }
@@ -28,6 +29,7 @@
         }
     }
 
+    /// What a controller of this version can read and write.
     pub fn protocol_version(self, tuning: &Tuning) -> ProtocolVersion {
         match self {
             Version::BeforeGangs => ProtocolVersion::default(),
--- a/tests/checkers.rs
+++ b/tests/checkers.rs
@@ -38,15 +38,19 @@
     JobId::new("job-1")
 }
 
+fn machine_kind(machine_type: &str, zone: &str, spot: bool) -> MachineKind {
+    MachineKind {
+        machine_type: machine_type.into(),
+        zone: zone.into(),
+        spot,
+    }
+}
+
 fn on(task: u32, machine: &str, kind: &str, zone: &str, spot: bool) -> Event {
     Event::TaskStarted(
         TaskId::new(job(), task),
         MachineId::new(machine),
-        MachineKind {
-            machine_type: kind.into(),
-            zone: zone.into(),
-            spot,
-        },
+        machine_kind(kind, zone, spot),
     )
 }
 
@@ -131,11 +135,7 @@
     }
     let start = |job: u32, task: u32| {
         let task = TaskId::new(JobId::new(format!("job-{job}")), task);
-        let kind = MachineKind {
-            machine_type: "small".into(),
-            zone: "a".into(),
-            spot: false,
-        };
+        let kind = machine_kind("small", "a", false);
         Event::TaskStarted(task, MachineId::new(format!("vm-{job}")), kind)
     };
     events.push((50, start(0, 0)));
@@ -161,14 +161,7 @@
 fn watch(spec: Box<JobSpec>, free: &[FreeCapacity], end: u64) -> Vec<String> {
     let limits = BTreeMap::from([(TeamName::new("team"), 8.0)]);
     let mut rules = Rules::new(limits, Duration::from_secs(40));
-    let placed = [(
-        TaskId::new(job(), 0),
-        MachineKind {
-            machine_type: "small".into(),
-            zone: "a".into(),
-            spot: false,
-        },
-    )];
+    let placed = [(TaskId::new(job(), 0), machine_kind("small", "a", false))];
     rules.record(Duration::ZERO, Event::Submitted(job(), spec));
     rules.record(Duration::ZERO, answer(201, "queued", true));
     for second in 0..=end {
@@ -185,11 +178,7 @@
 #[test]
 fn waited() {
     let free = |cpus: f64, zone: &str, spot: bool| FreeCapacity {
-        kind: MachineKind {
-            machine_type: "small".into(),
-            zone: zone.into(),
-            spot,
-        },
+        kind: machine_kind("small", zone, spot),
         cpus,
         memory: 8.0,
     };
