--- a/crates/quota-report/src/report.rs
+++ b/crates/quota-report/src/report.rs
@@ -86,8 +86,8 @@
     rows + "</table>\n"
 }
 
-/// Waits by the part of jobs that waited no longer, as a picture.
-fn plot(results: &[&CaseResult]) -> Result<String, Box<dyn Error>> {
+/// Two curves of each case: waits while a leader leads, and just after its death.
+fn curves<'a>(results: &[&'a CaseResult]) -> Vec<Curve<'a>> {
     let mut curves = Vec::new();
     for result in results {
         let (name, colour) = if result.case.transfers {
@@ -108,6 +108,12 @@
             is_thin: true,
         });
     }
+    curves
+}
+
+/// Waits by the part of jobs that waited no longer, as a picture.
+fn plot(results: &[&CaseResult]) -> Result<String, Box<dyn Error>> {
+    let curves = curves(results);
     let longest = curves.iter().map(|curve| curve.waits.max()).max();
     let longest = longest.unwrap_or(0).max(1_000) as f64;
     let mut picture = String::new();
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -3,7 +3,7 @@
 //! Each team may use a limited amount of CPUs and GPUs. The limit is divided into
 //! allocations, one for each controller; a controller places a team's tasks only within
 //! its own allocation. This crate holds the decisions: who asks whom for how much
-//! ([`Shortages`]), what a controller may give away ([`Donor`], [`Holding`]), which
+//! ([`Deficits`]), what a controller may give away ([`Donor`], [`Holding`]), which
 //! records a transfer must be conditional on ([`Transfer`]), and how a limit is best
 //! divided ([`plan_targets`]). It performs no input or output and reads no clock: the
 //! caller stores records, sends messages and passes the time in.
--- a/crates/simulator/src/agent/heartbeat.rs
+++ b/crates/simulator/src/agent/heartbeat.rs
@@ -37,7 +37,7 @@
             .map(|(key, stage)| {
                 json!({"stride": key.task.to_string(), "heat": key.attempt,
                     "stance": stage.wire_name(),
-                    "cause": stage.exit_cause().map(|cause| cause.wire_name())})
+                    "cause": stage.exit_cause().map(super::stage::ExitCause::wire_name)})
             })
             .collect();
         let reclaimed_in_s = state
--- a/crates/simulator/src/users.rs
+++ b/crates/simulator/src/users.rs
@@ -31,7 +31,7 @@
         "ram_gb": spec.per_task.memory, "tack": spec.image.as_str(), "pull_gb": spec.image_gb,
         "breeds": spec.types.as_ref().map(|types| types.iter().map(|t| t.as_str().to_owned())
             .collect::<Vec<_>>()),
-        "paddock": spec.zone.as_ref().map(|zone| zone.as_str()),
+        "paddock": spec.zone.as_ref().map(stallcove::storage::ZoneName::as_str),
         "same_place": spec.one_zone, "spread": spec.spread, "loaners": spec.spot,
         "ride_s": spec.estimate.as_secs_f64(), "rest_s": spec.checkpoint.as_secs_f64(),
         "saddle_s": spec.save.as_secs_f64(),
--- a/src/coordination/clients/protocol_version.rs
+++ b/src/coordination/clients/protocol_version.rs
@@ -6,7 +6,7 @@
 pub struct ProtocolVersion(pub u64);
 
 impl ProtocolVersion {
-    /// Reads [`PeerRequest::CancelledSince`], and answers what it cannot read.
+    /// Reads [`PeerRequest::CancelledSince`](super::PeerRequest::CancelledSince), and answers what it cannot read.
     pub const CANCELLATIONS: ProtocolVersion = ProtocolVersion(1);
     /// Runs gangs by their common attempt, and keeps within the limits to come.
     pub const GANGS: ProtocolVersion = ProtocolVersion(2);
--- a/src/coordination/policy/placement.rs
+++ b/src/coordination/policy/placement.rs
@@ -187,7 +187,7 @@
 /// after the other, with one look at each candidate for all of them: one that has
 /// taken a task is the best for the next one as well, until it is full, since
 /// it then has the image and fits tighter. Replicas and gangs without the image are
-/// spread first, see [`tasks_at_once`]. `admits` is asked for each task; a candidate that it
+/// spread first, see `tasks_at_once`. `admits` is asked for each task; a candidate that it
 /// once refuses it must refuse for good.
 pub fn fill(
     spec: &JobSpec,
--- a/src/storage/state_cache/tests.rs
+++ b/src/storage/state_cache/tests.rs
@@ -2,6 +2,7 @@
 
 use std::sync::Arc;
 
+use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
 
 use super::*;
@@ -59,71 +60,83 @@
     assert_eq!(cache.owned_since(&vm), Revision(7));
 }
 
+/// A job's specification as it is stored.
+fn spec(team: &str, cpus: f64) -> Value {
+    json!({"class": "c", "team": team, "kind": "Array", "priority": "Normal",
+        "tasks": 9, "per_task": {"cpus": cpus, "gpus": 0.0, "memory": 0.7},
+        "image": "i", "image_gb": 1.0, "estimate": {"secs": 1, "nanos": 0},
+        "checkpoint": {"secs": 0, "nanos": 0}, "save": {"secs": 0, "nanos": 0},
+        "accepted_ms": 0})
+}
+
+/// A group of this many machines as it is stored.
+fn machine_group(machines: u32) -> Value {
+    let names = (0..machines).map(|n| (format!("vm-{n}"), Value::Null));
+    json!({"t": "x", "z": "z", "s": false, "at": 0,
+        "m": names.collect::<serde_json::Map<_, _>>()})
+}
+
+/// Changes one record of six jobs and one machine group.
+fn change_at_random(cache: &mut StateCache, rng: &mut StdRng, revision: Revision) {
+    let job = rng.random_range(0..6);
+    match rng.random_range(0..5) {
+        0 => {
+            let team = if job % 2 == 0 { "even" } else { "odd" };
+            let value = spec(team, 1.5 + f64::from(job));
+            cache.set(&format!("spec/job-{job}"), value, revision);
+        }
+        2 if rng.random_bool(0.1) => {
+            let value = machine_group(rng.random_range(0..5));
+            cache.set("machine/r-1", value, revision);
+        }
+        1 if rng.random_bool(0.2) => {
+            cache.delete(&format!("run/job-{job}/0"), revision);
+        }
+        _ => {
+            let mut placed = serde_json::Map::new();
+            for task in 0..9 {
+                if rng.random_bool(0.5) {
+                    let vm = format!("vm-{}", rng.random_range(0..4));
+                    placed.insert(task.to_string(), json!({"a": 1, "m": vm, "s": 1}));
+                }
+            }
+            cache.set(&format!("run/job-{job}/0"), json!({"p": placed}), revision);
+        }
+    }
+}
+
+/// Recounts what the cache keeps as running sums and sets.
+fn assert_agrees_with_recount(cache: &StateCache) {
+    let mut cpus: BTreeMap<MachineId, f64> = BTreeMap::new();
+    for job in cache.jobs.values() {
+        let each = job.spec().map_or(0.0, |spec| spec.per_task.cpus);
+        for placement in job.chunks.values().flat_map(|k| k.value.placed.values()) {
+            *cpus.entry(placement.machine.clone()).or_default() += each;
+        }
+    }
+    assert_eq!(cpus.len(), cache.on_machine.len());
+    for (machine, cpus) in cpus {
+        assert!((cache.taken(&machine).cpus - cpus).abs() < 1e-9);
+        let used = cache.quota_used(std::iter::once(&machine));
+        let sum: f64 = used.values().map(|quota| quota.cpus).sum();
+        assert!((sum - cpus).abs() < 1e-9);
+    }
+    for (id, job) in &cache.jobs {
+        let placed = job.chunks.values().flat_map(|k| k.value.placed.values());
+        let there = placed.filter(|p| cache.machines.contains_key(&p.machine));
+        assert_eq!(there.count() as u32, job.present());
+        assert_eq!(cache.waiting.contains(id), job.waiting() > 0);
+    }
+}
+
 /// The running sums against a plain recount, over random changes of records.
 #[test]
 fn running_sums_and_sets_agree_with_a_recount() {
-    use rand::{Rng, SeedableRng};
-    let mut dice = rand::rngs::StdRng::seed_from_u64(7);
+    let mut rng = StdRng::seed_from_u64(7);
     let mut cache = StateCache::default();
-    let machine_group = |machines: u32| {
-        let names = (0..machines).map(|n| (format!("vm-{n}"), Value::Null));
-        json!({"t": "x", "z": "z", "s": false, "at": 0,
-            "m": names.collect::<serde_json::Map<_, _>>()})
-    };
-    let spec = |team: &str, cpus: f64| {
-        json!({"class": "c", "team": team, "kind": "Array", "priority": "Normal",
-            "tasks": 9, "per_task": {"cpus": cpus, "gpus": 0.0, "memory": 0.7},
-            "image": "i", "image_gb": 1.0, "estimate": {"secs": 1, "nanos": 0},
-            "checkpoint": {"secs": 0, "nanos": 0}, "save": {"secs": 0, "nanos": 0},
-            "accepted_ms": 0})
-    };
     for revision in 1..600 {
-        let job = dice.random_range(0..6);
-        match dice.random_range(0..5) {
-            0 => {
-                let team = if job % 2 == 0 { "even" } else { "odd" };
-                let value = spec(team, 1.5 + f64::from(job));
-                cache.set(&format!("spec/job-{job}"), value, Revision(revision));
-            }
-            2 if dice.random_bool(0.1) => {
-                let value = machine_group(dice.random_range(0..5));
-                cache.set("machine/r-1", value, Revision(revision));
-            }
-            1 if dice.random_bool(0.2) => {
-                cache.delete(&format!("run/job-{job}/0"), Revision(revision));
-            }
-            _ => {
-                let mut placed = serde_json::Map::new();
-                for task in 0..9 {
-                    if dice.random_bool(0.5) {
-                        let vm = format!("vm-{}", dice.random_range(0..4));
-                        placed.insert(task.to_string(), json!({"a": 1, "m": vm, "s": 1}));
-                    }
-                }
-                let value = json!({"p": placed});
-                cache.set(&format!("run/job-{job}/0"), value, Revision(revision));
-            }
-        }
-        let mut cpus: BTreeMap<MachineId, f64> = BTreeMap::new();
-        for job in cache.jobs.values() {
-            let each = job.spec().map_or(0.0, |spec| spec.per_task.cpus);
-            for placement in job.chunks.values().flat_map(|k| k.value.placed.values()) {
-                *cpus.entry(placement.machine.clone()).or_default() += each;
-            }
-        }
-        assert_eq!(cpus.len(), cache.on_machine.len());
-        for (machine, cpus) in cpus {
-            assert!((cache.taken(&machine).cpus - cpus).abs() < 1e-9);
-            let used = cache.quota_used(std::iter::once(&machine));
-            let sum: f64 = used.values().map(|quota| quota.cpus).sum();
-            assert!((sum - cpus).abs() < 1e-9);
-        }
-        for (id, job) in &cache.jobs {
-            let placed = job.chunks.values().flat_map(|k| k.value.placed.values());
-            let there = placed.filter(|p| cache.machines.contains_key(&p.machine));
-            assert_eq!(there.count() as u32, job.present());
-            assert_eq!(cache.waiting.contains(id), job.waiting() > 0);
-        }
+        change_at_random(&mut cache, &mut rng, Revision(revision));
+        assert_agrees_with_recount(&cache);
     }
 }
 
