--- a/src/coordination/clients/agents.rs
+++ b/src/coordination/clients/agents.rs
@@ -1,4 +1,4 @@
-//! What agents report and are told, and the client that reaches them directly.
+//! Heartbeats of agents, commands to them, and the client trait for direct calls.
 
 use std::time::Duration;
 
@@ -20,116 +20,118 @@
     Failed,
     /// Start refused: not enough room.
     NoRoom,
-    /// Start refused: the task is there with another attempt.
+    /// Start refused: another attempt of the task is still on the machine.
     Busy,
     /// Start refused: the agent found no description of the job.
     Unknown,
-    /// Another reason of the agent's.
+    /// Any other reason that the agent gives.
     Other,
 }
 
-/// Where a task that an agent lists is in its life.
+/// State of a task in an agent's heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskState {
     /// Its image is being fetched.
     Fetching,
     /// Its process runs.
     Running,
-    /// It was told to stop and saves its progress.
+    /// It is being stopped and saves its progress.
     Saving,
-    /// Its process is no more; listed until it is cleared.
+    /// Its process has ended; it stays in the heartbeats until it is cleared.
     Exited(Exit),
 }
 
-/// What an agent tells of one task.
+/// Status of one task in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskStatus {
     /// The task.
     pub task: TaskId,
     /// The attempt that it was started with.
     pub attempt: Attempt,
-    /// Where it is in its life.
+    /// State of the task.
     pub state: TaskState,
 }
 
-/// What an agent tells of its machine.
+/// Status of a machine and its tasks, as sent by its agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// The machine, as the cloud names it.
+    /// The cloud's identifier of the machine.
     pub machine: MachineId,
-    /// Where the agent listens for commands.
+    /// Address on which the agent listens for commands.
     pub address: String,
     /// The machine's type.
     pub kind: TypeName,
-    /// Where the machine is.
+    /// The zone that the machine is in.
     pub zone: ZoneName,
-    /// Whether it may be taken back at any time.
+    /// Whether it is a spot machine, which the cloud may reclaim at any time.
     pub spot: bool,
     /// The agent's epoch.
     pub epoch: AgentEpoch,
-    /// Number of the message within the epoch; only rises.
+    /// Sequence number of the message within the epoch; strictly increasing.
     pub sequence: u64,
     /// The highest token that the agent has seen.
     pub token: Token,
-    /// In what time the cloud takes the machine, if it has given notice.
+    /// Time until the cloud reclaims the machine, if it has announced that.
     pub notice: Option<Duration>,
-    /// All tasks that the agent has.
+    /// Status of all tasks on the machine.
     pub tasks: Vec<TaskStatus>,
 }
 
-/// What an agent is told to do with a task.
+/// A command to an agent about a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Run it.
+    /// Start the task.
     Start {
         /// The task.
         task: TaskId,
         /// The attempt of its placement.
         attempt: Attempt,
     },
-    /// Stop it.
+    /// Stop the task.
     Stop {
         /// The task.
         task: TaskId,
-        /// The attempt that is meant; another one goes on.
+        /// The attempt to stop; any other attempt goes on.
         attempt: Attempt,
-        /// How long it may take to save its progress.
+        /// Maximum time for the task to save its progress.
         grace: Duration,
     },
-    /// Forget it: its result is recorded.
+    /// Remove the task from the heartbeats: its result is recorded.
     Clear {
         /// The task.
         task: TaskId,
-        /// The attempt that is meant.
+        /// The attempt to clear.
         attempt: Attempt,
     },
 }
 
-/// The answer to a heartbeat.
+/// The response to a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HeartbeatResponse {
-    /// The sender owns the machine; the agent's lease is renewed.
+    /// The responding controller owns the machine; the response renews the agent's lease.
     Accepted {
         /// The token under which the machine is owned.
         token: Token,
-        /// What the agent is to do.
+        /// Commands for the agent to execute.
         commands: Vec<Command>,
     },
-    /// Another controller owns the machine, if it is known which.
-    NotHere(Option<ControllerName>),
-    /// Cannot tell now.
+    /// The responding controller does not own the machine. Names the owner if it is known and
+    /// alive.
+    NotOwner(Option<ControllerName>),
+    /// The controller cannot determine the owner, or may not renew the lease, at the moment.
     Unavailable,
 }
 
-/// The answer to commands that were sent directly.
+/// The response to direct commands.
 pub struct CommandResponse {
-    /// False: nothing was executed, as token or epoch did not match.
+    /// Whether the commands were executed. If false, none was, since the token or the epoch did
+    /// not match.
     pub executed: bool,
-    /// What the agent tells of its machine after that.
+    /// The agent's status after that.
     pub heartbeat: Heartbeat,
 }
 
-/// Reaches agents directly. Each call is bounded in time.
+/// Client of the agents, for direct calls. Each call has a timeout.
 pub trait AgentClient: Send + Sync {
     /// Sends commands, which the agent executes if neither token nor epoch is outdated.
     fn send_commands<'a>(
@@ -140,6 +142,6 @@
         commands: &'a [Command],
     ) -> BoxFuture<'a, Result<CommandResponse, NoAnswer>>;
 
-    /// Asks an agent how its machine is.
+    /// Returns the current status of the agent at this address.
     fn inspect<'a>(&'a self, address: &'a str) -> BoxFuture<'a, Result<Heartbeat, NoAnswer>>;
 }
--- a/src/coordination/clients/cloud.rs
+++ b/src/coordination/clients/cloud.rs
@@ -1,4 +1,4 @@
-//! What is asked of the cloud, and the client that asks it.
+//! Requests to the cloud, its inventory, and the client trait.
 
 use std::time::Duration;
 
@@ -6,76 +6,77 @@
 
 use crate::storage::{MachineId, MachineType, ProvisionId, TypeName, ZoneName};
 
-/// Why the cloud did not do what it was asked.
+/// Reason why a request to the cloud failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CloudError {
-    /// It has no such machine there now.
+    /// No machine of this type is available in the zone now.
     #[error("no capacity")]
     NoCapacity,
-    /// It does not serve now, or its request limit is exceeded.
+    /// The cloud does not serve requests now, or its request limit is exceeded.
     #[error("refused: not executed")]
     Unavailable,
-    /// Nothing was heard of the request, or its answer was lost.
+    /// No response arrived; the request may have been executed.
     #[error("no answer: perhaps executed")]
     NoAnswer,
-    /// The request can never be served; with the reason.
+    /// The request is invalid and can never be served; with the reason.
     #[error("rejected: {0}")]
     Rejected(String),
 }
 
-/// Where the cloud says a machine is in its life.
+/// State of a machine in its lifecycle, as reported by the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineStage {
-    /// Its agent is not up yet.
+    /// Its agent does not run yet.
     Booting,
-    /// Up.
+    /// In service.
     Running,
-    /// Broken; it stays listed until it is released.
+    /// Failed; it stays in the inventory until it is released.
     Failed,
 }
 
 /// A machine in the cloud's inventory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Its identifier.
     pub id: MachineId,
     /// Its type.
     pub kind: TypeName,
-    /// Where it is.
+    /// The zone that it is in.
     pub zone: ZoneName,
-    /// Whether it may be taken back at any time.
+    /// Whether it is a spot machine, which the cloud may reclaim at any time.
     pub spot: bool,
-    /// Where it is in its life.
+    /// State of the machine in its lifecycle.
     pub stage: MachineStage,
-    /// Since it was provisioned.
+    /// Time since it was provisioned.
     pub age: Duration,
 }
 
-/// What to provision.
+/// Machines to provision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProvisionRequest {
     /// The machine type.
     pub kind: TypeName,
-    /// Where.
+    /// The zone to provision them in.
     pub zone: ZoneName,
-    /// As spot machines, at their price.
+    /// Whether to provision spot machines, at the spot price.
     pub spot: bool,
-    /// How many machines.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// Asks the cloud. Each call is bounded in time.
+/// Client of the cloud. Each call has a timeout.
 pub trait CloudClient: Send + Sync {
-    /// The machine types on offer, at their present prices.
+    /// Returns the available machine types with their current prices.
     fn catalog(&self) -> BoxFuture<'_, Result<Vec<MachineType>, CloudError>>;
-    /// Has machines provisioned. A request that is repeated under its name has one effect.
+    /// Provisions machines. Idempotent: repeated requests of the same name are executed once.
     fn provision<'a>(
         &'a self,
         name: &'a ProvisionId,
         request: &'a ProvisionRequest,
     ) -> BoxFuture<'a, Result<Vec<MachineId>, CloudError>>;
-    /// Gives machines back.
+    /// Releases machines, which returns them to the cloud.
     fn release<'a>(&'a self, machines: &'a [MachineId]) -> BoxFuture<'a, Result<(), CloudError>>;
-    /// All machines that are ours to pay for, as of some time ago.
+    /// Returns the inventory: all machines that the cluster pays for. It may be out of date by
+    /// up to [`Config::max_inventory_lag`](crate::coordination::Config::max_inventory_lag).
     fn list_machines(&self) -> BoxFuture<'_, Result<Vec<ListedMachine>, CloudError>>;
 }
--- a/src/coordination/clients/mod.rs
+++ b/src/coordination/clients/mod.rs
@@ -1,5 +1,5 @@
-//! What the coordination layer says to agents, the cloud and the other controllers, and
-//! the clients through which it does. The transport layer implements them.
+//! Messages between the coordination layer and the agents, the cloud and the other controllers,
+//! and the client traits that carry them. The transport layer implements these traits.
 
 mod agents;
 mod cloud;
@@ -17,8 +17,8 @@
 };
 pub use protocol_version::ProtocolVersion;
 
-/// No usable answer: the call may have been executed, or may yet be. With the reason, for
-/// the log.
+/// A call got no usable response: it may have been executed, or may be executed later. Holds the
+/// reason for the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no answer: {0}")]
 pub struct NoAnswer(pub String);
--- a/src/coordination/clients/peers.rs
+++ b/src/coordination/clients/peers.rs
@@ -1,4 +1,4 @@
-//! What controllers say to each other, and the client that says it.
+//! Requests and responses between controllers, and the client trait.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -11,161 +11,164 @@
     Revision, TaskId, TeamName, TypeName, ZoneName,
 };
 
-/// A machine as the controller that owns it sees it.
+/// Status of a machine, as its owner reports it to the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnedMachine {
     /// The machine.
     pub machine: MachineId,
-    /// Since the last heartbeat.
+    /// Time since the last heartbeat.
     pub since_heartbeat: Duration,
-    /// Direct calls to it fail as well.
+    /// Whether direct calls to its agent fail.
     pub unreachable: bool,
-    /// Several jobs failed on it.
+    /// Whether it is quarantined because tasks of several jobs failed on it.
     pub quarantined: bool,
-    /// The cloud has announced to take it.
-    pub leaving: bool,
-    /// Its heartbeats come, but what we say does not reach it.
+    /// Whether the cloud has announced that it will reclaim the machine.
+    pub reclaim_announced: bool,
+    /// Whether its heartbeats arrive, but the owner's responses and commands do not reach it.
     pub command_path_lost: bool,
-    /// Where its agent listens, as long as the machine's record lacks it.
+    /// Address of its agent, if it differs from the one in the machine's record.
     pub address: Option<String>,
-    /// Epoch of its newest message; what is no newer says nothing.
+    /// Agent epoch of its latest message. Indirect heartbeats that are not newer are ignored.
     pub epoch: AgentEpoch,
-    /// Number of its newest message within the epoch.
+    /// Sequence number of its latest message within the epoch.
     pub sequence: u64,
-    /// Images that it should have.
+    /// Images that are expected in its image cache.
     pub images: Arc<Vec<ImageName>>,
-    /// Learned speed against others of its kind.
+    /// Measured speed relative to other machines of its type.
     pub speed: f64,
-    /// Room of ended tasks whose results are yet to be written.
+    /// Resources of tasks that have ended, but whose results are not written yet. They are free,
+    /// although the records still count them as used.
     pub freed: Resources,
 }
 
-/// A heartbeat that reached a controller which does not own the machine.
+/// A heartbeat that arrived at a controller that does not own the machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IndirectHeartbeat {
     /// The machine.
     pub machine: MachineId,
     /// Its type.
     pub kind: TypeName,
-    /// Where it is.
+    /// The zone that it is in.
     pub zone: ZoneName,
-    /// Whether it may be taken back at any time.
+    /// Whether it is a spot machine, which the cloud may reclaim at any time.
     pub spot: bool,
     /// The agent's epoch.
     pub epoch: AgentEpoch,
-    /// Number of the message within the epoch.
+    /// Sequence number of the message within the epoch.
     pub sequence: u64,
-    /// Since it came.
+    /// Time since it arrived.
     pub age: Duration,
 }
 
-/// What controllers tell each other every second.
+/// Status of a controller, exchanged about once a second.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StatusMessage {
     /// The sender.
     pub controller: ControllerName,
-    /// Its process.
+    /// The sender's process.
     pub incarnation: Incarnation,
-    /// What it reads.
+    /// The protocol version that it supports.
     pub protocol_version: ProtocolVersion,
-    /// Highest revision that any answer of the state service carried; zero: this
-    /// process has had none yet, and can't tell what its predecessor knew.
+    /// Highest revision in any response of the state service to this process. Zero: there was no
+    /// response yet, so the process does not know what its predecessor knew.
     pub highest_revision: Revision,
-    /// The state service answers it.
+    /// Whether it has loaded the state and the state service responds to it.
     pub state_reachable: bool,
-    /// The lists below are filled: they are told to the leader only.
+    /// Whether the lists below are filled in; they are sent to the leader only.
     pub full: bool,
     /// The machines that it owns.
     pub owned: Vec<OwnedMachine>,
-    /// Heartbeats of machines that it does not own.
+    /// Heartbeats that it received of machines that it does not own.
     pub indirect_heartbeats: Vec<IndirectHeartbeat>,
-    /// Jobs whose tasks fail on several machines, with the pause before the next try.
+    /// Jobs whose tasks fail on several machines, with the remaining pause before the next
+    /// attempt.
     pub failing: Vec<(JobId, Duration)>,
 }
 
-/// Tasks of a job that the leader gives to an owner to place.
+/// Tasks of a job that the leader offers to a shard owner for placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Offer {
     /// The job.
     pub job: JobId,
-    /// The tasks, by their numbers.
+    /// Indices of the tasks in the job.
     pub tasks: Vec<u32>,
 }
 
-/// A request for parts of the receiver's budgets.
+/// A request to transfer parts of the receiver's budgets to the sender.
 pub type QuotaRequest = quota::TransferRequest<ControllerName, TeamName>;
 
-/// What became of a request for quota.
+/// Result of a request for quota.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QuotaResponse {
-    /// Transferred.
+    /// The quota was transferred, with the amount for each team.
     Granted(BTreeMap<TeamName, Quota>),
-    /// Nothing has changed.
+    /// Nothing was transferred.
     Refused(Refusal),
-    /// Not decided yet; the records will tell.
+    /// The result is not known yet; the allocation records will show it.
     Undecided,
 }
 
-/// What the leader has planned the receiver's budgets to be.
+/// Budgets that the leader has planned for the receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaTargets {
-    /// The leader's claim under which they were planned.
+    /// Revision of the leader record under which they were planned.
     pub leader: Revision,
-    /// By team, of those of which some controller lacks quota.
+    /// Target budget by team; contains the teams for which some controller lacks quota.
     pub budgets: BTreeMap<TeamName, Quota>,
 }
 
-/// What a controller asks of another one.
+/// A request from one controller to another.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerRequest {
-    /// The sender's status; answered with the receiver's.
+    /// The sender's status. The response is the receiver's status.
     Status(StatusMessage),
     /// Tasks to place.
     Offers(Vec<Offer>),
     /// Tasks to stop, to make room for others.
     Preempt(Vec<TaskId>),
-    /// Is there an agent at this address?
+    /// Probe the agent at this address.
     Probe(String),
-    /// Which jobs do you know to be cancelled by a change after this revision?
+    /// List the jobs that are cancelled by changes after this revision.
     CancelledSince(Revision),
-    /// Transfer quota to me, from your budgets.
+    /// Transfer quota from the receiver's budgets to the sender.
     RequestQuota(QuotaRequest),
-    /// What your budgets should be.
+    /// Target budgets for the receiver.
     SetQuotaTargets(QuotaTargets),
 }
 
-/// What a controller knows to be cancelled beyond the asker's revision.
+/// The cancellations that a controller knows of beyond the requested revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cancellations {
-    /// The highest revision that it has seen.
-    pub seen: Revision,
-    /// The cancelled jobs. None: it cannot name all of them.
+    /// Highest revision in any response of the state service to the controller.
+    pub highest_revision: Revision,
+    /// The cancelled jobs. None: the controller cannot list all of them.
     pub jobs: Option<Vec<JobId>>,
 }
 
-/// The answer to a [`PeerRequest`].
+/// The response to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerResponse {
     /// The receiver's status.
     Status(StatusMessage),
-    /// Taken in; what follows from it shows in the records.
+    /// The request was accepted. The receiver processes it later; its effects appear in the
+    /// state records.
     Accepted,
     /// Whether an agent answered at the address.
     ProbeResult(bool),
-    /// What the receiver knows to be cancelled.
+    /// The cancellations that the receiver knows of.
     CancelledSince(Cancellations),
-    /// What became of a request for quota.
+    /// Result of a request for quota.
     Quota(QuotaResponse),
-    /// The call is none that this version knows.
+    /// The receiver's version does not know this request.
     Unknown,
 }
 
-/// Reaches the other controllers. Each call is bounded in time.
+/// Client of the other controllers. Each call has a timeout.
 pub trait PeerClient: Send + Sync {
-    /// Sends a request to a controller.
+    /// Sends a request to a controller and returns its response.
     fn call<'a>(
         &'a self,
         controller: &'a ControllerName,
-        call: PeerRequest,
+        request: PeerRequest,
     ) -> BoxFuture<'a, Result<PeerResponse, NoAnswer>>;
 }
--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -1,5 +1,5 @@
-//! What a controller is told at its start, checked and in domain terms. `protocol` reads it
-//! from the settings files; it does not change while the process lives.
+//! Validated configuration of a controller, in domain types. `protocol` reads it from the
+//! settings files at startup; it does not change while the process runs.
 
 use std::{
     sync::Arc,
@@ -11,49 +11,53 @@
     storage::{ClassName, ControllerName, Incarnation, StateLimits, Team, TeamName, ZoneName},
 };
 
-/// A class's service-level objective, as far as decisions use it.
+/// The service-level objective of a job class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
-    /// The class; none: the objective names none.
+    /// The class of jobs that the objective applies to. None: all classes.
     pub class: Option<ClassName>,
-    /// How long its jobs may take; none: the objective is not about that.
-    pub within: Option<Duration>,
+    /// Maximum time until the tasks of a job start. None: the objective sets no such time.
+    pub start_within: Option<Duration>,
 }
 
-/// The policy's open values. `docs/OPERATING.md` describes each.
+/// Tunable parameters of the scheduling policy. `docs/OPERATING.md` describes each.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// Miss rate below which the fleet is scaled in.
+    /// Miss rate at or below which the fleet is scaled in (α).
     pub alpha: f64,
-    /// Miss rate above which the fleet is scaled out.
+    /// Miss rate at or above which the fleet is scaled out (β).
     pub beta: f64,
-    /// Time between two evaluations of the band.
-    pub round: Duration,
-    /// A task that waited longer than this for room is a miss.
+    /// Interval between two evaluations of the miss rate against `alpha` and `beta`.
+    pub evaluation_interval: Duration,
+    /// Target for the start of a task: one that waits longer for capacity counts as a miss.
     pub start_target: Duration,
-    /// The window over which the miss rate is taken.
-    pub window: Duration,
-    /// Weight of the share of misses against that of the queue.
+    /// Time window over which the miss rate is computed.
+    pub miss_rate_window: Duration,
+    /// Weight of a machine type's share of the misses in its demand, 0 to 1; its share of the
+    /// queue has the rest of the weight.
     pub miss_weight: f64,
-    /// Demand below which no machines are provisioned for a pool.
+    /// Demand for a machine type below which no machines of it are provisioned.
     pub demand_threshold: f64,
-    /// Utilisation that gates scale-out, and scale-in.
+    /// Scale-out provisions a machine type only if its least-used machine is at or above this
+    /// utilisation. Scale-in of a mixed fleet drains only machines below it.
     pub utilisation_threshold: f64,
-    /// Suitability: speed (1) against cost (0).
+    /// Weight of speed in the suitability of a machine type; cost has the rest of the weight.
     pub suitability_k: f64,
-    /// The remedial rule's threshold; higher: fewer machines between rounds.
+    /// Threshold θ of the remedial rule, which provisions machines between two evaluations.
+    /// Higher values provision fewer machines.
     pub remedial_theta: f64,
-    /// From this evenness on the fleet counts as mixed.
+    /// Evenness of the machine types at or above which the fleet counts as mixed.
     pub evenness_threshold: f64,
-    /// The time that is paid for a machine in any case, and the steps after it.
-    pub paid: PaidPeriods,
-    /// How long a controller's lease lasts without renewal.
+    /// The minimum period that a machine is paid for, and the periods after it.
+    pub paid_periods: PaidPeriods,
+    /// Time after which a controller's lease expires without renewal.
     pub controller_lease: Duration,
-    /// How long an offer stands.
-    pub offer: Duration,
-    /// None: derived from the agents' heartbeat interval.
+    /// Time after which a shard owner drops tasks that the leader has offered to it.
+    pub offer_ttl: Duration,
+    /// Time without a heartbeat after which a machine counts as unresponsive. None: derived
+    /// from the heartbeat interval by [`Config::unresponsive_after`].
     pub unresponsive_after: Option<Duration>,
-    /// Controllers transfer quota to each other directly.
+    /// Whether controllers transfer quota to each other directly.
     pub quota_transfers: bool,
 }
 
@@ -62,21 +66,21 @@
         Self {
             alpha: 0.05,
             beta: 0.1,
-            round: Duration::from_secs(10),
+            evaluation_interval: Duration::from_secs(10),
             start_target: Duration::from_secs(30),
-            window: Duration::from_secs(60),
+            miss_rate_window: Duration::from_secs(60),
             miss_weight: 0.3,
             demand_threshold: 0.05,
             utilisation_threshold: 0.5,
             suitability_k: 0.3,
             remedial_theta: 10.0,
             evenness_threshold: 0.4,
-            paid: PaidPeriods {
+            paid_periods: PaidPeriods {
                 first: Duration::from_secs(60),
                 then: Duration::from_secs(10),
             },
             controller_lease: Duration::from_secs(4),
-            offer: Duration::from_secs(2),
+            offer_ttl: Duration::from_secs(2),
             unresponsive_after: None,
             quota_transfers: false,
         }
@@ -86,64 +90,67 @@
 /// The configuration of one controller process.
 #[derive(Clone)]
 pub struct Config {
-    /// This controller.
+    /// Name of this controller.
     pub name: ControllerName,
-    /// Where it runs.
+    /// Zone that this controller runs in.
     pub zone: ZoneName,
-    /// This process of it.
+    /// Identifies this process among the successive processes of the controller.
     pub incarnation: Incarnation,
     /// The other controllers with their zones.
     pub peers: Vec<(ControllerName, ZoneName)>,
     /// The teams with their guarantees and limits.
     pub teams: Vec<Team>,
-    /// The classes' objectives.
+    /// Service-level objectives of the job classes.
     pub objectives: Vec<Objective>,
-    /// Agents send a heartbeat this often, give or take a quarter.
+    /// Mean interval between two heartbeats of an agent; each interval deviates by up to a
+    /// quarter.
     pub heartbeat_interval: Duration,
-    /// How long an agent's lease lasts without renewal; its tasks end with it.
+    /// Time after which an agent's lease expires without renewal. The agent then stops its tasks.
     pub agent_lease: Duration,
-    /// The time within which a cancelled job's tasks must have ended.
+    /// Maximum time from the cancellation of a job to the end of its last task.
     pub cancel: Duration,
-    /// What the state service allows.
-    pub state: StateLimits,
-    /// Requests a second that the cloud allows.
+    /// Limits of the state service on requests, transactions and values.
+    pub state_limits: StateLimits,
+    /// Maximum number of requests per second to the cloud.
     pub cloud_rps: f64,
-    /// How far the cloud's inventory may be behind.
-    pub list_lag: Duration,
-    /// Connections that this process may have open.
+    /// Maximum age of the data in the cloud's inventory.
+    pub max_inventory_lag: Duration,
+    /// Maximum number of open connections of this process.
     pub max_connections: usize,
-    /// Machines that are kept track of, beyond those in the records; derived from the
-    /// memory allowed, see [`machines_for`].
-    pub machines_tracked: usize,
-    /// The policy's open values.
+    /// Maximum number of machines in each in-memory table that the stored records do not bound;
+    /// derived from the memory limit by [`max_tracked_machines`].
+    pub max_tracked_machines: usize,
+    /// Tunable parameters of the policy.
     pub tuning: Tuning,
-    /// What this process reads, as it tells its peers.
+    /// Protocol version that this process announces to its peers.
     pub protocol_version: ProtocolVersion,
-    /// The time of day; tests put their own.
+    /// Source of the wall-clock time; simulations replace it.
     pub wall: Arc<dyn Fn() -> SystemTime + Send + Sync>,
 }
 
-/// Machines that a process keeps track of for each MiB of memory: at most a quarter of
-/// it is used at some 2 KiB a machine.
-const MACHINES_PER_MIB: f64 = 128.0;
-/// ... and in any case. Half as many again as the largest fleet served, and some more.
-const MIN_MACHINES: usize = 8_192;
-/// Without a memory limit.
-const MACHINES_WITHOUT_LIMIT: usize = 65_536;
-
-/// How many machines a process with this much memory keeps track of.
-pub fn machines_for(memory_mib: Option<f64>) -> usize {
+/// Number of tracked machines per MiB of memory. At about 2 KiB per machine they take at most
+/// a quarter of the memory.
+const TRACKED_MACHINES_PER_MIB: f64 = 128.0;
+/// Minimum number of tracked machines, whatever the memory limit: somewhat more than one and a
+/// half times the largest supported fleet.
+const MIN_TRACKED_MACHINES: usize = 8_192;
+/// Maximum number of tracked machines, and the number without a memory limit.
+const MAX_TRACKED_MACHINES: usize = 65_536;
+
+/// Returns the number of machines that a process with this memory limit tracks.
+pub fn max_tracked_machines(memory_mib: Option<f64>) -> usize {
     let Some(memory) = memory_mib else {
-        return MACHINES_WITHOUT_LIMIT;
+        return MAX_TRACKED_MACHINES;
     };
-    ((memory * MACHINES_PER_MIB) as usize).clamp(MIN_MACHINES, MACHINES_WITHOUT_LIMIT)
+    ((memory * TRACKED_MACHINES_PER_MIB) as usize).clamp(MIN_TRACKED_MACHINES, MAX_TRACKED_MACHINES)
 }
 
-/// Held back from `cancel` for clock drift, timers and the way of an answer.
+/// Part of [`Config::cancel`] reserved for clock drift, timer delays and the latency of a
+/// response.
 const CANCEL_MARGIN: Duration = Duration::from_secs(3);
 
 impl Tuning {
-    /// What a process with these settings reads, as it tells its peers.
+    /// Returns the protocol version that a process with these settings announces to its peers.
     pub fn protocol_version(&self) -> ProtocolVersion {
         if self.quota_transfers {
             ProtocolVersion::QUOTA_TRANSFERS
@@ -154,61 +161,65 @@
 }
 
 impl Config {
-    /// A team, if it is set up.
+    /// Returns the team of this name, if it is configured.
     pub fn team(&self, name: &TeamName) -> Option<&Team> {
         self.teams.iter().find(|team| team.name == *name)
     }
 
-    /// The time of day, in milliseconds since 1970.
+    /// Returns the wall-clock time in milliseconds since 1970.
     pub fn now_ms(&self) -> u64 {
         (self.wall)()
             .duration_since(SystemTime::UNIX_EPOCH)
             .map_or(0, |since| since.as_millis() as u64)
     }
 
-    /// How long a controller that hears of no cancellations may go on answering
-    /// heartbeats. An agent's lease runs from a heartbeat that was sent before our
-    /// answer, so it ends at most `agent_lease` after the last answer:
-    /// `lease_renewal_window + agent_lease` stays within `cancel` by the margin, which
-    /// covers 0.05% drift of both clocks (under 0.1 s here) many times.
+    /// Returns how long a controller may renew agents' leases after it last confirmed that it
+    /// knows of all cancellations. An agent's lease runs from the time it sent the heartbeat,
+    /// which is before the response, so it expires at most `agent_lease` after the last
+    /// response. `lease_renewal_window + agent_lease` is therefore below `cancel` by
+    /// `CANCEL_MARGIN`, which is many times the 0.05% drift of both clocks (under 0.1 s here).
     pub fn lease_renewal_window(&self) -> Duration {
         self.cancel
             .saturating_sub(self.agent_lease)
             .saturating_sub(CANCEL_MARGIN)
     }
 
-    /// A machine unresponsive for longer than this is probed. Heartbeats come every
-    /// `heartbeat_interval`, give or take a quarter; the rest is for one heartbeat that
-    /// goes to another controller first and for a busy one's late answer.
+    /// Returns the time without a heartbeat after which a machine counts as unresponsive and is
+    /// probed. Heartbeat intervals are up to a quarter longer than `heartbeat_interval`; the
+    /// other 750 ms cover a heartbeat that is first sent to another controller, and the late
+    /// response of a busy controller.
     pub fn unresponsive_after(&self) -> Duration {
         self.tuning
             .unresponsive_after
             .unwrap_or(self.heartbeat_interval.mul_f64(1.25) + Duration::from_millis(750))
     }
 
-    /// A heartbeat this old still tells to whom an agent sends its heartbeats.
+    /// Returns the maximum age at which an indirect heartbeat still shows which controller the
+    /// agent sends its heartbeats to.
     pub fn indirect_heartbeat_max_age(&self) -> Duration {
         self.heartbeat_interval * 2
     }
 
-    /// The longest pause between two heartbeats of an agent that is up.
+    /// Returns the maximum interval between two heartbeats of a running agent.
     pub fn max_heartbeat_interval(&self) -> Duration {
         self.heartbeat_interval.mul_f64(1.25) + Duration::from_millis(500)
     }
 
-    /// An agent that was told a token shows it with its next heartbeat; one more is
-    /// for an answer that was lost.
+    /// Returns the time after which an agent whose heartbeats arrive, but do not show the token
+    /// of the responses, counts as unable to receive. An agent shows a new token with its next
+    /// heartbeat; the timeout allows for one lost response. It also bounds how long a machine
+    /// that sends indirect heartbeats may fail probes from all controllers.
     pub fn command_path_timeout(&self) -> Duration {
         self.heartbeat_interval.mul_f64(2.5) + Duration::from_secs(1)
     }
 
-    /// Unresponsive machines that all controllers probe at a time. Each probe takes a socket
-    /// of every controller for up to a second.
+    /// Returns the maximum number of unresponsive machines that are probed at a time. Every
+    /// controller probes each of them, which takes one of its sockets for up to a second.
     pub fn max_concurrent_probes(&self) -> usize {
         (self.max_connections / 16).max(32)
     }
 
-    /// How many controllers there are, with this one.
+    /// Returns the number of configured controllers, including this one.
     pub fn controller_count(&self) -> usize {
         self.peers.len() + 1
     }
--- a/src/coordination/context.rs
+++ b/src/coordination/context.rs
@@ -1,7 +1,8 @@
-//! What all duties of a controller share: its configuration, the store, the clients of
-//! agents, cloud and peers, wake-ups and the shutdown token. It knows none of the duties.
+//! State shared by all duties (long-running components) of a controller: the configuration, the
+//! store, the clients of agents, cloud and peers, wake-up signals and the shutdown token. This
+//! module depends on none of the duties.
 //!
-//! Whoever locks several things takes the store's cache first, then a duty's own state.
+//! Lock order: the store's cache first, then the state of a duty.
 
 use std::{sync::Mutex, time::Duration};
 
@@ -28,42 +29,42 @@
 pub struct Clients {
     /// The consensus-backed key-value store.
     pub key_value_store: Box<dyn KeyValueStore>,
-    /// Agents, for direct commands and probes.
+    /// Client of the agents, for direct commands and probes.
     pub agents: Box<dyn AgentClient>,
-    /// The cloud that machines are provisioned from.
+    /// Client of the cloud that machines are provisioned from.
     pub cloud: Box<dyn CloudClient>,
-    /// The other controllers.
+    /// Client of the other controllers.
     pub peers: Box<dyn PeerClient>,
 }
 
-/// What the duties of one controller share.
+/// State shared by all duties of one controller.
 pub struct Context {
-    /// What the controller was told at its start.
+    /// Configuration of the controller.
     pub config: Config,
-    /// The key-value store with the cache of its live set.
+    /// Client of the key-value store, with a cache of all live records.
     pub store: Store,
-    /// Reaches agents directly.
+    /// Client of the agents, for direct commands and probes.
     pub(super) agent_client: Box<dyn AgentClient>,
-    /// Asks the cloud.
+    /// Client of the cloud.
     pub(super) cloud: Box<dyn CloudClient>,
-    /// Reaches the other controllers.
+    /// Client of the other controllers.
     pub(super) peers: Box<dyn PeerClient>,
-    /// Run times as measured here, for placement by the owner and the leader.
+    /// Run times measured by this controller, for placement by its shard owner and leader.
     pub(super) estimator: Mutex<RunTimeEstimator>,
     /// Wakes the shard owner's loop.
     pub(super) owner_wakeup: Notify,
     /// Wakes the leader's loop.
     pub(super) leader_wakeup: Notify,
-    /// Cancelled when the controller is to stop.
+    /// Cancelled to stop the controller.
     pub(super) shutdown: CancellationToken,
-    /// Logs the steps of the start.
+    /// Logs the milestones of the startup.
     pub(super) startup: Startup,
 }
 
 impl Context {
-    /// A context with an empty cache, before any duty runs.
+    /// Creates a context with an empty cache.
     pub fn new(config: Config, clients: Clients, shutdown: CancellationToken) -> Self {
-        let store = Store::new(clients.key_value_store, config.state.clone());
+        let store = Store::new(clients.key_value_store, config.state_limits.clone());
         Self {
             config,
             store,
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Sleeps, or returns false as soon as the controller is to stop.
+    /// Sleeps for this time and returns true, or returns false as soon as the controller is
+    /// stopped.
     pub(super) async fn pause(&self, time: Duration) -> bool {
         tokio::select! {
             biased;
@@ -87,8 +89,8 @@
         }
     }
 
-    /// Waits until the cache has changed, `wakeup` is notified or `idle` has passed; all changes
-    /// so far then count as seen. Returns false as soon as the controller is to stop.
+    /// Waits until the cache has changed, `wakeup` is notified or `idle` has passed, then marks
+    /// all changes so far as seen. Returns false as soon as the controller is stopped.
     pub(super) async fn wait_for_work(
         &self,
         changes: &mut ChangeListener<'_>,
@@ -106,7 +108,7 @@
         true
     }
 
-    /// The revision of this process's claim to leadership, if the cache shows that it leads.
+    /// Returns the revision of this process's leader record, if the cache shows that it leads.
     pub(super) fn leadership(&self) -> Option<Revision> {
         let cache = self.store.cache();
         cache
@@ -119,7 +121,7 @@
             .map(|leader| leader.revision)
     }
 
-    /// This controller's quota allocation, if this process holds it.
+    /// Returns this controller's quota allocation, if this process owns it.
     pub(super) fn own_allocation<'a>(
         &self,
         cache: &'a StateCache,
@@ -135,7 +137,7 @@
         shard.controller == self.config.name && shard.owner == self.config.incarnation
     }
 
-    /// The shards that this process owns.
+    /// Returns the shards that this process owns.
     pub(super) fn own_shards<'a>(
         &'a self,
         cache: &'a StateCache,
@@ -148,7 +150,7 @@
             .map(|(id, entry)| (*id, entry))
     }
 
-    /// The shard that a machine of ours is in.
+    /// Returns the shard that contains this machine, if this process owns it.
     pub(super) fn own_shard_of<'a>(
         &self,
         cache: &'a StateCache,
@@ -159,25 +161,26 @@
             .filter(|(_, entry)| self.owns(&entry.value) && self.own_allocation(cache).is_some())
     }
 
-    /// Whether all controllers are known to support this version, and to go on doing so.
+    /// Whether the recorded common protocol version, which never falls, shows that all
+    /// controllers support this version.
     pub(super) fn all_support(&self, version: ProtocolVersion) -> bool {
         common_version(&self.store.cache()) >= version
     }
 
-    /// Whether quota transfers have been turned on here, and every controller was known to
-    /// support what they need.
-    pub(super) fn knows_transfers(&self) -> bool {
+    /// Whether quota transfers are enabled on this controller and all controllers support the
+    /// protocol version that transfers need.
+    pub(super) fn quota_transfers_active(&self) -> bool {
         self.config.tuning.quota_transfers && self.all_support(ProtocolVersion::QUOTA_TRANSFERS)
     }
 
-    /// As [`Self::knows_transfers`] for a cache that is locked already.
-    pub(super) fn knows_transfers_in(&self, cache: &StateCache) -> bool {
+    /// As [`Self::quota_transfers_active`] for a cache that is already locked.
+    pub(super) fn quota_transfers_active_in(&self, cache: &StateCache) -> bool {
         self.config.tuning.quota_transfers
             && common_version(cache) >= ProtocolVersion::QUOTA_TRANSFERS
     }
 }
 
-/// The protocol version that is recorded as common to all controllers.
+/// Returns the protocol version that is recorded as supported by all controllers.
 fn common_version(cache: &StateCache) -> ProtocolVersion {
     cache
         .common_version
@@ -186,8 +189,8 @@
         .unwrap_or_default()
 }
 
-/// Whether a living controller takes part in quota transfers, by its registration.
-pub(super) fn takes_part_in_transfers(cache: &StateCache, controller: &ControllerName) -> bool {
+/// Whether this controller is registered with a protocol version that supports quota transfers.
+pub(super) fn supports_quota_transfers(cache: &StateCache, controller: &ControllerName) -> bool {
     cache
         .controllers
         .get(controller)
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -1,4 +1,4 @@
-//! One controller: its duties, put together, and the loops that run for as long as it lives.
+//! A controller: creates its duties and runs their background loops.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,21 +19,22 @@
     quota_exchange::{QuotaCounts, QuotaExchange},
 };
 
-/// How often the counters are logged.
+/// Interval between two log lines of the counters.
 const COUNTERS_INTERVAL: Duration = Duration::from_secs(10);
-/// How often the process checks whether it was paused, and the shortest pause that is logged.
+/// Interval between two checks whether the process was paused.
 const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum length of a process pause that is logged.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// A controller with all its duties. Each duty owns its state; they share the context.
+/// A controller with all its duties. Each duty owns its state; all share the context.
 pub struct Controller {
-    /// What the duties share.
+    /// State shared by all duties.
     pub context: Arc<Context>,
-    /// Users' requests.
+    /// Serves users' requests about jobs.
     pub jobs: JobService,
-    /// Agents' heartbeats.
+    /// Responds to agents' heartbeats.
     pub heartbeats: HeartbeatService,
-    /// The other controllers' requests, and the exchange of status with them.
+    /// Exchanges status with the other controllers and serves their requests.
     pub peer_exchange: PeerExchange,
     membership: Membership,
     leader: Arc<Leader>,
@@ -43,7 +44,7 @@
 }
 
 impl Controller {
-    /// Puts the duties together; [`Self::start`] runs them.
+    /// Creates the duties; [`Self::start`] runs them.
     pub fn new(config: Config, clients: Clients, shutdown: CancellationToken) -> Arc<Self> {
         let context = Arc::new(Context::new(config, clients, shutdown));
         let liveness = Arc::new(PeerLiveness::default());
@@ -81,8 +82,8 @@
         })
     }
 
-    /// Starts the long-lived duties. None of them ends by itself before the
-    /// controller is told to stop; the caller ends the process if one does.
+    /// Spawns the background loops of the duties. Each runs until the controller is stopped and
+    /// returns its name. The caller must end the process if one returns earlier.
     pub fn start(self: &Arc<Self>, duties: &mut JoinSet<&'static str>) {
         macro_rules! duty {
             ($name:literal, $call:expr) => {{
@@ -129,7 +130,7 @@
         });
     }
 
-    /// Duty: a line of figures every ten seconds.
+    /// Duty: logs the counters every [`COUNTERS_INTERVAL`].
     async fn log_counters(&self) {
         while self.context.pause(COUNTERS_INTERVAL).await {
             let counts = self.context.store.take_counters();
@@ -172,9 +173,9 @@
         tracing::info!(given, refused, received, unserved, deficit_ms, "quota");
     }
 
-    /// Duty: logs a process pause: all threads stopped while the clocks ran on. What would
-    /// have been heard meanwhile is still on its way then; each duty makes sure of the
-    /// state service, and so of its role, before it judges anything.
+    /// Duty: logs process pauses, in which all threads were stopped while the clocks ran on.
+    /// It only logs them: messages of the time of the pause are not processed yet, so each duty
+    /// confirms with the state service that it still has its role before it decides anything.
     async fn detect_process_pause(&self) {
         let mut last_check = Instant::now();
         while self.context.pause(PAUSE_CHECK_INTERVAL).await {
@@ -188,9 +189,9 @@
         }
     }
 
-    /// Whether users should be sent here. A controller that alone has lost the state
-    /// service leaves the rotation; when all have, they stay, since readmission
-    /// is slow and nobody else could serve either.
+    /// Whether the load balancer should send users to this controller. A controller that cannot
+    /// reach the state service is not ready while a peer can reach it. If no peer can, it stays
+    /// ready: no other controller could serve the users, and readmission is slow.
     pub fn is_ready(&self) -> bool {
         let serves = self.serves_users();
         if serves {
@@ -204,7 +205,7 @@
         if store.is_loaded() && store.is_reachable() {
             return true;
         }
-        let others_serve = self.liveness.any_reaches_state();
+        let others_serve = self.liveness.any_peer_reaches_state_service();
         store.is_loaded() && !others_serve
     }
 }
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Answers agents' heartbeats, or says which controller owns the machine.
+//! Responds to agents' heartbeats, or redirects them to the controller that owns the machine.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
     storage::Token,
 };
 
-/// The duty that answers heartbeats.
+/// The duty that responds to heartbeats.
 pub struct HeartbeatService {
     context: Arc<Context>,
     owner: Arc<ShardOwner>,
@@ -22,7 +22,7 @@
 }
 
 impl HeartbeatService {
-    /// The duty, which keeps nothing of its own.
+    /// Creates the duty, which has no state of its own.
     pub(super) fn new(
         context: Arc<Context>,
         owner: Arc<ShardOwner>,
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Answers a heartbeat. Only the process that owns the machine accepts it, which renews
-    /// the agent's lease.
+    /// Responds to a heartbeat. Only the process that owns the machine accepts it; the response
+    /// renews the agent's lease.
     pub fn handle(&self, heartbeat: &Heartbeat) -> HeartbeatResponse {
         let context = &self.context;
         if !context.store.is_loaded() {
@@ -48,7 +48,7 @@
         let Some((_, shard)) = cache.shard_of(&heartbeat.machine) else {
             drop(cache);
             self.note_indirect(heartbeat);
-            return HeartbeatResponse::NotHere(None);
+            return HeartbeatResponse::NotOwner(None);
         };
         let controller = shard.value.controller.clone();
         let owner = shard.value.owner;
@@ -60,10 +60,11 @@
                 .is_some_and(|entry| entry.value.incarnation == owner);
             drop(cache);
             self.note_indirect(heartbeat);
-            return HeartbeatResponse::NotHere(is_owner_alive.then_some(controller));
+            return HeartbeatResponse::NotOwner(is_owner_alive.then_some(controller));
         }
-        // Another process owned the shard, our state of it is behind, or our
-        // right to renew leases has run out: a 200 would be wrong or dropped.
+        // This process has not taken the shard over from an earlier process of the controller,
+        // the cache is behind the token that the agent has seen, or the lease renewal window
+        // has passed. A 200 would wrongly renew the lease, or the agent would drop it.
         if context.own_shard_of(&cache, &heartbeat.machine).is_none()
             || heartbeat.token > token
             || !self.may_renew_leases()
@@ -73,14 +74,15 @@
         self.owner.accept_heartbeat(&cache, heartbeat, token)
     }
 
-    /// Keeps a heartbeat that another controller should have had, for the leader.
+    /// Records the heartbeat of a machine that this controller does not own, for the leader.
     fn note_indirect(&self, heartbeat: &Heartbeat) {
-        let max_machines = self.context.config.machines_tracked;
+        let max_machines = self.context.config.max_tracked_machines;
         self.indirect_heartbeats.note(heartbeat, max_machines);
     }
 
-    /// Whether heartbeats may be answered with 200, which renews leases: only
-    /// while no cancellation can be older than `Config::lease_renewal_window` unknown to us.
+    /// Whether heartbeats may be answered with 200, which renews leases: only while this
+    /// controller knows of every cancellation that is older than
+    /// [`Config::lease_renewal_window`](crate::coordination::Config::lease_renewal_window).
     fn may_renew_leases(&self) -> bool {
         let window = self.context.config.lease_renewal_window();
         let confirmed_at = self.context.store.confirmed_at();
--- a/src/coordination/indirect_heartbeats.rs
+++ b/src/coordination/indirect_heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats that reached this controller although it does not own their machines. They
-//! are told to the leader, which learns from them of agents that their owner cannot hear.
+//! Indirect heartbeats: those that arrived at a controller that does not own the machine. They
+//! are reported to the leader, which detects agents whose heartbeats do not reach the owner.
 
 use std::{collections::BTreeMap, sync::Mutex, time::Duration};
 
@@ -13,20 +13,21 @@
     storage::MachineId,
 };
 
-/// An indirect heartbeat, with the time at which it came.
+/// An indirect heartbeat with its time of arrival.
 struct ReceivedHeartbeat {
-    at: Instant,
-    /// Its age is as of then: zero.
+    received_at: Instant,
+    /// The heartbeat; its age is zero, as of `received_at`.
     heartbeat: IndirectHeartbeat,
 }
 
-/// The newest indirect heartbeat of each machine.
+/// The latest indirect heartbeat of each machine.
 #[derive(Default)]
 pub(super) struct IndirectHeartbeats(Mutex<BTreeMap<MachineId, ReceivedHeartbeat>>);
 
 impl IndirectHeartbeats {
-    /// An agent sent a heartbeat here although its machine is not ours. Copies of old
-    /// heartbeats are no sign of life. Of at most `max_machines` machines track is kept.
+    /// Records a heartbeat of a machine that this controller does not own, for at most
+    /// `max_machines` machines. Ignores one that is not newer than the last of the machine: a
+    /// duplicate or a delayed copy does not show that the agent is alive.
     pub(super) fn note(&self, heartbeat: &Heartbeat, max_machines: usize) {
         let now = Instant::now();
         let mut known = lock(&self.0);
@@ -36,7 +37,7 @@
                 return;
             }
         } else if known.len() >= max_machines {
-            tracing::debug!(machine = %heartbeat.machine, "too many indirect heartbeats to keep track of");
+            tracing::debug!(machine = %heartbeat.machine, "indirect heartbeat dropped: too many machines tracked");
             return;
         }
         let indirect = IndirectHeartbeat {
@@ -49,22 +50,22 @@
             age: Duration::ZERO,
         };
         let received = ReceivedHeartbeat {
-            at: now,
+            received_at: now,
             heartbeat: indirect,
         };
         known.insert(heartbeat.machine.clone(), received);
     }
 
-    /// Forgets those older than this.
+    /// Removes the heartbeats of this age and above.
     pub(super) fn expire(&self, max_age: Duration) {
-        lock(&self.0).retain(|_, received| received.at.elapsed() < max_age);
+        lock(&self.0).retain(|_, received| received.received_at.elapsed() < max_age);
     }
 
-    /// All that are kept, with their ages.
+    /// Returns all recorded heartbeats with their ages as of `now`.
     pub(super) fn list(&self, now: Instant) -> Vec<IndirectHeartbeat> {
         let known = lock(&self.0);
         let aged = known.values().map(|received| IndirectHeartbeat {
-            age: now.duration_since(received.at),
+            age: now.duration_since(received.received_at),
             ..received.heartbeat.clone()
         });
         aged.collect()
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -1,7 +1,7 @@
-//! Submitting, asking about and cancelling jobs, for users.
+//! Users' requests to submit, query and cancel jobs.
 //!
-//! Any controller serves these requests, by transactions on the job's spec and outcome:
-//! the spec is written if neither exists, the outcome only once.
+//! Any controller serves these requests, by transactions on the job's spec and outcome: the
+//! spec is written only if neither exists, and the outcome is written only once.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,32 +15,32 @@
     },
 };
 
-/// How often a cancellation is tried that conflicts with other changes.
+/// Maximum number of attempts to commit a cancellation that conflicts with other changes.
 const MAX_CANCEL_ATTEMPTS: usize = 3;
-/// Pause before a cancellation without an answer is tried again.
+/// Pause before a cancellation is retried whose commit got no response.
 const CANCEL_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Where a job is in its life.
+/// State of a job in its lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
-    /// Accepted; none of its tasks is placed.
+    /// Accepted; none of its tasks is placed now.
     Queued,
     /// Some of its tasks are placed.
     Running,
     /// All its tasks have completed.
     Done,
-    /// Its user has cancelled it.
+    /// Cancelled by its user.
     Cancelled,
 }
 
-/// What a user is told of a job.
+/// Status of a job, as reported to its user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobStatus {
-    /// Where it is in its life.
+    /// State of the job in its lifecycle.
     pub state: JobState,
-    /// Tasks that have completed.
+    /// Number of tasks that have completed.
     pub done: u32,
-    /// Tasks that are placed.
+    /// Number of tasks that are placed.
     pub running: u32,
 }
 
@@ -57,45 +57,45 @@
     }
 }
 
-/// Why a job can never run here.
+/// Reason why a job can never run on this cluster.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Infeasible {
-    /// Nobody has set up its team.
+    /// Its team is not configured.
     #[error("unknown team")]
-    Team,
+    UnknownTeam,
     /// No machine type in an allowed zone has room for one of its tasks.
     #[error("a task fits no allowed machine type")]
-    Type,
-    /// What must run at once exceeds what its team may use.
+    NoFittingType,
+    /// The tasks that must run at the same time exceed the limit of the team.
     #[error("more than the team's limit")]
-    Limit,
+    ExceedsTeamLimit,
 }
 
-/// Why a request about a job was not served.
+/// Reason why a request about a job was not served.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JobError {
-    /// The state service does not answer, or not all controllers could serve the job: the
-    /// user is to ask again.
+    /// The state service does not respond, or not all controllers support the job: the user
+    /// must retry.
     #[error("cannot tell now")]
     Unavailable,
     /// The job was never accepted.
     #[error("no such job")]
     Unknown,
-    /// The job is refused for good.
+    /// The job is refused, and a retry will be refused too.
     #[error("can never run: {0}")]
     Infeasible(#[from] Infeasible),
 }
 
-/// What became of a submission.
+/// Result of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Submitted {
-    /// The job is accepted now.
+    /// This request submitted the job.
     Accepted,
-    /// The job was accepted before; this is its status.
-    Known(JobStatus),
+    /// The job was accepted before; with its status.
+    AlreadyAccepted(JobStatus),
 }
 
-/// Users' requests about jobs, answered by any controller.
+/// Serves users' requests about jobs.
 pub struct JobService {
     context: Arc<Context>,
 }
@@ -105,23 +105,25 @@
         Self { context }
     }
 
-    /// Accepts a job, once: a repeated submission gets the status of the job.
+    /// Accepts a job. A repeated submission returns the status of the job.
     pub async fn submit(&self, id: JobId, mut spec: JobSpec) -> Result<Submitted, JobError> {
         if let Some(outcome) = self.context.store.cache().outcome(&id) {
-            return Ok(Submitted::Known(outcome.into()));
+            return Ok(Submitted::AlreadyAccepted(outcome.into()));
         }
         let known = self.context.store.cache().jobs.contains_key(&id);
         if known {
-            return self.status(&id).await.map(Submitted::Known);
+            return self.status(&id).await.map(Submitted::AlreadyAccepted);
         }
         match self.check_feasible(&spec) {
             Ok(()) => {}
-            // A job that was accepted is never refused, whatever is judged now.
-            Err(reason @ JobError::Infeasible(_)) => return self.known_or(&id, reason).await,
+            // A job that was accepted is never refused later, even if the check now fails.
+            Err(reason @ JobError::Infeasible(_)) => {
+                return self.existing_status_or(&id, reason).await;
+            }
             Err(error) => return Err(error),
         }
-        // Only one that all controllers can serve is promised; in a rolled upgrade the
-        // user is told to come again.
+        // A job is accepted only if all controllers can serve it. During a rolling upgrade the
+        // user is asked to retry.
         if !self
             .context
             .all_support(self.required_protocol_version(&spec))
@@ -148,37 +150,44 @@
                 self.context.leader_wakeup.notify_one();
                 Ok(Submitted::Accepted)
             }
-            Err(CommitError::Conflict(_)) => self.known_or(&id, JobError::Unavailable).await,
-            // No answer: it may be committed. If it cannot be read back it may
-            // yet be, so that only the user's retry tells.
+            Err(CommitError::Conflict(_)) => {
+                self.existing_status_or(&id, JobError::Unavailable).await
+            }
+            // No response: the submission may have been committed. If the job cannot be read
+            // back, the commit may still be applied later, so the user has to retry.
             Err(error) if error.is_unknown() => match self.status(&id).await {
-                Ok(status) => Ok(Submitted::Known(status)),
+                Ok(status) => Ok(Submitted::AlreadyAccepted(status)),
                 Err(_) => Err(JobError::Unavailable),
             },
             Err(_) => Err(JobError::Unavailable),
         }
     }
 
-    /// The status of a job that may have been accepted before; `unless_known`: what to say
-    /// if it was not.
-    async fn known_or(&self, id: &JobId, unless_known: JobError) -> Result<Submitted, JobError> {
+    /// Returns the status of a job that may have been accepted before, or `unless_accepted` if
+    /// it was not.
+    async fn existing_status_or(
+        &self,
+        id: &JobId,
+        unless_accepted: JobError,
+    ) -> Result<Submitted, JobError> {
         match self.status(id).await {
-            Ok(status) => Ok(Submitted::Known(status)),
-            Err(JobError::Unknown) => Err(unless_known),
+            Ok(status) => Ok(Submitted::AlreadyAccepted(status)),
+            Err(JobError::Unknown) => Err(unless_accepted),
             Err(error) => Err(error),
         }
     }
 
-    /// What all controllers must be able to read to serve this job.
+    /// Returns the protocol version that all controllers must support to serve this job.
     fn required_protocol_version(&self, spec: &JobSpec) -> ProtocolVersion {
-        match ZoneScope::of(spec, self.context.config.state.txn_ops) {
+        match ZoneScope::of(spec, self.context.config.state_limits.txn_ops) {
             ZoneScope::PerRecord => ProtocolVersion::LARGE_ZONE_BOUND,
             ZoneScope::WholeJob if spec.kind == JobKind::Gang => ProtocolVersion::GANGS,
             ZoneScope::WholeJob => ProtocolVersion::default(),
         }
     }
 
-    /// Checks that the job can ever run; `Unavailable` when that cannot be told yet.
+    /// Checks that the job can ever run. Fails with [`JobError::Unavailable`] while the cache or
+    /// the machine catalog is not loaded.
     fn check_feasible(&self, spec: &JobSpec) -> Result<(), JobError> {
         if !self.context.store.is_loaded() {
             return Err(JobError::Unavailable);
@@ -188,7 +197,7 @@
             return Err(JobError::Unavailable);
         };
         let Some(team) = self.context.config.team(&spec.team) else {
-            return Err(Infeasible::Team.into());
+            return Err(Infeasible::UnknownTeam.into());
         };
         let fits = catalog.value.types.iter().any(|machine_type| {
             spec.allows_type(&machine_type.name)
@@ -196,7 +205,7 @@
                 && spec.per_task.fits_in(&machine_type.size)
         });
         if !fits {
-            return Err(Infeasible::Type.into());
+            return Err(Infeasible::NoFittingType.into());
         }
         let tasks_at_once = match spec.kind {
             JobKind::Array => 1,
@@ -204,12 +213,13 @@
         };
         let needed = Quota::from(&spec.per_task).times(f64::from(tasks_at_once));
         if !team.limit.covers(&needed) {
-            return Err(Infeasible::Limit.into());
+            return Err(Infeasible::ExceedsTeamLimit.into());
         }
         Ok(())
     }
 
-    /// A job's status as of now: final ones from memory, others by a fresh read.
+    /// Returns the current status of a job. A final status is taken from the cache; any other
+    /// status needs a read barrier.
     pub async fn status(&self, id: &JobId) -> Result<JobStatus, JobError> {
         if let Some(outcome) = self.context.store.cache().outcome(id) {
             return Ok(outcome.into());
@@ -229,8 +239,8 @@
                 return Ok(current_status(job));
             }
         }
-        // Over long ago, or never accepted: its outcome was written before its
-        // other keys went.
+        // The job ended and its other keys are deleted or about to be, or it was never accepted.
+        // Its outcome is written before they are deleted, so no outcome means never accepted.
         match self.context.store.look_up_outcome(id).await {
             Ok(Some(outcome)) => Ok(outcome.into()),
             Ok(None) => Err(JobError::Unknown),
@@ -244,7 +254,7 @@
         job.spec.as_ref().map(|entry| entry.revision)
     }
 
-    /// Cancels a job, and returns its status then; one that is over stays as it is.
+    /// Cancels a job and returns its status. A job that is done or cancelled stays unchanged.
     pub async fn cancel(&self, id: &JobId) -> Result<JobStatus, JobError> {
         for _ in 0..MAX_CANCEL_ATTEMPTS {
             let status = self.status(id).await?;
@@ -285,7 +295,7 @@
     }
 }
 
-/// The status of a job that is not over.
+/// Returns the status of a job that has not ended.
 fn current_status(job: &Job) -> JobStatus {
     JobStatus {
         state: if job.present() > 0 {
--- a/src/coordination/leader/cleanup.rs
+++ b/src/coordination/leader/cleanup.rs
@@ -54,7 +54,7 @@
             .machine_groups
             .values()
             .all(|entry| entry.revision <= cache.revision);
-        let max_operations = self.context.config.state.txn_ops;
+        let max_operations = self.context.config.state_limits.txn_ops;
         let mut transactions: Vec<Transaction> = Vec::new();
         for id in &cache.pending_cleanup {
             if transactions.len() >= MAX_JOB_TRANSACTIONS {
@@ -76,7 +76,7 @@
     /// Commits them, several at once as far as they have room in one commit. Stops at the
     /// first failure, and when the limit of changes is reached.
     async fn commit_cleanup(&self, transactions: Vec<Transaction>) {
-        let max_operations = self.context.config.state.txn_ops;
+        let max_operations = self.context.config.state_limits.txn_ops;
         let has_room = |batch: &Transaction, next: &Transaction| {
             batch.ops.len() + next.ops.len() <= max_operations.min(OPS_PER_COMMIT)
                 && batch.conditions.len() + next.conditions.len()
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -58,9 +58,9 @@
             gangs: &mut state.gangs,
             expired_offers: &mut state.expired_offers,
             failing: &failing,
-            changes_per_transaction: self.context.config.state.txn_ops,
+            changes_per_transaction: self.context.config.state_limits.txn_ops,
             start_target: self.context.config.tuning.start_target,
-            offer_ttl: self.context.config.tuning.offer,
+            offer_ttl: self.context.config.tuning.offer_ttl,
             now,
             wall,
             factor: &|class| estimator.factor(class),
@@ -87,7 +87,7 @@
                 state.usable_machine(cache, owner, machine, unresponsive_after)
             },
             self.context.config.now_ms(),
-            self.context.config.tuning.paid,
+            self.context.config.tuning.paid_periods,
         )
     }
 
--- a/src/coordination/leader/fleet/agent_addresses.rs
+++ b/src/coordination/leader/fleet/agent_addresses.rs
@@ -34,7 +34,7 @@
             if is_recent {
                 return;
             }
-            let max_groups = self.context.config.state.txn_ops / 2;
+            let max_groups = self.context.config.state_limits.txn_ops / 2;
             let changed = groups_with_new_addresses(&cache, &state, max_groups);
             if changed.is_empty() {
                 return;
--- a/src/coordination/leader/fleet/autoscaler.rs
+++ b/src/coordination/leader/fleet/autoscaler.rs
@@ -81,14 +81,14 @@
         let is_round_due = fleet
             .last_round
             .or(*elected_at)
-            .is_none_or(|at| now.duration_since(at) >= tuning.round);
+            .is_none_or(|at| now.duration_since(at) >= tuning.evaluation_interval);
         let is_remedial_due = fleet
             .last_remedial
             .is_none_or(|at| now.duration_since(at) >= REMEDIAL_INTERVAL);
         let mut wanted: Vec<WantedMachines> = Vec::new();
         if is_round_due {
             fleet.last_round = Some(now);
-            let machines = used_machines(cache, tuning.paid, now_ms, |id| up.contains(id));
+            let machines = used_machines(cache, tuning.paid_periods, now_ms, |id| up.contains(id));
             wanted = self.evaluate_band(&market, fleet, miss_rate, &need, machines);
             tracing::info!(?routing_counts, "waiting tasks");
         } else if is_remedial_due {
@@ -116,7 +116,7 @@
         market.now(),
         market.wall(),
         tuning.start_target,
-        tuning.window,
+        tuning.miss_rate_window,
         |spec| {
             let suited = market.suited(Demand::of_spec(spec), spec.tasks, false);
             suited.into_iter().next().map(|suited| suited.pool)
--- a/src/coordination/leader/fleet/eviction.rs
+++ b/src/coordination/leader/fleet/eviction.rs
@@ -176,7 +176,7 @@
             cache,
             &usable,
             self.context.config.now_ms(),
-            self.context.config.tuning.paid,
+            self.context.config.tuning.paid_periods,
         )
     }
 
--- a/src/coordination/leader/fleet/machine_inspection.rs
+++ b/src/coordination/leader/fleet/machine_inspection.rs
@@ -310,7 +310,7 @@
         let owned = status.machine;
         if owned.unreachable
             || owned.quarantined
-            || owned.leaving
+            || owned.reclaim_announced
             || owned.command_path_lost
             || status.since_heartbeat > self.unresponsive_after
         {
@@ -337,7 +337,11 @@
 
     /// Whether a draining machine is idle and at the end of its paid period.
     fn is_scale_in_due(&self, machine: InspectedMachine<'a>) -> bool {
-        let paid_left = self.config.tuning.paid.left(self.age(machine.record));
+        let paid_left = self
+            .config
+            .tuning
+            .paid_periods
+            .left(self.age(machine.record));
         self.state.fleet.draining_machines.contains(machine.id)
             && !self.cache.on_machine.contains_key(machine.id)
             && paid_left < SCALE_IN_MARGIN
--- a/src/coordination/leader/fleet/market/demand.rs
+++ b/src/coordination/leader/fleet/market/demand.rs
@@ -60,7 +60,7 @@
     fn demand(&self, waiting: &Unplaced) -> Option<Demand> {
         let job = self.cache.jobs.get(&waiting.job)?;
         let spec = job.spec()?;
-        let constraint = zone_usage::of_job(self.cache, job);
+        let constraint = zone_usage::job_constraint(self.cache, job);
         let is_served = job.present() > 0 || spec.age(self.wall) < SPOT_ONLY_PERIOD;
         let spot_only = spec.is_idle_work() && spec.spot && is_served;
         if spec.assigned_zone.is_none() || job.present() > 0 {
--- a/src/coordination/leader/fleet/miss_rate_band.rs
+++ b/src/coordination/leader/fleet/miss_rate_band.rs
@@ -83,7 +83,7 @@
             .iter()
             .map(|pool| type_load(market.cache, pool, &waiting, &misses, need, &machines))
             .collect();
-        let arrivals = miss_rate.arrival_rate(tuning.window);
+        let arrivals = miss_rate.arrival_rate(tuning.miss_rate_window);
         let counts = band::scale_out(misses.rate, arrivals, &loads, &band_thresholds(tuning));
         let total: u32 = counts.iter().sum();
         tracing::info!(
--- a/src/coordination/leader/fleet/provisioning.rs
+++ b/src/coordination/leader/fleet/provisioning.rs
@@ -45,7 +45,7 @@
         let max_requests = self
             .context
             .config
-            .state
+            .state_limits
             .txn_ops
             .min(PROVISION_REQUESTS_PER_COMMIT);
         for part in plans.chunks(max_requests) {
--- a/src/coordination/leader/fleet/release.rs
+++ b/src/coordination/leader/fleet/release.rs
@@ -145,7 +145,7 @@
 
     /// The cloud has confirmed the release: the machines and all on them are terminated.
     async fn record_terminated(&self, machines: &[MachineId]) {
-        let max_groups = (self.context.config.state.txn_ops / 2).max(1);
+        let max_groups = (self.context.config.state_limits.txn_ops / 2).max(1);
         let transactions = {
             let cache = self.context.store.cache();
             removals(&cache, machines, max_groups)
--- a/src/coordination/leader/quota_targets.rs
+++ b/src/coordination/leader/quota_targets.rs
@@ -10,7 +10,7 @@
 use super::{Leader, shards::Targets, state::SentTargets};
 use crate::coordination::{
     clients::{PeerRequest, QuotaTargets},
-    context::{lock, takes_part_in_transfers},
+    context::{lock, supports_quota_transfers},
 };
 
 /// Targets that have not changed are sent again after this long.
@@ -20,14 +20,14 @@
     /// Whether every living controller transfers quota. Otherwise the leader takes and
     /// grants it.
     pub(super) fn controllers_transfer(&self) -> bool {
-        if !self.context.knows_transfers() {
+        if !self.context.quota_transfers_active() {
             return false;
         }
         let cache = self.context.store.cache();
         cache
             .controllers
             .keys()
-            .all(|controller| takes_part_in_transfers(&cache, controller))
+            .all(|controller| supports_quota_transfers(&cache, controller))
     }
 
     /// Sends each controller its targets, unless the same were sent a moment ago.
--- a/src/coordination/leader/routing/zone_bound.rs
+++ b/src/coordination/leader/routing/zone_bound.rs
@@ -42,7 +42,9 @@
             zone,
         };
         let Some(assigned_zone) = &spec.assigned_zone else {
-            let current = zone_usage::of_job(self.cache, job).current_zone().cloned();
+            let current = zone_usage::job_constraint(self.cache, job)
+                .current_zone()
+                .cloned();
             if let Some(zone) = current.or(zone_with_room.cloned()) {
                 result.zone_assignments.push(assignment(Some(zone)));
             }
@@ -81,7 +83,7 @@
     /// The zone constraint for the next task of a job; those under way are as good as
     /// there.
     pub(super) fn constraint(&self, queued: &QueuedJob<'_>) -> ZoneConstraint {
-        let mut constraint = zone_usage::of_job(self.cache, queued.job);
+        let mut constraint = zone_usage::job_constraint(self.cache, queued.job);
         self.count_offered(queued, &mut constraint, |_| true);
         constraint
     }
--- a/src/coordination/leader/shard_leasing.rs
+++ b/src/coordination/leader/shard_leasing.rs
@@ -105,7 +105,7 @@
             avoided_owners: state.fleet.avoided_owners.keys().cloned().collect(),
             deficit: std::mem::take(&mut state.deficit),
             reserved: state.reserved.clone(),
-            max_changes: self.context.config.state.txn_ops.min(OPS_PER_COMMIT),
+            max_changes: self.context.config.state_limits.txn_ops.min(OPS_PER_COMMIT),
             controllers_transfer,
             free: state.free.clone(),
             in_flight: quota_in_flight(cache, &state.offered),
--- a/src/coordination/leader/state.rs
+++ b/src/coordination/leader/state.rs
@@ -287,7 +287,7 @@
             && owned.since_heartbeat + age < unresponsive_after
             && !owned.unreachable
             && !owned.quarantined
-            && !owned.leaving
+            && !owned.reclaim_announced
             && !owned.command_path_lost;
         is_usable.then(|| routing::UsableMachine {
             images: owned.images.clone(),
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -1,5 +1,6 @@
-//! A controller's membership: the lease that shows that the process lives and carries its
-//! claim to leadership. Both keys go when the lease does.
+//! A controller's membership in the cluster: a lease that shows that the process is alive. The
+//! controller's registration and leader record are attached to the lease, so the state service
+//! deletes both when it expires.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,27 +13,26 @@
     records::{ControllerRecord, LeaderRecord},
 };
 
-/// How often the lease is renewed while it lasts.
+/// Number of lease renewals within the duration of a lease.
 const RENEWALS_PER_LEASE: u32 = 5;
-/// How often registration is tried in the time of a lease.
+/// Number of registration attempts within the duration of a lease.
 const REGISTRATIONS_PER_LEASE: u32 = 20;
-/// Bounds of the factor on the pauses, so that controllers do not act in step.
-const MIN_JITTER: f64 = 0.8;
-const MAX_JITTER: f64 = 1.2;
+/// Bounds of the random factor on the intervals, which keeps controllers from acting in step.
+const MIN_INTERVAL_FACTOR: f64 = 0.8;
+const MAX_INTERVAL_FACTOR: f64 = 1.2;
 
-/// The duty that keeps this process a member of the cluster, and stands for leadership.
+/// The duty that keeps this process registered and runs for leadership.
 pub(super) struct Membership {
     context: Arc<Context>,
     leader: Arc<Leader>,
 }
 
 impl Membership {
-    /// Not a member yet.
     pub(super) fn new(context: Arc<Context>, leader: Arc<Leader>) -> Self {
         Self { context, leader }
     }
 
-    /// Duty: renews the lease, registers this process and stands for leadership.
+    /// Duty: renews the lease, registers this process and runs for leadership.
     pub(super) async fn run(&self) {
         let ttl = self.context.config.tuning.controller_lease;
         let mut lease: Option<LeaseId> = None;
@@ -42,8 +42,8 @@
                 None => self.register(ttl).await,
             };
             if lease.is_some() && self.is_unregistered() {
-                // Whatever took our key away, it can only be had anew: without it
-                // no shard is leased to us.
+                // The key was deleted although the lease may still be valid. Without it no
+                // shard is leased to this process, so it registers again with a new lease.
                 tracing::info!("registration lost; registering again");
                 lease = None;
                 continue;
@@ -52,7 +52,7 @@
                 && self.context.store.is_loaded()
             {
                 self.campaign(current).await;
-                // Elected by a commit whose answer was lost: only the cache tells.
+                // If the response to the commit was lost, only the cache shows the election.
                 if self.context.leadership().is_some() {
                     self.leader.adopt_lease(current);
                 }
@@ -63,38 +63,43 @@
             } else {
                 ttl / REGISTRATIONS_PER_LEASE
             };
-            let jittered = interval.mul_f64(jitter::uniform(MIN_JITTER, MAX_JITTER));
+            let jittered =
+                interval.mul_f64(jitter::uniform(MIN_INTERVAL_FACTOR, MAX_INTERVAL_FACTOR));
             if !self.context.pause(jittered).await {
                 return;
             }
         }
     }
 
-    /// The lease after an attempt to renew it; none: there is none, or it has expired.
+    /// Renews the lease. Returns none if there is no lease or it has expired.
     async fn renew(&self, lease: Option<LeaseId>) -> Option<LeaseId> {
         let current = lease?;
         match self.context.store.renew_lease(current).await {
             Ok(()) => Some(current),
-            // It ended, and our keys with it.
+            // The state service has deleted the keys of this process with the lease.
             Err(StateError::LeaseExpired) => {
                 tracing::info!("lease expired");
                 None
             }
-            // Unknown: it may still live; try on.
+            // The lease may still be valid: renew it again.
             Err(_) => Some(current),
         }
     }
 
-    /// Takes our part of the state service's limits, by how many controllers live.
+    /// Sets this process's share of the state service's limits, by the number of registered
+    /// controllers.
     fn share_limits(&self) {
         let living = self.context.store.cache().controllers.len();
-        // The limits to come may hold from the time on when all can keep to them.
-        let lowered = self.context.all_support(ProtocolVersion::GANGS);
+        // The lower limits that are announced for later may take effect as soon as all
+        // controllers support them.
+        let announced_limits_apply = self.context.all_support(ProtocolVersion::GANGS);
         let leads = self.context.leadership().is_some();
-        self.context.store.share_limits(living, leads, lowered);
+        self.context
+            .store
+            .share_limits(living, leads, announced_limits_apply);
     }
 
-    /// Has a lease granted and registers this process under it; none: not possible yet.
+    /// Obtains a lease and registers this process under it. Returns none if that fails.
     async fn register(&self, ttl: Duration) -> Option<LeaseId> {
         let lease = self.context.store.grant_lease(ttl).await.ok()?;
         let record = ControllerRecord {
@@ -102,10 +107,10 @@
             zone: self.context.config.zone.clone(),
             protocol_version: self.context.config.protocol_version.0,
         };
-        // Whatever the key says of an earlier process, that one is dead. On the
-        // condition of the revision that it has now: a registration of that
-        // process, or an earlier try of ours, that is applied late would put the
-        // key under a lease that ends, and take it away with it.
+        // A registration that the key holds is of an earlier process of this controller, which
+        // has ended, so it may be overwritten. The commit requires the revision just read:
+        // otherwise a late commit of that process, or of an earlier attempt of this one, could
+        // attach the key to a lease that expires, and the key would be deleted with it.
         let key = keys::controller(&self.context.config.name);
         let found = self.context.store.get(&key).await.ok()?;
         let revision = found.map_or(Revision(0), |item| item.revision);
@@ -123,14 +128,14 @@
                 Some(lease)
             }
             Err(error) => {
-                tracing::debug!(%error, "cannot register the controller yet");
+                tracing::debug!(%error, "controller registration failed");
                 None
             }
         }
     }
 
-    /// The cache, which holds our own commits from their answer on, shows no
-    /// registration of ours.
+    /// Whether the cache shows no registration of this process. The cache contains this
+    /// process's own commits from their response on.
     fn is_unregistered(&self) -> bool {
         self.context.store.is_loaded()
             && self
@@ -142,13 +147,14 @@
                 .is_none_or(|entry| entry.value.incarnation != self.context.config.incarnation)
     }
 
-    /// Claims leadership, if there is no leader.
+    /// Claims leadership if there is no leader, or if the leader record is of an earlier process
+    /// of this controller.
     async fn campaign(&self, lease: LeaseId) {
         let expected = {
             let cache = self.context.store.cache();
             match &cache.leader {
                 None => Revision(0),
-                // Left by an earlier process of this controller, which is dead.
+                // Written by an earlier process of this controller, which has ended.
                 Some(entry)
                     if entry.value.controller == self.context.config.name
                         && entry.value.incarnation != self.context.config.incarnation =>
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,8 +1,8 @@
-//! Who may do what, and what is done: leadership, shards, fencing, recovery,
-//! and the policy as pure functions.
+//! Coordination of the controllers: leadership, shard ownership, fencing, recovery, and the
+//! scheduling policy as pure functions.
 //!
-//! A [`Controller`] puts the duties together. Each duty is a module that owns its state;
-//! all share one [`context::Context`].
+//! A [`Controller`] consists of duties: long-running components, each a module that owns its
+//! state. All share one [`context::Context`].
 
 mod agent_state;
 pub mod clients;
--- a/src/coordination/owner/candidates.rs
+++ b/src/coordination/owner/candidates.rs
@@ -53,7 +53,7 @@
                     speed: agent.speed,
                     images: agent.images(),
                     leaves_in: (*usage == MachineUse::Draining)
-                        .then(|| self.context.config.tuning.paid.left(age)),
+                        .then(|| self.context.config.tuning.paid_periods.left(age)),
                 })
             })
             .collect()
--- a/src/coordination/owner/mod.rs
+++ b/src/coordination/owner/mod.rs
@@ -158,7 +158,7 @@
 
     /// Takes the leader's offers in, and wakes the loop that places their tasks.
     pub(super) fn accept_offers(&self, offers: Vec<Offer>) {
-        let expires_at = Instant::now() + self.context.config.tuning.offer;
+        let expires_at = Instant::now() + self.context.config.tuning.offer_ttl;
         let mut state = lock(&self.state);
         for offer in offers {
             if state.offers.len() >= MAX_OFFERS && !state.offers.contains_key(&offer.job) {
@@ -209,7 +209,7 @@
                 since_heartbeat: agent.time_since_heartbeat(now),
                 unreachable: agent.unreachable,
                 quarantined: state.is_quarantined(agent, now),
-                leaving: agent.leaves_at.is_some(),
+                reclaim_announced: agent.leaves_at.is_some(),
                 command_path_lost: agent
                     .is_command_path_lost(self.context.config.command_path_timeout(), now),
                 address: agent
--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -129,7 +129,7 @@
         free: &mut FreeResources,
     ) -> Vec<ChosenMachine> {
         let OfferedJob { spec, job, .. } = *offered;
-        let scope = ZoneScope::of(spec, self.context.config.state.txn_ops);
+        let scope = ZoneScope::of(spec, self.context.config.state_limits.txn_ops);
         if zone_usage::needs_zone_assignment(spec, scope) {
             return Vec::new();
         }
@@ -246,7 +246,7 @@
         job: &Job,
         shard: ShardId,
     ) -> bool {
-        let changes = self.context.config.state.txn_ops;
+        let changes = self.context.config.state_limits.txn_ops;
         let records = match job.spec() {
             Some(spec) if depends_on_all_records(spec, changes) => spec.records() as usize,
             _ => 1,
--- a/src/coordination/owner/record_writes.rs
+++ b/src/coordination/owner/record_writes.rs
@@ -63,7 +63,7 @@
         let mut part = part
             .require(keys::outcome(&change.id), Revision(0))
             .require(keys::spec(&change.id), spec.revision);
-        if depends_on_all_records(&spec.value, self.context.config.state.txn_ops) {
+        if depends_on_all_records(&spec.value, self.context.config.state_limits.txn_ops) {
             for chunk in 0..spec.value.records() {
                 if chunk != change.chunk {
                     part = part.require(keys::run(&change.id, chunk), job.run_revision(chunk));
--- a/src/coordination/owner/round.rs
+++ b/src/coordination/owner/round.rs
@@ -171,7 +171,7 @@
         if state.aligned == shards {
             return;
         }
-        self.context.startup.note_holding();
+        self.context.startup.note_first_machines();
         let now = Instant::now();
         agents.retain(|id, agent| {
             self.context.own_shard_of(cache, id).is_some()
--- a/src/coordination/peer_exchange.rs
+++ b/src/coordination/peer_exchange.rs
@@ -1,8 +1,8 @@
-//! What controllers tell each other, and what follows from it.
+//! Exchange of status and requests between controllers.
 //!
-//! Each controller sends its status to every other one about once a second, and serves
-//! their requests. A round in which all peers confirm that they know of nothing newer
-//! counts as a fresh read, also without the state service.
+//! Each controller sends its status to every peer about once a second and serves their
+//! requests. A round in which all peers confirm that they know of no newer revision counts as a
+//! fresh read of the state, even when the state service is unreachable.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,10 +22,11 @@
     storage::{ControllerName, Revision},
 };
 
-/// Pause between two rounds of status.
+/// Pause between two rounds of the status exchange.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(800);
-/// Cancelled jobs told to a peer at a time; more of them it must read for itself.
-const MAX_CANCELLATIONS: usize = 8_192;
+/// Maximum number of cancelled jobs in a response. If there are more, none are listed and the
+/// peer has to read them from the state service.
+const MAX_CANCELLATIONS_PER_RESPONSE: usize = 8_192;
 
 /// The duty that exchanges status with the peers and serves their requests.
 pub struct PeerExchange {
@@ -38,7 +39,7 @@
 }
 
 impl PeerExchange {
-    /// The duty, which keeps nothing of its own.
+    /// Creates the duty, which has no state of its own.
     pub(super) fn new(
         context: Arc<Context>,
         leader: Arc<Leader>,
@@ -57,8 +58,8 @@
         }
     }
 
-    /// What a peer is told. The lists of machines are for the leader; the others
-    /// only need to know that we live and what we know of.
+    /// Returns this controller's status. `full`: with the lists of machines and failing jobs,
+    /// which only the leader needs.
     pub fn status(&self, full: bool) -> StatusMessage {
         let now = Instant::now();
         let mut status = StatusMessage {
@@ -80,7 +81,7 @@
         status
     }
 
-    /// Whether this controller leads, by our cache.
+    /// Whether the cache shows this controller as the leader.
     fn leads(&self, controller: &ControllerName) -> bool {
         let cache = self.context.store.cache();
         cache
@@ -96,13 +97,15 @@
         }
     }
 
-    /// One round: sends our status to every peer, and notes theirs and what they confirm.
+    /// Runs one round: sends this controller's status to every peer, and records their statuses
+    /// and whether the round confirms that this controller knows of all cancellations.
     async fn exchange_status(&self) {
         let started = Instant::now();
         let ttl = self.context.config.indirect_heartbeat_max_age() + EXCHANGE_INTERVAL * 2;
         self.indirect_heartbeats.expire(ttl);
-        // Before asking: what a peer knows at most this much of, we know.
-        let applied = self.context.store.cache().revision;
+        // Read before the requests are sent: a peer whose highest revision is not above this
+        // one knows of nothing that this controller has not applied.
+        let applied_revision = self.context.store.cache().revision;
         if self.context.leadership().is_some() {
             self.leader.record_status(self.status(true), started);
         }
@@ -111,44 +114,51 @@
             async move { (name, self.context.peers.call(name, request).await) }
         });
         let mut is_confirmed = self.context.store.is_loaded();
-        let mut ahead = Vec::new();
-        // Somebody is served by the state service, so that our machines go, or
-        // have gone, to others: their agents are to find these.
-        let mut any_served = self.context.store.is_reachable();
+        let mut peers_ahead = Vec::new();
+        // While any controller reaches the state service, the machines of this one are moved
+        // to others if it does not. Their agents must find the new owners, so this controller
+        // must not renew leases by the peers' cancellations alone.
+        let mut any_reaches_state_service = self.context.store.is_reachable();
         for (name, answer) in join_all(calls).await {
             match answer {
                 Ok(PeerResponse::Status(theirs)) => {
-                    // A process that has had no answer of the state service
-                    // since its start can't vouch for what the one before it
-                    // told users. Any answer would have carried a revision
-                    // above all that.
+                    // A process without any response from the state service since its
+                    // start does not know what its predecessor confirmed to users. Any
+                    // response would carry a revision that covers all of that.
                     is_confirmed &= theirs.highest_revision > Revision(0);
-                    any_served |= theirs.state_reachable;
-                    if theirs.highest_revision > applied {
+                    any_reaches_state_service |= theirs.state_reachable;
+                    if theirs.highest_revision > applied_revision {
                         is_confirmed &= theirs.protocol_version >= ProtocolVersion::CANCELLATIONS;
-                        ahead.push(name);
+                        peers_ahead.push(name);
                     }
                     self.note_peer_status(name, theirs, started);
                 }
                 _ => is_confirmed = false,
             }
         }
-        if is_confirmed && !ahead.is_empty() {
-            is_confirmed = !any_served && self.catch_up(applied, ahead).await;
+        if is_confirmed && !peers_ahead.is_empty() {
+            is_confirmed = !any_reaches_state_service
+                && self
+                    .learn_cancellations(applied_revision, peers_ahead)
+                    .await;
         }
         if is_confirmed {
             self.liveness.note_confirmed(started);
         }
     }
 
-    /// Learns from peers that know of newer revisions than we do which jobs are
-    /// cancelled by these: cut off from the state service, we stop those jobs' tasks
-    /// and need not let all other tasks go with their leases. A peer's word stops a
-    /// task; it never starts one. True if none of their cancellations is unknown to
-    /// us then.
-    async fn catch_up(&self, applied: Revision, ahead: Vec<&ControllerName>) -> bool {
-        let calls = ahead.into_iter().map(|name| async move {
-            let request = PeerRequest::CancelledSince(applied);
+    /// Fetches the cancellations that peers know of beyond the applied revision. A controller
+    /// that is cut off from the state service can then stop the tasks of these jobs and keep
+    /// renewing leases, so that all other tasks go on. Information from a peer only stops
+    /// tasks; it never starts one. Returns whether all cancellations that these peers know of
+    /// are now known.
+    async fn learn_cancellations(
+        &self,
+        applied_revision: Revision,
+        peers_ahead: Vec<&ControllerName>,
+    ) -> bool {
+        let calls = peers_ahead.into_iter().map(|name| async move {
+            let request = PeerRequest::CancelledSince(applied_revision);
             self.context.peers.call(name, request).await
         });
         let mut is_complete = true;
@@ -165,26 +175,30 @@
                 .context
                 .store
                 .cache()
-                .note_cancelled(jobs, cancellations.seen);
+                .note_cancelled(jobs, cancellations.highest_revision);
             if new > 0 {
-                tracing::info!(jobs = new, "cancellations learned from a peer");
+                tracing::info!(jobs = new, "cancellations received from a peer");
                 self.context.owner_wakeup.notify_one();
             }
         }
         is_complete
     }
 
-    /// The jobs that we know to be cancelled by changes after this revision.
+    /// Returns the jobs that are cancelled by changes after this revision, as far as this
+    /// controller knows.
     fn cancelled_since(&self, revision: Revision) -> Cancellations {
-        let seen = self.context.store.highest_revision();
+        let highest_revision = self.context.store.highest_revision();
         let knows_all =
             self.context.store.is_loaded() && self.context.store.has_applied_looked_up_outcomes();
         let jobs = knows_all.then(|| self.context.store.cache().cancelled_since(revision));
-        let jobs = jobs.filter(|jobs| jobs.len() <= MAX_CANCELLATIONS);
-        Cancellations { seen, jobs }
+        let jobs = jobs.filter(|jobs| jobs.len() <= MAX_CANCELLATIONS_PER_RESPONSE);
+        Cancellations {
+            highest_revision,
+            jobs,
+        }
     }
 
-    /// Notes the status of a peer as of `at`; a full one is for the leader.
+    /// Records the status of a peer as of `at`, and passes a full status to the leader.
     fn note_peer_status(&self, name: &ControllerName, status: StatusMessage, at: Instant) {
         let version = status.protocol_version;
         let is_new = self
@@ -198,7 +212,7 @@
         }
     }
 
-    /// Serves a request of another controller.
+    /// Serves a request from another controller.
     pub async fn handle_request(&self, request: PeerRequest) -> PeerResponse {
         match request {
             PeerRequest::Status(theirs) => {
@@ -207,7 +221,7 @@
                     let name = theirs.controller.clone();
                     self.note_peer_status(&name, theirs, Instant::now());
                 }
-                // The leader has the lists from our own calls.
+                // No lists: this controller sends them to the leader in its own requests.
                 PeerResponse::Status(self.status(false))
             }
             PeerRequest::Offers(offers) => {
--- a/src/coordination/peer_liveness.rs
+++ b/src/coordination/peer_liveness.rs
@@ -1,5 +1,6 @@
-//! What is known of the other controllers by talking to them: whether they live, what they
-//! support, and when all of them last confirmed that we know what they know.
+//! Liveness of the other controllers by the status exchange: whether they reach the state
+//! service, which protocol versions they support, and when all of them last confirmed that this
+//! controller knows of all cancellations that they know of.
 
 use std::{collections::BTreeMap, sync::Mutex, time::Duration};
 
@@ -13,85 +14,89 @@
     storage::{ControllerName, StateCache},
 };
 
-/// A status older than this does not tell whether the key-value store answers a peer now.
+/// Age from which a status does not show any more whether the peer reaches the state service.
 const REACHABILITY_TTL: Duration = Duration::from_secs(3);
 
-/// A peer's last status, as far as its own liveness goes.
+/// The part of a peer's last status that concerns its liveness.
 #[derive(Clone, Copy, Debug)]
 struct LastStatus {
-    at: Instant,
-    /// Whether the key-value store answered it.
+    as_of: Instant,
+    /// Whether the state service answered the peer.
     state_reachable: bool,
 }
 
-/// What the peers have told.
+/// Information from the peers' status messages.
 #[derive(Default)]
 struct State {
     /// Each peer's last status.
     last_status: BTreeMap<ControllerName, LastStatus>,
-    /// What each peer supports, as its living process said last.
+    /// The protocol version of each peer, by its last status.
     protocol_versions: BTreeMap<ControllerName, ProtocolVersion>,
-    /// The start of the latest round in which every peer confirmed that it knows of
-    /// nothing newer than we do.
+    /// Start of the latest round in which every peer confirmed that it knows of no
+    /// cancellation that this controller does not know of.
     read_confirmed_at: Option<Instant>,
 }
 
-/// The liveness of this controller's peers, and what they have confirmed.
+/// The liveness of this controller's peers, and the time of their last confirmation.
 #[derive(Default)]
 pub(super) struct PeerLiveness(Mutex<State>);
 
 impl PeerLiveness {
-    /// Notes a status of a peer; true if its protocol version is new to us.
+    /// Records a peer's status. Returns whether its protocol version has changed or was unknown.
     pub(super) fn note_status(
         &self,
         peer: &ControllerName,
         version: ProtocolVersion,
         state_reachable: bool,
-        at: Instant,
+        as_of: Instant,
     ) -> bool {
         let mut state = lock(&self.0);
         let last_status = LastStatus {
-            at,
+            as_of,
             state_reachable,
         };
         state.last_status.insert(peer.clone(), last_status);
         state.protocol_versions.insert(peer.clone(), version) != Some(version)
     }
 
-    /// Every peer has confirmed, in a round that began then, that it knows of nothing newer.
+    /// Records that in the round that started then every peer confirmed that it knows of no
+    /// cancellation that this controller does not know of.
     pub(super) fn note_confirmed(&self, started: Instant) {
         lock(&self.0).read_confirmed_at = Some(started);
     }
 
-    /// The start of the latest round in which every peer confirmed what we know.
+    /// Returns the start of the latest confirmed round, see [`Self::note_confirmed`].
     pub(super) fn read_confirmed_at(&self) -> Option<Instant> {
         lock(&self.0).read_confirmed_at
     }
 
-    /// Whether the key-value store has lately answered some peer.
-    pub(super) fn any_reaches_state(&self) -> bool {
+    /// Whether a recent status of some peer shows that the state service answers it.
+    pub(super) fn any_peer_reaches_state_service(&self) -> bool {
         let state = lock(&self.0);
         let mut statuses = state.last_status.values();
-        statuses.any(|status| status.at.elapsed() < REACHABILITY_TTL && status.state_reachable)
+        statuses.any(|status| status.as_of.elapsed() < REACHABILITY_TTL && status.state_reachable)
     }
 
-    /// What every controller supports, by their own words: in its registration, or
-    /// to us while it has none. None: some have said nothing yet, and silence is no
-    /// word. A controller that is cut off from its peers alone holds nobody up.
+    /// Returns the highest protocol version that every configured controller supports. A
+    /// controller's version is taken from its registration or, without one, from its last
+    /// status. Returns none if the version of any controller is unknown: no version may be
+    /// assumed for it. A controller that is only cut off from its peers is still registered, so
+    /// it does not delay raising the common version.
     pub(super) fn common_protocol_version(
         &self,
         context: &Context,
         cache: &StateCache,
     ) -> Option<ProtocolVersion> {
         let state = lock(&self.0);
-        let said = context.config.peers.iter().map(|(name, _)| {
+        let versions = context.config.peers.iter().map(|(name, _)| {
             let registered = cache
                 .controllers
                 .get(name)
                 .map(|entry| ProtocolVersion(entry.value.protocol_version));
             registered.or_else(|| state.protocol_versions.get(name).copied())
         });
-        said.chain([Some(context.config.protocol_version)])
+        versions
+            .chain([Some(context.config.protocol_version)])
             .min()
             .flatten()
     }
--- a/src/coordination/quota_exchange/mod.rs
+++ b/src/coordination/quota_exchange/mod.rs
@@ -61,7 +61,7 @@
     /// Answers a controller that asks for quota.
     pub(super) async fn handle_request(&self, request: QuotaRequest) -> QuotaResponse {
         let recipient = request.recipient.clone();
-        let received = if self.context.knows_transfers() {
+        let received = if self.context.quota_transfers_active() {
             lock(&self.state).receive(request)
         } else {
             Err(Refusal::NotReady)
--- a/src/coordination/quota_exchange/requests.rs
+++ b/src/coordination/quota_exchange/requests.rs
@@ -9,7 +9,7 @@
 use crate::{
     coordination::{
         clients::{PeerRequest, PeerResponse, QuotaRequest, QuotaResponse},
-        context::{lock, takes_part_in_transfers},
+        context::{lock, supports_quota_transfers},
     },
     storage::{ControllerName, Quota, StateCache, TeamName},
 };
@@ -48,7 +48,7 @@
             let offered = owner_deficit.get(&team.name).copied().unwrap_or_default();
             exchange.note_deficit(&team.name, target_deficit.max(&offered), now.into_std());
         }
-        if exchange.deficits.is_empty() || !self.context.knows_transfers_in(&cache) {
+        if exchange.deficits.is_empty() || !self.context.quota_transfers_active_in(&cache) {
             return None;
         }
         let donors = self.donor_views(&cache);
@@ -63,7 +63,7 @@
             .filter(|(controller, entry)| {
                 **controller != self.context.config.name
                     && entry.value.owner.is_some()
-                    && takes_part_in_transfers(cache, controller)
+                    && supports_quota_transfers(cache, controller)
             })
             .map(|(controller, entry)| {
                 let used = cache.quota_used(cache.machines_of(controller));
--- a/src/coordination/quota_exchange/transfers.rs
+++ b/src/coordination/quota_exchange/transfers.rs
@@ -9,7 +9,7 @@
 use crate::{
     coordination::{
         clients::{QuotaRequest, QuotaResponse},
-        context::{lock, takes_part_in_transfers},
+        context::{lock, supports_quota_transfers},
     },
     storage::{
         CommitError, ControllerName, Quota, Revision, StateCache, TeamName, Transaction, keys,
@@ -43,7 +43,7 @@
             return None;
         }
         let leader = cache.leader.as_ref()?;
-        if !takes_part_in_transfers(cache, &leader.value.controller)
+        if !supports_quota_transfers(cache, &leader.value.controller)
             || cache.revision < leader.revision
         {
             return None;
--- a/src/coordination/run_time_estimator/tests.rs
+++ b/src/coordination/run_time_estimator/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn starts_at_one_and_follows_measurements() {
+fn factor_starts_at_one_and_approaches_measured_ratio() {
     let mut estimator = RunTimeEstimator::default();
     let class = ClassName::new("c");
     assert_eq!(estimator.factor(&class), 1.0);
--- a/src/coordination/startup.rs
+++ b/src/coordination/startup.rs
@@ -1,34 +1,35 @@
-//! How long this process has taken to serve, for the log of a rolled upgrade.
+//! Logs how long after its start the process became ready and owned machines, so that operators
+//! can follow a rolling upgrade.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use tokio::time::Instant;
 
-/// The steps of a start that are logged, each once.
+/// Milestones of the startup, each logged once.
 pub(super) struct Startup {
     began: Instant,
     is_ready_logged: AtomicBool,
-    is_holding_logged: AtomicBool,
+    are_first_machines_logged: AtomicBool,
 }
 
 impl Startup {
-    /// The process begins now.
+    /// Starts the measurement at the current time.
     pub(super) fn new() -> Self {
         Self {
             began: Instant::now(),
             is_ready_logged: AtomicBool::new(false),
-            is_holding_logged: AtomicBool::new(false),
+            are_first_machines_logged: AtomicBool::new(false),
         }
     }
 
-    /// Users may be sent here.
+    /// Logs, on the first call, that the controller is ready to serve users.
     pub(super) fn note_ready(&self) {
         self.log_once(&self.is_ready_logged, "ready for users");
     }
 
-    /// The leader has leased machines to this process.
-    pub(super) fn note_holding(&self) {
-        self.log_once(&self.is_holding_logged, "owns its first machines");
+    /// Logs, on the first call, that the leader has leased machines to this process.
+    pub(super) fn note_first_machines(&self) {
+        self.log_once(&self.are_first_machines_logged, "first machines owned");
     }
 
     fn log_once(&self, is_logged: &AtomicBool, message: &'static str) {
--- a/src/coordination/zone_usage.rs
+++ b/src/coordination/zone_usage.rs
@@ -1,4 +1,5 @@
-//! Where a job's tasks are, as the replica of the state service tells.
+//! Zone constraints of a job's next tasks, derived from the zones of its placed tasks in the state
+//! cache.
 
 use super::policy::zone_constraint::{ZoneConstraint, ZoneScope};
 use crate::storage::{
@@ -7,32 +8,33 @@
     state_cache,
 };
 
-/// The constraint for the next task of a job.
-pub(super) fn of_job(cache: &StateCache, job: &state_cache::Job) -> ZoneConstraint {
+/// Returns the constraint for the next task of a job, by all its placed tasks.
+pub(super) fn job_constraint(cache: &StateCache, job: &state_cache::Job) -> ZoneConstraint {
     let Some(spec) = job.spec().filter(|spec| spec.is_zone_bound()) else {
         return ZoneConstraint::default();
     };
     let mut constraint = ZoneConstraint::of_job(spec);
     confine_to_assigned_zone(&mut constraint, spec);
     for entry in job.chunks.values() {
-        count_record(cache, &entry.value, &mut constraint);
+        count_placed_tasks(cache, &entry.value, &mut constraint);
     }
     constraint
 }
 
-/// The constraints for the next task of each record of a job, by
+/// The constraints for the next task of each run record of a job whose scope is
 /// [`ZoneScope::PerRecord`].
 pub(super) struct RecordConstraints<'a> {
     cache: &'a StateCache,
     job: &'a state_cache::Job,
     spec: Option<&'a JobSpec>,
-    /// Zones of which a record holds more than its share: it was written by the rule
-    /// for the whole job, before the limits fell. The others must make up for it.
+    /// Records and zones in which the record has more tasks than its own limit: it was written
+    /// by the rule for the whole job, before the state service's limits were lowered. The other
+    /// records place no more tasks in these zones, to keep the limit of the whole job.
     exceeded: Vec<(u32, ZoneName)>,
 }
 
 impl<'a> RecordConstraints<'a> {
-    /// Looks at all records of the job once.
+    /// Derives the constraints from all run records of the job.
     pub(super) fn new(cache: &'a StateCache, job: &'a state_cache::Job) -> Self {
         let spec = job.spec().map(|spec| &**spec);
         let mut constraints = Self {
@@ -52,7 +54,7 @@
         let mut exceeded = Vec::new();
         for (record, entry) in &self.job.chunks {
             if entry.value.placed.len() > keys::CHUNK as usize / 2 {
-                let constraint = self.counted(spec, *record);
+                let constraint = self.current_constraint(spec, *record);
                 let zones = constraint.exceeded().cloned();
                 exceeded.extend(zones.map(|zone| (*record, zone)));
             }
@@ -60,20 +62,20 @@
         exceeded
     }
 
-    fn counted(&self, spec: &JobSpec, record: u32) -> ZoneConstraint {
+    fn current_constraint(&self, spec: &JobSpec, record: u32) -> ZoneConstraint {
         let mut constraint = ZoneConstraint::of_record(spec, record);
         if let Some(entry) = self.job.chunks.get(&record) {
-            count_record(self.cache, &entry.value, &mut constraint);
+            count_placed_tasks(self.cache, &entry.value, &mut constraint);
         }
         constraint
     }
 
-    /// The constraint for the next task of this record.
-    pub(super) fn of(&self, record: u32) -> ZoneConstraint {
+    /// Returns the constraint for the next task of this record.
+    pub(super) fn for_record(&self, record: u32) -> ZoneConstraint {
         let Some(spec) = self.spec else {
             return ZoneConstraint::default();
         };
-        let mut constraint = self.counted(spec, record);
+        let mut constraint = self.current_constraint(spec, record);
         confine_to_assigned_zone(&mut constraint, spec);
         for (other, zone) in &self.exceeded {
             if *other != record {
@@ -90,7 +92,7 @@
     }
 }
 
-fn count_record(cache: &StateCache, record: &RunRecord, constraint: &mut ZoneConstraint) {
+fn count_placed_tasks(cache: &StateCache, record: &RunRecord, constraint: &mut ZoneConstraint) {
     for placement in record.placed.values() {
         if let Some(zone) = zone_of(cache, placement) {
             constraint.add(zone);
@@ -103,10 +105,10 @@
     Some(&machine.zone)
 }
 
-/// Tasks in parts that share a zone constraint.
+/// Tasks of a job that share a zone constraint, with the constraint.
 pub(super) type ConstrainedPart<'a> = (&'a [u32], ZoneConstraint);
 
-/// The tasks of a job in parts that share a zone constraint.
+/// Splits tasks of a job into parts that share a zone constraint.
 pub(super) fn constrained_parts<'a>(
     cache: &StateCache,
     job: &state_cache::Job,
@@ -114,18 +116,17 @@
     tasks: &'a [u32],
 ) -> Vec<ConstrainedPart<'a>> {
     if scope == ZoneScope::WholeJob {
-        return vec![(tasks, of_job(cache, job))];
+        return vec![(tasks, job_constraint(cache, job))];
     }
     let constraints = RecordConstraints::new(cache, job);
     let record_of = |task: u32| task / keys::CHUNK;
     tasks
         .chunk_by(|a, b| record_of(*a) == record_of(*b))
-        .map(|part| (part, constraints.of(record_of(part[0]))))
+        .map(|part| (part, constraints.for_record(record_of(part[0]))))
         .collect()
 }
 
-/// Whether a job's placements wait for the leader to choose the zone that it is
-/// confined to.
+/// Whether the leader must choose the job's zone before any of its tasks can be placed.
 pub(super) fn needs_zone_assignment(spec: &JobSpec, scope: ZoneScope) -> bool {
     spec.one_zone && spec.assigned_zone.is_none() && scope == ZoneScope::PerRecord
 }
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -53,13 +53,17 @@
 fn apply_band(band: &Band, tuning: &mut Tuning) -> Result<(), FieldError> {
     set_share("band.alpha", band.alpha, &mut tuning.alpha)?;
     set_share("band.beta", band.beta, &mut tuning.beta)?;
-    set_duration("band.round_s", band.round_s, &mut tuning.round)?;
+    set_duration(
+        "band.round_s",
+        band.round_s,
+        &mut tuning.evaluation_interval,
+    )?;
     set_duration(
         "band.start_target_s",
         band.start_target_s,
         &mut tuning.start_target,
     )?;
-    set_duration("band.window_s", band.window_s, &mut tuning.window)
+    set_duration("band.window_s", band.window_s, &mut tuning.miss_rate_window)
 }
 
 fn apply_renting(renting: &Renting, tuning: &mut Tuning) -> Result<(), FieldError> {
@@ -96,12 +100,12 @@
     set_duration(
         "renting.paid_period_s",
         renting.paid_period_s,
-        &mut tuning.paid.first,
+        &mut tuning.paid_periods.first,
     )?;
     set_duration(
         "renting.paid_step_s",
         renting.paid_step_s,
-        &mut tuning.paid.then,
+        &mut tuning.paid_periods.then,
     )
 }
 
@@ -111,7 +115,7 @@
         timing.node_lease_s,
         &mut tuning.controller_lease,
     )?;
-    set_duration("timing.offer_s", timing.offer_s, &mut tuning.offer)?;
+    set_duration("timing.offer_s", timing.offer_s, &mut tuning.offer_ttl)?;
     if let Some(value) = timing.silent_s {
         tuning.unresponsive_after = Some(positive_duration("timing.silent_s", value)?);
     }
--- a/src/protocol/operator/tests.rs
+++ b/src/protocol/operator/tests.rs
@@ -11,7 +11,7 @@
 fn values_replace_defaults() {
     let tuning = parse("band { alpha: 0.02 round_s: 5 } timing { silent_s: 9 }").expect("valid");
     assert_eq!(tuning.alpha, 0.02);
-    assert_eq!(tuning.round, Duration::from_secs(5));
+    assert_eq!(tuning.evaluation_interval, Duration::from_secs(5));
     assert_eq!(tuning.unresponsive_after, Some(Duration::from_secs(9)));
     assert_eq!(tuning.beta, Tuning::default().beta);
 }
--- a/src/protocol/peer_frames/response.rs
+++ b/src/protocol/peer_frames/response.rs
@@ -92,7 +92,7 @@
         let is_complete = cancellations.jobs.is_some();
         let jobs = cancellations.jobs.unwrap_or_default();
         Self {
-            seen: cancellations.seen.0,
+            seen: cancellations.highest_revision.0,
             is_complete,
             jobs: jobs.iter().map(ToString::to_string).collect(),
         }
@@ -105,7 +105,7 @@
         let jobs = frame.jobs.iter().map(|name| JobId::parse(name));
         let jobs: Option<Vec<JobId>> = jobs.collect();
         Self {
-            seen: Revision(frame.seen),
+            highest_revision: Revision(frame.seen),
             jobs: jobs.filter(|_| frame.is_complete),
         }
     }
--- a/src/protocol/peer_frames/tests.rs
+++ b/src/protocol/peer_frames/tests.rs
@@ -28,7 +28,7 @@
         since_heartbeat: Duration::from_secs(1),
         unreachable: false,
         quarantined: false,
-        leaving: false,
+        reclaim_announced: false,
         command_path_lost: false,
         address: Some(names(n).1),
         epoch: AgentEpoch(1),
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -17,7 +17,7 @@
 use crate::{
     coordination::{
         Config, Tuning,
-        config::{Objective, machines_for},
+        config::{Objective, max_tracked_machines},
     },
     protocol::seconds,
     storage::{
@@ -208,11 +208,11 @@
             heartbeat_interval: checked_duration(cluster.workers.report_s),
             agent_lease: checked_duration(cluster.workers.lease_s),
             cancel: checked_duration(cluster.workers.cancel_s),
-            state: cluster.state.limits(&next),
+            state_limits: cluster.state.limits(&next),
             cloud_rps: cluster.cloud.rps,
-            list_lag: checked_duration(cluster.cloud.list_lag_s),
+            max_inventory_lag: checked_duration(cluster.cloud.list_lag_s),
             max_connections: cluster.limits.max_connections as usize,
-            machines_tracked: machines_for(cluster.limits.mem_mb),
+            max_tracked_machines: max_tracked_machines(cluster.limits.mem_mb),
             protocol_version: tuning.protocol_version(),
             tuning,
             wall: Arc::new(std::time::SystemTime::now),
@@ -251,7 +251,7 @@
     fn from(objective: &ObjectiveSettings) -> Self {
         Objective {
             class: objective.class.as_deref().map(ClassName::new),
-            within: objective.within_s.and_then(seconds),
+            start_within: objective.within_s.and_then(seconds),
         }
     }
 }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -167,7 +167,7 @@
                 StatusCode::CREATED,
                 &JobStatusResponse::state_only(&id, JobState::Queued),
             ),
-            Submitted::Known(status) => {
+            Submitted::AlreadyAccepted(status) => {
                 json(StatusCode::OK, &JobStatusResponse::with_counts(&id, status))
             }
         })
@@ -224,7 +224,7 @@
             StatusCode::OK,
             &agents::HeartbeatReply::new(token, &commands),
         ),
-        HeartbeatResponse::NotHere(controller) => json(
+        HeartbeatResponse::NotOwner(controller) => json(
             StatusCode::MISDIRECTED_REQUEST,
             &agents::Redirect::from(controller.as_ref()),
         ),
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -57,7 +57,7 @@
             since_heartbeat: Duration::from_millis(1500),
             unreachable: false,
             quarantined: true,
-            leaving: false,
+            reclaim_announced: false,
             command_path_lost: true,
             address: Some("10.1.0.232:9000".into()),
             epoch: AgentEpoch(2),
@@ -137,7 +137,7 @@
 /// Responses by the names of their recorded frames.
 fn responses(protocol_version: ProtocolVersion) -> Vec<(&'static str, PeerResponse)> {
     let cancellations = Cancellations {
-        seen: Revision(500),
+        highest_revision: Revision(500),
         jobs: Some(vec![job()]),
     };
     vec![
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -166,7 +166,9 @@
 fn the_smaller_of_both_limits_holds() {
     let state = |text: &str| {
         let settings = Settings::parse(text).expect("valid");
-        settings.config(Incarnation(1), Tuning::default()).state
+        settings
+            .config(Incarnation(1), Tuning::default())
+            .state_limits
     };
     let plain = state(EXAMPLE);
     assert_eq!((plain.txn_ops, plain.value_bytes), (32, 8192));
@@ -214,7 +216,9 @@
 fn unusable_limits_to_come_count_as_the_least_or_not_at_all() {
     let state = |next: &str| {
         let settings = Settings::parse(&with_next(next)).expect(next);
-        settings.config(Incarnation(1), Tuning::default()).state
+        settings
+            .config(Incarnation(1), Tuning::default())
+            .state_limits
     };
     let small = state(r#"{"txn_ops": 1, "value_kb": 0.5, "write_rps": 35.0}"#);
     assert_eq!((small.txn_ops, small.value_bytes), (4, 2048));
@@ -272,7 +276,9 @@
     let settings = Settings::parse(include_str!("../deploy/example-settings.json"));
     let settings = settings.expect("valid");
     assert_eq!(settings.warnings(), []);
-    let state = settings.config(Incarnation(1), Tuning::default()).state;
+    let state = settings
+        .config(Incarnation(1), Tuning::default())
+        .state_limits;
     assert_eq!((state.txn_ops, state.next_write_rps), (8, 30.0));
 }
 
