--- a/src/coordination/agent_state.rs
+++ b/src/coordination/agent_state.rs
@@ -1,8 +1,8 @@
-//! What an owner knows of one machine's agent: what it said last, in order, and
-//! what can be concluded from it.
+//! The state that a shard owner keeps for the agent of one machine: the content of the
+//! agent's newest message, and what follows from the messages and commands so far.
 //!
-//! The shard owner holds one state for each of its machines and applies every message to
-//! it; a state ends when the machine goes to another owner.
+//! The shard owner keeps one `AgentState` for each of its machines and applies every message
+//! of the agent to it. It drops the state when the machine moves to another owner.
 
 mod image_cache;
 
@@ -22,123 +22,125 @@
     },
 };
 
-/// A task that the agent lists.
+/// A task that the agent's newest message lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObservedTask {
-    /// Its attempt there.
+    /// The attempt that the agent has.
     pub attempt: Attempt,
-    /// What the agent said of it last.
+    /// The state that the agent reported.
     pub state: TaskState,
-    /// When it was first seen running.
+    /// When this attempt was first reported as running.
     pub running_since: Option<Instant>,
 }
 
-/// How a message of an agent came to us.
+/// How a message of an agent reached its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageSource {
-    /// A heartbeat that waits for our answer.
+    /// A heartbeat that waits for the owner's response.
     Heartbeat,
-    /// The answer to a direct command or to a probe.
+    /// The response to a direct command or to a probe.
     Direct,
 }
 
-/// Failures on one machine before it counts as quarantined: from this many jobs.
+/// Number of different jobs with failed tasks from which a machine is quarantined.
 const QUARANTINE_AFTER_JOBS: usize = 2;
-/// Failures remembered of one machine.
+/// Maximum number of failures remembered for one machine.
 const MAX_FAILURES: usize = 16;
-/// Jobs that a machine refuses at a time, at most.
-const MAX_REFUSALS: usize = 256;
-/// A failure counts against a machine, or a job, for this long.
+/// Maximum number of jobs excluded from one machine at a time.
+const MAX_EXCLUDED_JOBS: usize = 256;
+/// How long a failure counts against a machine or a job.
 pub const FAILURE_WINDOW: Duration = Duration::from_secs(180);
 
-/// A direct start that got no answer. It may be executed as long as the agent has seen no
-/// higher token.
+/// Direct starts that got no response. The agent may still execute them until it has seen a
+/// higher fencing token.
 #[derive(Clone, Copy, Debug)]
 pub struct InDoubtStart {
-    /// The highest token of such a start.
+    /// The highest fencing token that such a start carried.
     pub token: Token,
-    /// When the latest of them was given up.
+    /// When the latest of these requests failed without a response.
     pub since: Instant,
 }
 
-/// A token that the agent was told and has not shown since.
+/// A fencing token that was sent to the agent and that no message of it has reported yet.
 #[derive(Clone, Copy, Debug)]
 struct UnconfirmedToken {
     token: Token,
     since: Instant,
 }
 
-/// A task that failed on the machine.
+/// The failure of a task on the machine.
 #[derive(Clone, Debug)]
 struct TaskFailure {
     job: JobId,
     at: Instant,
 }
 
-/// What is known of one agent.
+/// What an owner knows about one agent.
 #[derive(Debug)]
 pub struct AgentState {
-    /// Our token when the machine came to us: an agent that has seen it drops
-    /// every command of earlier owners.
-    pub acquired: Token,
-    /// Where the agent listens.
+    /// The fencing token with which this owner acquired the machine. An agent that has
+    /// seen it rejects all commands of earlier owners.
+    pub acquisition_token: Token,
+    /// The address at which the agent listens.
     pub address: Option<String>,
-    /// Its epoch, by its newest message.
+    /// The agent's epoch, from its newest message.
     pub epoch: AgentEpoch,
-    /// Number of its newest message within the epoch.
+    /// Sequence number of the newest message within the epoch.
     sequence: u64,
-    /// The highest token that it has shown.
+    /// The highest fencing token that the agent has reported.
     pub token: Token,
-    /// Last heartbeat, or since when we have held the machine.
+    /// Time of the last heartbeat; before the first one, when this owner acquired the machine.
     pub last_heartbeat: Instant,
-    /// A heartbeat of it has come since we have held the machine.
+    /// Whether a heartbeat has arrived since this owner acquired the machine.
     pub has_heartbeat: bool,
-    /// The last probe failed, and nothing has come since.
+    /// The last probe failed, and no message has arrived since.
     pub unreachable: bool,
-    /// When the machine was probed last.
+    /// When the agent was probed last.
     pub probed_at: Option<Instant>,
-    /// When the cloud takes the machine, if it has given notice.
+    /// When the cloud reclaims the machine, if it has given notice.
     pub leaves_at: Option<Instant>,
-    /// The tasks that its newest message lists.
+    /// The tasks that the newest message lists.
     pub tasks: BTreeMap<TaskId, ObservedTask>,
-    /// The newest message was a heartbeat, so that what it does not list is not
-    /// on its way in an earlier answer of ours.
-    lists_all_tasks: bool,
-    /// Direct starts that got no answer.
+    /// Whether the newest message is a heartbeat. Then no start in a response to an earlier
+    /// heartbeat can still be in flight, as it can be after a response to a direct command.
+    newest_is_heartbeat: bool,
+    /// Direct starts that got no response.
     pub in_doubt_start: Option<InDoubtStart>,
-    /// Direct starts that wait for their answer.
+    /// Number of direct starts that wait for their response.
     starts_in_flight: u32,
-    /// Starts given in the answer to the newest heartbeat: executed, or not, only
-    /// the next heartbeat tells.
-    answered_starts: BTreeSet<TaskId>,
-    /// Images that the machine should have.
+    /// Tasks whose starts were sent in the response to the newest heartbeat. Only the next
+    /// heartbeat shows whether they were executed.
+    unconfirmed_starts: BTreeSet<TaskId>,
+    /// Images that the machine is expected to have in its cache.
     images: ImageCache,
-    /// Failures of tasks here, the oldest first.
+    /// Failures of tasks on this machine, the oldest first.
     failures: VecDeque<TaskFailure>,
-    /// Jobs that are not tried here, and until when.
-    refusals: BTreeMap<JobId, Instant>,
-    /// When a direct stop of a listed task was sent last.
+    /// Jobs whose tasks are not to be placed on this machine, and until when.
+    excluded_jobs: BTreeMap<JobId, Instant>,
+    /// When the last direct stop of each listed task was sent.
     pub stops_sent: BTreeMap<TaskId, Instant>,
-    /// Learned speed of the machine; 1 is usual.
+    /// Speed of the machine, learned from run times; at 1 tasks take the expected time.
     pub speed: f64,
-    /// The oldest of our answers whose token the agent has not shown since.
+    /// The oldest response whose fencing token the agent has not reported since.
     unconfirmed_token: Option<UnconfirmedToken>,
-    /// Until when our last answer to a heartbeat is a late one: a lease that runs
-    /// out before that was not renewed by it.
-    answered_until: Option<Instant>,
-    /// The agent's lease ran out although we answered its heartbeats.
-    lost_epoch_at: Option<Instant>,
+    /// Until when the last response to a heartbeat should keep the agent's lease from
+    /// expiring. If the lease expires before this time, the response has not renewed it.
+    renewal_expected_until: Option<Instant>,
+    /// When the agent's lease last turned out to have expired although its heartbeats were
+    /// answered.
+    lease_lost_at: Option<Instant>,
 }
 
-/// How long after a lease ran out under our answers an agent counts as one that
-/// hears nothing of us.
-const LOST_EPOCH_TTL: Duration = Duration::from_secs(90);
+/// How long the command path counts as lost after the agent's lease expired although its
+/// heartbeats were answered.
+const LEASE_LOSS_WINDOW: Duration = Duration::from_secs(90);
 
 impl AgentState {
-    /// Nothing heard yet of an agent whose machine came to us with this token.
-    pub fn new(acquired: Token, now: Instant) -> Self {
+    /// The state of an agent that has sent no message yet, on a machine that was acquired
+    /// with this token.
+    pub fn new(acquisition_token: Token, now: Instant) -> Self {
         Self {
-            acquired,
+            acquisition_token,
             address: None,
             epoch: AgentEpoch(0),
             sequence: 0,
@@ -149,23 +151,24 @@
             probed_at: None,
             leaves_at: None,
             tasks: BTreeMap::new(),
-            lists_all_tasks: false,
+            newest_is_heartbeat: false,
             in_doubt_start: None,
             starts_in_flight: 0,
-            answered_starts: BTreeSet::new(),
+            unconfirmed_starts: BTreeSet::new(),
             images: ImageCache::default(),
             unconfirmed_token: None,
-            answered_until: None,
-            lost_epoch_at: None,
+            renewal_expected_until: None,
+            lease_lost_at: None,
             failures: VecDeque::new(),
-            refusals: BTreeMap::new(),
+            excluded_jobs: BTreeMap::new(),
             stops_sent: BTreeMap::new(),
             speed: 1.0,
         }
     }
 
-    /// Takes a message in, unless a newer one is known. Messages can be minutes
-    /// late; the larger (epoch, sequence) is the newer.
+    /// Applies a message, unless a newer one was applied before; returns whether it was
+    /// applied. Messages can be minutes late; the one with the larger (epoch, sequence) is
+    /// the newer one.
     pub fn apply(&mut self, heartbeat: &Heartbeat, source: MessageSource, now: Instant) -> bool {
         if (heartbeat.epoch, heartbeat.sequence) <= (self.epoch, self.sequence) {
             return false;
@@ -180,27 +183,29 @@
             self.address = Some(heartbeat.address.clone());
         }
         self.leaves_at = heartbeat.notice.map(|notice| now + notice);
-        self.lists_all_tasks = source == MessageSource::Heartbeat;
+        self.newest_is_heartbeat = source == MessageSource::Heartbeat;
         self.unreachable = false;
         if source == MessageSource::Heartbeat {
             self.last_heartbeat = now;
             self.has_heartbeat = true;
-            self.answered_starts.clear();
+            self.unconfirmed_starts.clear();
         }
         self.observe_tasks(&heartbeat.tasks, now);
-        if self.all_commands_resolved() {
+        if self.all_starts_resolved() {
             self.in_doubt_start = None;
         }
         true
     }
 
-    /// The agent's lease has expired: its tasks are gone.
+    /// Resets what belongs to the previous epoch: the agent's lease expired, and the agent
+    /// terminated its tasks.
     fn end_epoch(&mut self, now: Instant) {
         self.tasks.clear();
         self.stops_sent.clear();
-        // Its lease ran out, but we have answered lately: it does not hear us.
-        if self.epoch.0 > 0 && self.answered_until.is_some_and(|until| now < until) {
-            self.lost_epoch_at = Some(now);
+        // The lease expired although a heartbeat was answered recently: the responses do not
+        // reach the agent.
+        if self.epoch.0 > 0 && self.renewal_expected_until.is_some_and(|until| now < until) {
+            self.lease_lost_at = Some(now);
         }
     }
 
@@ -214,7 +219,7 @@
         }
     }
 
-    /// Replaces what is known of the machine's tasks.
+    /// Replaces the listed tasks by those of a newer message.
     fn observe_tasks(&mut self, statuses: &[TaskStatus], now: Instant) {
         let old = std::mem::take(&mut self.tasks);
         for status in statuses {
@@ -236,14 +241,15 @@
             .retain(|task, _| statuses.iter().any(|status| status.task == *task));
     }
 
-    /// Number of its newest message within its epoch.
+    /// Sequence number of the newest message within the agent's epoch.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// What placed tasks that have ended still take by the cache: their room is
-    /// free as soon as they have, although their results are yet to be written.
-    pub fn freed(&self, load: &MachineLoad) -> Resources {
+    /// Returns the resources of placed tasks that have ended but that the state cache still
+    /// counts as running. They are free as soon as the task has ended, even though its
+    /// result is not committed yet.
+    pub fn freed_resources(&self, load: &MachineLoad) -> Resources {
         let mut freed = Resources::default();
         for (task, observed) in &self.tasks {
             if matches!(observed.state, TaskState::Exited(_))
@@ -257,68 +263,74 @@
         freed
     }
 
-    /// No command that we or an earlier owner sent can still be executed
-    /// unseen: every one carried a lower token than the agent knows, or was
-    /// answered.
-    pub fn all_commands_resolved(&self) -> bool {
-        self.token >= self.acquired
+    /// Whether no start of an earlier owner and no direct start of this owner can still be
+    /// executed unnoticed. Each one either got its response, or carried a fencing token that
+    /// the agent now rejects because it has seen a higher one.
+    pub fn all_starts_resolved(&self) -> bool {
+        self.token >= self.acquisition_token
             && self.starts_in_flight == 0
             && self
                 .in_doubt_start
                 .is_none_or(|start| self.token > start.token)
     }
 
-    /// A task that the newest message does not list is surely not there.
-    pub fn absence_is_proof(&self, task: &TaskId) -> bool {
-        self.lists_all_tasks && self.all_commands_resolved() && !self.answered_starts.contains(task)
+    /// Whether a task is certainly not on the machine if the newest message does not list
+    /// it. Otherwise a start of it may still be in flight.
+    pub fn is_absence_conclusive(&self, task: &TaskId) -> bool {
+        self.newest_is_heartbeat
+            && self.all_starts_resolved()
+            && !self.unconfirmed_starts.contains(task)
     }
 
-    /// Notes the starts in the answer to its newest heartbeat.
-    pub fn answer_starts(&mut self, commands: &[Command]) {
-        self.answered_starts
+    /// Notes the starts among the commands in the response to the newest heartbeat.
+    pub fn note_starts_in_response(&mut self, commands: &[Command]) {
+        self.unconfirmed_starts
             .extend(commands.iter().filter_map(|command| match command {
                 Command::Start { task, .. } => Some(task.clone()),
                 _ => None,
             }));
     }
 
-    /// A heartbeat is answered with this token. `interval`: the agents' longest
-    /// pause between two heartbeats, far below their lease.
-    pub fn note_answer(&mut self, token: Token, interval: Duration, now: Instant) {
-        self.answered_until = Some(now + interval);
+    /// Notes that a heartbeat is answered with this fencing token. `max_interval` is the
+    /// longest pause between two heartbeats of an agent, which is far shorter than the
+    /// agents' lease.
+    pub fn note_response(&mut self, token: Token, max_interval: Duration, now: Instant) {
+        self.renewal_expected_until = Some(now + max_interval);
         if self.token < token {
             self.unconfirmed_token
                 .get_or_insert(UnconfirmedToken { token, since: now });
         }
     }
 
-    /// Its heartbeats come, but nothing that we say reaches it: it does not show a
-    /// token that it was told `patience` ago, or its lease ran out while we
-    /// answered. It looks alive, and yet its tasks end with its lease.
-    pub fn is_command_path_lost(&self, patience: Duration, now: Instant) -> bool {
+    /// Whether the agent's heartbeats arrive but the responses to them do not reach it. This
+    /// is so if the agent does not report a fencing token that was sent more than `timeout`
+    /// ago, or if its lease expired recently although its heartbeats were answered. Such an
+    /// agent looks alive, but its tasks end when its lease expires.
+    pub fn is_command_path_lost(&self, timeout: Duration, now: Instant) -> bool {
         self.unconfirmed_token
-            .is_some_and(|unconfirmed| now.duration_since(unconfirmed.since) > patience)
+            .is_some_and(|unconfirmed| now.duration_since(unconfirmed.since) > timeout)
             || self
-                .lost_epoch_at
-                .is_some_and(|at| now.duration_since(at) < LOST_EPOCH_TTL)
+                .lease_lost_at
+                .is_some_and(|at| now.duration_since(at) < LEASE_LOSS_WINDOW)
     }
 
-    /// A direct start is on its way.
-    pub fn start_sent(&mut self) {
+    /// Notes that a direct start is sent.
+    pub fn note_start_sent(&mut self) {
         self.starts_in_flight += 1;
     }
 
-    /// A direct start got its answer, or will get none.
-    pub fn start_answered(&mut self) {
+    /// Notes that the request of a direct start has ended, with or without a response.
+    pub fn note_start_request_ended(&mut self) {
         self.starts_in_flight = self.starts_in_flight.saturating_sub(1);
     }
 
-    /// An earlier epoch's tasks are terminated.
+    /// Whether this epoch of the agent has ended, so that its tasks are terminated, and the
+    /// agent rejects commands of earlier owners.
     pub fn has_ended_epoch(&self, epoch: AgentEpoch) -> bool {
-        self.epoch > epoch && self.token >= self.acquired
+        self.epoch > epoch && self.token >= self.acquisition_token
     }
 
-    /// A direct start under this token got no answer.
+    /// Notes that a direct start with this fencing token got no response.
     pub fn note_start_in_doubt(&mut self, token: Token, now: Instant) {
         let token = self
             .in_doubt_start
@@ -326,17 +338,18 @@
         self.in_doubt_start = Some(InDoubtStart { token, since: now });
     }
 
-    /// A task with this image runs; the machine's cache has room for `cache_gb`.
+    /// Notes that a task with this image runs; `cache_gb` is the size of the machine's image
+    /// cache.
     pub fn note_image(&mut self, name: &ImageName, gb: f64, cache_gb: f64) {
         self.images.note_use(name, gb, cache_gb);
     }
 
-    /// The images that the machine should have.
+    /// The images that the machine is expected to have in its cache.
     pub fn images(&self) -> Arc<Vec<ImageName>> {
         self.images.names()
     }
 
-    /// A task of the job has failed here.
+    /// Notes that a task of the job has failed on this machine.
     pub fn note_failure(&mut self, job: &JobId, now: Instant) {
         let job = job.clone();
         self.failures.push_back(TaskFailure { job, at: now });
@@ -345,8 +358,8 @@
         }
     }
 
-    /// Whether so many jobs have failed here that the machine seems faulty. Jobs that
-    /// are to blame themselves do not count: they fail on every machine.
+    /// Whether tasks of so many jobs have failed on this machine that it is probably faulty.
+    /// Crash-looping jobs do not count, since they fail on every machine.
     pub fn is_quarantined(&self, now: Instant, is_crash_looping: impl Fn(&JobId) -> bool) -> bool {
         let mut jobs: Vec<&JobId> = self
             .failures
@@ -360,22 +373,25 @@
         jobs.len() >= QUARANTINE_AFTER_JOBS
     }
 
-    /// The job is not tried here again for a while.
-    pub fn refuse(&mut self, job: &JobId, until: Instant, now: Instant) {
-        if self.refusals.len() >= MAX_REFUSALS {
-            self.refusals.retain(|_, until| *until > now);
+    /// Excludes the job from this machine until a given time.
+    pub fn exclude_job(&mut self, job: &JobId, until: Instant, now: Instant) {
+        if self.excluded_jobs.len() >= MAX_EXCLUDED_JOBS {
+            self.excluded_jobs.retain(|_, until| *until > now);
         }
-        if self.refusals.len() < MAX_REFUSALS {
-            self.refusals.insert(job.clone(), until);
+        if self.excluded_jobs.len() < MAX_EXCLUDED_JOBS {
+            self.excluded_jobs.insert(job.clone(), until);
         }
     }
 
-    /// Whether the job is not tried here for now.
-    pub fn refuses(&self, job: &JobId, now: Instant) -> bool {
-        self.refusals.get(job).is_some_and(|until| *until > now)
+    /// Whether the job is excluded from this machine now.
+    pub fn excludes_job(&self, job: &JobId, now: Instant) -> bool {
+        self.excluded_jobs
+            .get(job)
+            .is_some_and(|until| *until > now)
     }
 
-    /// Since its last heartbeat, or since the machine came to us.
+    /// Time since the last heartbeat or, before the first one, since this owner acquired the
+    /// machine.
     pub fn time_since_heartbeat(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.last_heartbeat)
     }
--- a/src/coordination/agent_state/image_cache.rs
+++ b/src/coordination/agent_state/image_cache.rs
@@ -1,4 +1,5 @@
-//! The images that a machine should have, judged by the tasks that ran on it.
+//! The images that a machine is expected to have in its cache, derived from the tasks that
+//! ran on it.
 
 use std::sync::Arc;
 
@@ -11,17 +12,19 @@
     gb: f64,
 }
 
-/// A machine's cache of images, which keeps the most recently used ones.
+/// Model of a machine's image cache, which evicts the least recently used images.
 #[derive(Debug, Default)]
 pub(super) struct ImageCache {
-    /// The most recently used last.
+    /// The cached images, the most recently used last.
     images: Vec<CachedImage>,
-    /// Their names, shared with plans.
+    /// The names of `images` in the same order, shared with the users of
+    /// [`ImageCache::names`].
     names: Arc<Vec<ImageName>>,
 }
 
 impl ImageCache {
-    /// A task with this image runs; the cache has room for `cache_gb`.
+    /// Notes that a task with this image runs, and evicts images beyond the cache's size of
+    /// `cache_gb`.
     pub(super) fn note_use(&mut self, name: &ImageName, gb: f64, cache_gb: f64) {
         if self.images.last().is_some_and(|image| image.name == *name) {
             return;
@@ -37,7 +40,7 @@
         self.names = Arc::new(names.collect());
     }
 
-    /// The names of the images that are kept, the most recently used last.
+    /// The names of the cached images, the most recently used last.
     pub(super) fn names(&self) -> Arc<Vec<ImageName>> {
         self.names.clone()
     }
--- a/src/coordination/agent_state/tests.rs
+++ b/src/coordination/agent_state/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn late_messages_change_nothing() {
+async fn outdated_messages_are_ignored() {
     let now = Instant::now();
     let mut agent = AgentState::new(Token(5), now);
     assert!(agent.apply(&heartbeat(1, 7, 0), MessageSource::Heartbeat, now));
@@ -31,82 +31,91 @@
     assert!(agent.has_ended_epoch(AgentEpoch(1)));
 }
 
-/// Guards against a start of ours, or of an earlier owner, that sits in
-/// the network and is executed after we took the task for gone.
+/// Guards against a start of this or an earlier owner that is delayed in the network and
+/// executed after the owner has concluded that the task is not on the machine.
 #[tokio::test(start_paused = true)]
-async fn absence_proves_nothing_while_a_start_may_be_on_its_way() {
+async fn absence_is_inconclusive_while_a_start_may_be_in_flight() {
     let now = Instant::now();
     let mut agent = AgentState::new(Token(5), now);
-    let task = TaskId::parse("job-1/0").expect("a task");
+    let task = TaskId::parse("job-1/0").expect("valid task id");
     agent.apply(&heartbeat(1, 1, 4), MessageSource::Heartbeat, now);
-    assert!(!agent.absence_is_proof(&task), "an earlier holder's start");
+    assert!(
+        !agent.is_absence_conclusive(&task),
+        "a start of an earlier owner may be in flight"
+    );
     agent.apply(&heartbeat(1, 2, 5), MessageSource::Heartbeat, now);
-    assert!(agent.absence_is_proof(&task));
-    agent.answer_starts(&[Command::Start {
+    assert!(agent.is_absence_conclusive(&task));
+    agent.note_starts_in_response(&[Command::Start {
         task: task.clone(),
         attempt: Attempt(1),
     }]);
-    assert!(!agent.absence_is_proof(&task), "told in the last answer");
+    assert!(
+        !agent.is_absence_conclusive(&task),
+        "the start is in the last response"
+    );
     agent.apply(&heartbeat(1, 3, 5), MessageSource::Heartbeat, now);
-    assert!(agent.absence_is_proof(&task));
-    agent.start_sent();
-    assert!(!agent.absence_is_proof(&task), "a direct start on its way");
-    agent.start_answered();
+    assert!(agent.is_absence_conclusive(&task));
+    agent.note_start_sent();
+    assert!(
+        !agent.is_absence_conclusive(&task),
+        "a direct start is in flight"
+    );
+    agent.note_start_request_ended();
     agent.note_start_in_doubt(Token(5), now);
     agent.apply(&heartbeat(1, 4, 5), MessageSource::Heartbeat, now);
-    assert!(!agent.absence_is_proof(&task), "our own unanswered start");
+    assert!(
+        !agent.is_absence_conclusive(&task),
+        "a direct start got no response"
+    );
     agent.apply(&heartbeat(1, 5, 6), MessageSource::Direct, now);
     assert!(
-        !agent.absence_is_proof(&task),
-        "an answer of ours may be on its way"
+        !agent.is_absence_conclusive(&task),
+        "a response to a heartbeat may be in flight"
     );
     agent.apply(&heartbeat(1, 6, 6), MessageSource::Heartbeat, now);
-    assert!(agent.absence_is_proof(&task));
+    assert!(agent.is_absence_conclusive(&task));
 }
 
-/// Guards against a machine that looks alive and can't be told anything.
+/// Guards against a machine that counts as healthy because its heartbeats arrive, although
+/// no response reaches its agent.
 #[tokio::test(start_paused = true)]
-async fn an_agent_that_shows_no_token_has_lost_its_command_path() {
+async fn an_agent_that_does_not_report_the_sent_token_has_lost_its_command_path() {
     let now = Instant::now();
-    let patience = Duration::from_secs(9);
+    let timeout = Duration::from_secs(9);
     let mut agent = AgentState::new(Token(5), now);
     agent.apply(&heartbeat(1, 1, 4), MessageSource::Heartbeat, now);
-    agent.note_answer(Token(5), INTERVAL, now);
-    agent.apply(
-        &heartbeat(1, 2, 4),
-        MessageSource::Heartbeat,
-        now + patience,
-    );
-    agent.note_answer(Token(6), INTERVAL, now + patience);
-    assert!(!agent.is_command_path_lost(patience, now + patience));
-    assert!(agent.is_command_path_lost(patience, now + patience * 2));
-    // A later token does as well.
+    agent.note_response(Token(5), INTERVAL, now);
+    agent.apply(&heartbeat(1, 2, 4), MessageSource::Heartbeat, now + timeout);
+    agent.note_response(Token(6), INTERVAL, now + timeout);
+    assert!(!agent.is_command_path_lost(timeout, now + timeout));
+    assert!(agent.is_command_path_lost(timeout, now + timeout * 2));
+    // Reporting a later token than the one that was sent first also confirms the path.
     agent.apply(
         &heartbeat(1, 3, 6),
         MessageSource::Heartbeat,
-        now + patience * 2,
+        now + timeout * 2,
     );
-    assert!(!agent.is_command_path_lost(patience, now + patience * 2));
+    assert!(!agent.is_command_path_lost(timeout, now + timeout * 2));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lease_that_runs_out_under_our_answers_is_no_health() {
+async fn an_agent_whose_lease_expires_despite_responses_has_lost_its_command_path() {
     let now = Instant::now();
-    let patience = Duration::from_secs(9);
+    let timeout = Duration::from_secs(9);
     let mut agent = AgentState::new(Token(5), now);
     agent.apply(&heartbeat(1, 1, 5), MessageSource::Heartbeat, now);
-    // We were away for long: nothing wrong with the agent.
-    agent.note_answer(Token(5), INTERVAL, now);
+    // The last response is too old to have kept the lease: the command path may be fine.
+    agent.note_response(Token(5), INTERVAL, now);
     let later = now + INTERVAL * 2;
     agent.apply(&heartbeat(2, 1, 5), MessageSource::Heartbeat, later);
-    assert!(!agent.is_command_path_lost(patience, later));
-    agent.note_answer(Token(5), INTERVAL, later);
+    assert!(!agent.is_command_path_lost(timeout, later));
+    agent.note_response(Token(5), INTERVAL, later);
     agent.apply(
         &heartbeat(3, 1, 5),
         MessageSource::Heartbeat,
         later + Duration::from_secs(4),
     );
-    assert!(agent.is_command_path_lost(patience, later + Duration::from_secs(4)));
+    assert!(agent.is_command_path_lost(timeout, later + Duration::from_secs(4)));
 }
 
 #[tokio::test(start_paused = true)]
@@ -127,7 +136,7 @@
 fn the_cache_keeps_the_latest_images() {
     tokio::runtime::Builder::new_current_thread()
         .build()
-        .expect("a runtime")
+        .expect("runtime builds")
         .block_on(async {
             let mut agent = AgentState::new(Token(0), Instant::now());
             for (name, gb) in [("a", 3.0), ("b", 3.0), ("a", 3.0), ("c", 5.0)] {
--- a/src/coordination/owner/candidates.rs
+++ b/src/coordination/owner/candidates.rs
@@ -1,4 +1,4 @@
-//! The machines of our shards that may take tasks now.
+//! Selects the machines of this owner's shards on which tasks may be placed now.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
     },
 };
 
-/// A machine takes no tasks after so many heartbeat intervals without a heartbeat.
-const MAX_SILENCE_INTERVALS: f64 = 1.5;
+/// Number of heartbeat intervals without a heartbeat after which a machine takes no tasks.
+const MAX_HEARTBEAT_AGE_INTERVALS: f64 = 1.5;
 
 impl ShardOwner {
-    /// Free room on our machines, as far as it may be used now.
+    /// Returns the machines with free resources on which tasks may be placed now.
     pub(super) fn candidates(
         &self,
         state: &OwnerState,
@@ -36,7 +36,7 @@
                 if *usage == MachineUse::Cordoned || !self.may_take_tasks(state, agent, now) {
                     return None;
                 }
-                let room = free_room(machine_type, agent, cache.on_machine.get(id));
+                let room = free_resources(machine_type, agent, cache.on_machine.get(id));
                 if room.cpus < AMOUNT_SLACK {
                     return None;
                 }
@@ -59,13 +59,16 @@
             .collect()
     }
 
-    /// Whether an agent is up, hears our commands and has nothing in doubt, on a machine
-    /// that stays and is not quarantined.
+    /// Whether tasks may be placed on the agent's machine: the agent sends heartbeats and
+    /// receives commands, no start on it is in doubt, and the machine is neither quarantined
+    /// nor about to be reclaimed by the cloud.
     fn may_take_tasks(&self, state: &OwnerState, agent: &AgentState, now: Instant) -> bool {
         let config = &self.context.config;
-        let max_silence = config.heartbeat_interval.mul_f64(MAX_SILENCE_INTERVALS);
+        let max_heartbeat_age = config
+            .heartbeat_interval
+            .mul_f64(MAX_HEARTBEAT_AGE_INTERVALS);
         agent.has_heartbeat
-            && agent.time_since_heartbeat(now) <= max_silence
+            && agent.time_since_heartbeat(now) <= max_heartbeat_age
             && !agent.unreachable
             && agent.in_doubt_start.is_none()
             && agent.leaves_at.is_none()
@@ -74,8 +77,8 @@
     }
 }
 
-/// What no placed task takes of a machine; the room of ended ones is free.
-fn free_room(
+/// Returns the resources of a machine that no placed task uses; those of ended tasks are free.
+fn free_resources(
     machine_type: &MachineType,
     agent: &AgentState,
     load: Option<&MachineLoad>,
@@ -83,7 +86,7 @@
     let mut room = machine_type.size;
     if let Some(load) = load {
         room -= load.taken;
-        room += agent.freed(load);
+        room += agent.freed_resources(load);
     }
     room
 }
--- a/src/coordination/owner/commands.rs
+++ b/src/coordination/owner/commands.rs
@@ -1,4 +1,4 @@
-//! Commands sent directly to agents, and probes of unresponsive ones.
+//! Sends commands directly to agents, and probes agents whose heartbeats are missing.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,37 +14,40 @@
     storage::{AgentEpoch, MachineId, StateCache, Token},
 };
 
-/// Unresponsive machines probed at a time.
+/// Maximum number of machines probed at a time.
 const MAX_PROBES: usize = 48;
-/// Pause between two looks for machines to probe.
-const PROBE_PAUSE: Duration = Duration::from_millis(700);
-/// A machine is probed again after this long.
+/// Pause between two searches for machines to probe.
+const PROBE_SCAN_INTERVAL: Duration = Duration::from_millis(700);
+/// Minimum time between two probes of one machine.
 const REPROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// A heartbeat is missing after this many heartbeat intervals.
-const MISSING_AFTER_INTERVALS: f64 = 1.3;
+/// Number of heartbeat intervals without a heartbeat after which a machine is probed.
+const MISSING_HEARTBEAT_INTERVALS: f64 = 1.3;
 
-/// Commands for one agent, with what it needs to check them.
+/// Commands for one agent, with its address and the fencing token and epoch by which the
+/// agent decides whether to execute them.
 struct AddressedCommands {
     machine: MachineId,
     address: String,
     token: Token,
     epoch: AgentEpoch,
     commands: Vec<Command>,
-    /// They start tasks: without an answer these starts are in doubt.
+    /// Whether the commands start tasks. If there is no response, these starts are in doubt.
     has_starts: bool,
 }
 
-/// A machine to be probed, with its agent's address if that is known.
+/// A machine to be probed, with the address of its agent if it is known.
 struct ProbeTarget {
     machine: MachineId,
     address: Option<String>,
 }
 
 impl ShardOwner {
-    /// Sends commands directly; the next answer to a heartbeat repeats them. A
-    /// start is for the epoch that its placement names: executed in a later
-    /// one, it would run although the placement counts as gone. `start_epoch`: that epoch;
-    /// none: the commands start nothing, and are for the agent's present epoch.
+    /// Sends commands directly to an agent; the response to its next heartbeat repeats them.
+    ///
+    /// `start_epoch` is the epoch of the placements if the commands start tasks: a task that
+    /// started in a later epoch would run although its placement counts as terminated.
+    /// `None` means that the commands start no tasks and are valid in the agent's present
+    /// epoch.
     pub(super) fn send_commands(
         self: &Arc<Self>,
         machine: MachineId,
@@ -56,8 +59,8 @@
         };
         let owner = self.clone();
         tokio::spawn(async move {
-            let answer = {
-                // Bounds the sockets that commands take.
+            let response = {
+                // Limits the number of sockets that commands use.
                 let _permit = owner.commands_in_flight.acquire().await;
                 owner
                     .context
@@ -70,12 +73,13 @@
                     )
                     .await
             };
-            owner.note_command_answer(&addressed, answer);
+            owner.handle_command_response(&addressed, response);
         });
     }
 
-    /// Addresses commands to the agent of a machine of ours, and counts starts among them
-    /// as under way; none if the machine is not ours or its agent is not known.
+    /// Addresses commands to the agent of one of this owner's machines, and counts the
+    /// request as in flight if it has starts. Returns `None` if this process does not own the
+    /// machine, or the address of its agent is not known.
     fn address_commands(
         &self,
         machine: MachineId,
@@ -89,7 +93,7 @@
         let address = agent.address.clone()?;
         let has_starts = start_epoch.is_some();
         if has_starts {
-            agent.start_sent();
+            agent.note_start_sent();
         }
         Some(AddressedCommands {
             address,
@@ -101,11 +105,11 @@
         })
     }
 
-    /// Applies the agent's answer, or notes that starts are in doubt without one.
-    fn note_command_answer(
+    /// Applies the agent's response. Without one, the starts of the request are in doubt.
+    fn handle_command_response(
         &self,
         sent: &AddressedCommands,
-        answer: Result<CommandResponse, NoAnswer>,
+        response: Result<CommandResponse, NoAnswer>,
     ) {
         let AddressedCommands { machine, token, .. } = sent;
         let now = Instant::now();
@@ -115,14 +119,14 @@
             return;
         };
         if sent.has_starts {
-            agent.start_answered();
+            agent.note_start_request_ended();
         }
-        match answer {
-            Ok(answer) => {
-                if !answer.executed {
+        match response {
+            Ok(response) => {
+                if !response.executed {
                     tracing::debug!(%machine, %token, "commands not executed");
                 }
-                agent.apply(&answer.heartbeat, MessageSource::Direct, now);
+                agent.apply(&response.heartbeat, MessageSource::Direct, now);
                 self.note_results(&mut state, &cache, machine, now);
                 drop(state);
                 drop(cache);
@@ -137,9 +141,9 @@
         }
     }
 
-    /// Duty: probes machines whose heartbeats are missing.
+    /// Probes machines whose heartbeats are missing, until the controller stops.
     pub(in crate::coordination) async fn probe_unresponsive(&self) {
-        while self.context.pause(PROBE_PAUSE).await {
+        while self.context.pause(PROBE_SCAN_INTERVAL).await {
             let targets = {
                 let cache = self.context.store.cache();
                 self.probe_targets(&cache)
@@ -149,13 +153,13 @@
         }
     }
 
-    /// The machines whose heartbeats are missing and that were not probed lately; they
-    /// count as probed from now on.
+    /// Returns the machines whose heartbeats are missing and that were not probed recently,
+    /// and marks them as probed now.
     fn probe_targets(&self, cache: &StateCache) -> Vec<ProbeTarget> {
         let now = Instant::now();
         let mut state = lock(&self.state);
         let heartbeat_interval = self.context.config.heartbeat_interval;
-        let missing_after = heartbeat_interval.mul_f64(MISSING_AFTER_INTERVALS);
+        let missing_after = heartbeat_interval.mul_f64(MISSING_HEARTBEAT_INTERVALS);
         state
             .agents
             .iter_mut()
@@ -180,17 +184,18 @@
             .collect()
     }
 
+    /// Probes one agent, and applies its response or marks it as unreachable.
     async fn probe(&self, target: ProbeTarget) {
-        // Never seen up: it is booting, and the leader minds that.
+        // Without an address the machine is still booting; the leader handles boot timeouts.
         let Some(address) = target.address else {
             return;
         };
-        let answer = self.context.agent_client.inspect(&address).await;
+        let response = self.context.agent_client.inspect(&address).await;
         let mut state = lock(&self.state);
         let Some(agent) = state.agents.get_mut(&target.machine) else {
             return;
         };
-        match answer {
+        match response {
             Ok(heartbeat) => {
                 agent.apply(&heartbeat, MessageSource::Direct, Instant::now());
                 agent.unreachable = false;
--- a/src/coordination/owner/commits.rs
+++ b/src/coordination/owner/commits.rs
@@ -1,7 +1,8 @@
-//! Writes what a round of the owner has planned, and sends the starts that follow.
+//! Commits the changes that a round of the owner has planned, and sends the starts of the
+//! committed placements.
 //!
-//! `record_writes` has the part of a transaction for each record; this module puts them in
-//! order, joins them into transactions and commits these.
+//! `record_writes` builds the transaction part for each record; this module orders the parts,
+//! groups them into transactions and commits these.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -19,16 +20,19 @@
     },
 };
 
-/// Run records in one transaction at most, for the service's 64 KiB.
+/// Maximum number of run records in one transaction, because of the state service's limit of
+/// 64 KiB.
 const RECORDS_PER_COMMIT: usize = 12;
 
-/// ... of idle work, so that what comes next for others waits no longer than for these.
+/// Maximum number of run records in one transaction of idle work. It is smaller, because the
+/// next commit of other work waits for such a transaction.
 const IDLE_RECORDS_PER_COMMIT: usize = 4;
-/// Part of a second's worth of changes that must be left for idle work to be written.
-const IDLE_WORK_MIN_SPARE: f64 = 0.5;
-/// Idle work gets a commit at least this often, however much others write.
+/// Spare writes that must be left for idle work to be committed, as a fraction of the writes
+/// of one second.
+const IDLE_WORK_MIN_SPARE_WRITES: f64 = 0.5;
+/// Maximum delay of a commit of idle work because of other writes.
 const IDLE_WORK_MAX_DELAY: Duration = Duration::from_secs(2);
-/// Pause after a commit that failed for another reason than its conditions.
+/// Pause after a commit that failed for another reason than a conflict.
 const FAILED_COMMIT_PAUSE: Duration = Duration::from_millis(100);
 
 /// The change of a run record, with its part of a transaction.
@@ -37,46 +41,46 @@
     change: RecordChange,
 }
 
-/// Which changes are written first; the least is the most pressing.
+/// The order in which changes are committed, the most urgent first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// Replicas of services wait to be placed.
+    /// Places replicas of services.
     PlacesProduction,
-    /// Users hear that a job is done.
+    /// Completes a job, so that its user sees the outcome.
     FinishesJob,
-    /// Other tasks wait to be placed.
+    /// Places other tasks.
     Places,
-    /// Results that nothing waits for.
+    /// Writes only results, for which nothing waits.
     Results,
-    /// Whatever it says of idle work.
+    /// Any change of idle work.
     IdleWork,
 }
 
-/// What has become of a group of changes that were committed together.
+/// The outcome of committing a group of changes together.
 enum GroupOutcome {
-    /// The changes that could be are written.
+    /// All changes of the group are committed, except conflicting ones.
     Written,
-    /// The round is over: what follows is planned anew.
+    /// The round must end; the remaining changes are planned again in the next one.
     EndsRound,
 }
 
 fn urgency(change: &RecordChange, priority: Option<Priority>) -> Urgency {
     match priority {
-        Some(_) if change.idle_work => Urgency::IdleWork,
-        _ if change.finishes => Urgency::FinishesJob,
-        Some(Priority::Production) if change.places => Urgency::PlacesProduction,
-        _ if change.places => Urgency::Places,
+        Some(_) if change.is_idle_work => Urgency::IdleWork,
+        _ if change.finishes_job => Urgency::FinishesJob,
+        Some(Priority::Production) if change.has_placements => Urgency::PlacesProduction,
+        _ if change.has_placements => Urgency::Places,
         _ => Urgency::Results,
     }
 }
 
-/// Puts the most pressing changes first.
+/// Sorts the most urgent changes first.
 fn sort_by_urgency(writes: &mut [PlannedWrite], cache: &StateCache) {
     writes.sort_by_cached_key(|write| {
         let job = cache.jobs.get(&write.change.id);
         let spec = job.and_then(|job| job.spec());
         let priority = spec.map(|spec| spec.priority);
-        // Urgent jobs are young: by age alone they would come last.
+        // Sorted by age alone, urgent jobs would come last, since they are usually the newest.
         (
             urgency(&write.change, priority),
             std::cmp::Reverse(priority),
@@ -86,8 +90,8 @@
 }
 
 impl ShardOwner {
-    /// Writes what it can of the changes: the most pressing first, and no more
-    /// than the state service's limits allow now. The rest is planned again.
+    /// Commits the planned changes, the most urgent first, as far as the state service's rate
+    /// limits allow now. The others are planned again in the next round.
     pub(super) async fn commit_changes(self: &Arc<Self>, changes: PlannedChanges) {
         let mut writes: Vec<PlannedWrite> = Vec::new();
         let allocation = {
@@ -96,7 +100,7 @@
                 return;
             };
             for mut change in changes.0.into_values() {
-                if let Some(transaction) = self.write_job(&cache, &mut change) {
+                if let Some(transaction) = self.record_transaction(&cache, &mut change) {
                     writes.push(PlannedWrite {
                         transaction,
                         change,
@@ -107,7 +111,7 @@
             allocation.revision
         };
         while let Some(first) = writes.first() {
-            if first.change.idle_work && !self.may_write_idle_work() {
+            if first.change.is_idle_work && !self.may_write_idle_work() {
                 return;
             }
             let group = self.next_group(&mut writes);
@@ -128,34 +132,36 @@
         }
     }
 
-    /// Whether a commit for idle work may be made now: it uses what others leave of the
-    /// state service's changes, as it does of machines. An array of 25,000 short tasks
-    /// took all of them for half a minute, in which replicas waited to be placed.
+    /// Whether changes of idle work may be committed now. Idle work uses only the writes of the
+    /// state service that other work leaves, as it does with machines. Without this limit an
+    /// array of 25,000 short tasks used all of the writes for half a minute, in which replicas
+    /// of services waited to be placed.
     fn may_write_idle_work(&self) -> bool {
         let now = Instant::now();
         let mut state = lock(&self.state);
         let delayed_since = *state.idle_work_delayed_since.get_or_insert(now);
         let is_due = now.duration_since(delayed_since) >= IDLE_WORK_MAX_DELAY;
-        // Only looked at: a call that had to wait would make this controller try for more
-        // than its part of the changes, at the others' expense.
-        if !is_due && self.context.store.spare_writes() < IDLE_WORK_MIN_SPARE {
+        // Reads the spare writes rather than asking the rate limiter for one: if the call had
+        // to wait, this controller would try for more than its share of the writes, at the
+        // expense of the other controllers.
+        if !is_due && self.context.store.spare_writes() < IDLE_WORK_MIN_SPARE_WRITES {
             return false;
         }
         state.idle_work_delayed_since = None;
         true
     }
 
-    /// The first write with others that go in one transaction with it. One that
-    /// may well be refused goes alone: all that is in a refused transaction counts
-    /// against the limit of changes.
+    /// Removes and returns the first write, with others that fit into one transaction with it.
+    /// A write that is likely to conflict is committed alone, since all changes of a refused
+    /// transaction count against the state service's limit.
     fn next_group(&self, writes: &mut Vec<PlannedWrite>) -> Vec<PlannedWrite> {
         let first = writes.remove(0);
         if first.change.shared {
             return vec![first];
         }
-        let (fenced, idle_work) = (first.change.fenced, first.change.idle_work);
+        let (fenced, is_idle_work) = (first.change.fenced, first.change.is_idle_work);
         let changes_per_transaction = self.context.config.state.txn_ops;
-        let max_ops = changes_per_transaction.min(if idle_work {
+        let max_ops = changes_per_transaction.min(if is_idle_work {
             IDLE_RECORDS_PER_COMMIT
         } else {
             RECORDS_PER_COMMIT
@@ -171,7 +177,7 @@
                 change,
             } = &writes[index];
             let is_alike =
-                change.fenced == fenced && !change.shared && change.idle_work == idle_work;
+                change.fenced == fenced && !change.shared && change.is_idle_work == is_idle_work;
             if is_alike
                 && ops + transaction.ops.len() <= max_ops
                 && conditions + transaction.conditions.len() <= max_conditions
@@ -186,8 +192,9 @@
         group
     }
 
-    /// Commits a group; a conflicting write is left out and the others go on.
-    /// `allocation` is our allocation's revision as the plan saw it.
+    /// Commits a group. After a conflict the conflicting writes are dropped and the others are
+    /// committed again. `allocation` is the revision of the quota allocation in the plan's view
+    /// of the cache.
     async fn commit_group(
         self: &Arc<Self>,
         allocation: Revision,
@@ -210,7 +217,7 @@
                 Err(CommitError::Conflict(failed_keys)) => {
                     tracing::debug!(keys = ?failed_keys, "commit conflict");
                     if failed_keys.contains(&keys::allocation(&self.context.config.name)) {
-                        // The leader has changed our budgets: plan again on them.
+                        // The leader has changed the budgets: plan again with the new ones.
                         self.context.store.read_barrier().await;
                         self.context.owner_wakeup.notify_one();
                         return GroupOutcome::EndsRound;
@@ -235,7 +242,8 @@
         GroupOutcome::Written
     }
 
-    /// One transaction for the group; on the condition of our allocation if it is fenced.
+    /// Builds one transaction for the group, conditional on the quota allocation if the group
+    /// is fenced.
     fn group_transaction(
         &self,
         allocation: Revision,
@@ -253,27 +261,29 @@
         transaction
     }
 
-    /// A job of ours turned out to be over.
+    /// Looks up the outcomes of the jobs among the conflicting keys, which are over, and drops
+    /// the offers of their tasks.
     async fn look_up_outcomes(&self, failed_keys: &[String]) {
         self.context.store.read_barrier().await;
         for key in failed_keys {
             if let Some(keys::Key::JobOutcome(job)) = keys::Key::parse(key) {
-                // Known or not, the offer is void; an outcome that cannot be read now is
-                // looked up again when a user asks.
+                // The offer is void even if the outcome cannot be read now; it is looked up
+                // again when a user asks for it.
                 let _ = self.context.store.look_up_outcome(&job).await;
                 lock(&self.state).offers.remove(&job);
             }
         }
     }
 
-    /// Learns from the ends that are written now, and sends the starts whose placements are.
+    /// Learns from the task ends that are committed now, and sends the starts of the placements
+    /// that are committed now.
     fn dispatch_starts(self: &Arc<Self>, group: Vec<PlannedWrite>) {
         let mut starts: BTreeMap<(MachineId, AgentEpoch), Vec<Command>> = BTreeMap::new();
         {
             let cache = self.context.store.cache();
             let mut state = lock(&self.state);
             for PlannedWrite { change, .. } in group {
-                for end in &change.ends {
+                for end in &change.task_ends {
                     self.learn_from(&mut state, &cache, end);
                 }
                 for start in change.starts {
--- a/src/coordination/owner/failing_jobs.rs
+++ b/src/coordination/owner/failing_jobs.rs
@@ -1,5 +1,5 @@
-//! Jobs whose tasks fail: how long they pause, and whether they or their machines are to
-//! blame.
+//! Tracks jobs whose tasks fail: how long they back off, and whether the job or its machines
+//! cause the failures.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,74 +13,77 @@
     storage::{JobId, MachineId, StateCache},
 };
 
-/// Failing jobs remembered; beyond this the one whose pause ends first is forgotten, and
-/// is tried again sooner.
-const MAX_JOBS: usize = 1_024;
-/// Machines of one failing job remembered: more than it takes to blame it.
-const MAX_MACHINES: usize = 16;
-/// A job of which nothing has ever been done is to blame once it has failed on so many
-/// machines.
+/// Maximum number of failing jobs tracked. Beyond it the job whose backoff ends first is
+/// forgotten, so that it is retried sooner.
+const MAX_TRACKED_JOBS: usize = 1_024;
+/// Maximum number of machines tracked for one failing job; more than
+/// [`CRASH_LOOP_AFTER_MACHINES`].
+const MAX_TRACKED_MACHINES: usize = 16;
+/// Number of machines with failures from which a job counts as crash-looping, if none of its
+/// tasks has ever completed.
 const CRASH_LOOP_AFTER_MACHINES: usize = 2;
-/// The longest pause between two attempts. Well below 90 s, so that a job that can run
-/// again does not wait that long beside free room.
-const MAX_PAUSE: Duration = Duration::from_secs(60);
-/// A job that is to blame is tried with one task for this long after its pause.
+/// Maximum backoff between two attempts. It is well below 90 s, so that a job that can run
+/// again does not wait that long although there are free resources for it.
+const MAX_BACKOFF: Duration = Duration::from_secs(60);
+/// How long after its backoff a crash-looping job may have only one task placed.
 const PROBATION_PERIOD: Duration = Duration::from_secs(15);
 
-/// Pause before a job that failed is tried again: 1 s, 2 s, 4 s … 60 s.
-fn failure_pause(rounds: u32) -> Duration {
-    Duration::from_secs(1 << rounds.saturating_sub(1).min(6)).min(MAX_PAUSE)
+/// Backoff before a job is tried again after failed attempts: 1 s, 2 s, 4 s … 60 s.
+fn failure_backoff(failed_attempts: u32) -> Duration {
+    Duration::from_secs(1 << failed_attempts.saturating_sub(1).min(6)).min(MAX_BACKOFF)
 }
 
-/// A job whose tasks have failed here lately.
+/// A job with recent task failures on this owner's machines.
 #[derive(Debug)]
 struct FailingJob {
-    /// Machines on which they have failed.
+    /// Machines on which its tasks have failed.
     machines: BTreeSet<MachineId>,
-    /// Failures seen here.
+    /// Number of task failures on this owner's machines.
     failures: u64,
-    /// Attempts that failed; tasks that were tried together count once.
-    rounds: u32,
-    /// The end of its pause.
-    paused_until: Instant,
-    /// Its user submitted it with a mistake, as far as can be told: machines are not
-    /// judged by it. Remembered when the job is over, as long as its failures count.
+    /// Number of failed attempts; failures of tasks that were tried together count once.
+    failed_attempts: u32,
+    /// The end of its backoff.
+    backoff_until: Instant,
+    /// Whether the job itself probably causes its failures, for example by a mistake in its
+    /// specification, so that they do not count against the machines. This is remembered after
+    /// the job is over, for as long as its failures count.
     is_crash_looping: bool,
 }
 
-/// The jobs that have failed lately on the machines of one owner.
+/// The jobs with recent task failures on the machines of one owner.
 #[derive(Debug, Default)]
 pub(super) struct FailingJobs(BTreeMap<JobId, FailingJob>);
 
 impl FailingJobs {
-    /// A task of the job has failed on this machine.
-    pub(super) fn failed(&mut self, job: &JobId, machine: &MachineId, now: Instant) {
-        self.make_room(now);
+    /// Records that a task of the job has failed on this machine.
+    pub(super) fn record_failure(&mut self, job: &JobId, machine: &MachineId, now: Instant) {
+        self.evict_if_full(now);
         let failing = self.0.entry(job.clone()).or_insert(FailingJob {
             machines: BTreeSet::new(),
             failures: 0,
-            rounds: 0,
-            paused_until: now,
+            failed_attempts: 0,
+            backoff_until: now,
             is_crash_looping: false,
         });
-        if failing.machines.len() < MAX_MACHINES {
+        if failing.machines.len() < MAX_TRACKED_MACHINES {
             failing.machines.insert(machine.clone());
         }
         failing.failures += 1;
-        if failing.paused_until <= now {
-            failing.rounds += 1;
-            failing.paused_until = now + failure_pause(failing.rounds);
+        if failing.backoff_until <= now {
+            failing.failed_attempts += 1;
+            failing.backoff_until = now + failure_backoff(failing.failed_attempts);
         }
     }
 
-    /// A task of the job has completed: it need not pause any more.
-    pub(super) fn succeeded(&mut self, job: &JobId) {
+    /// Records that a task of the job has completed, which ends the job's backoff.
+    pub(super) fn record_success(&mut self, job: &JobId) {
         self.0.remove(job);
     }
 
-    /// Finds the jobs that are to blame themselves. Other owners' failures show in the
-    /// job's records: more attempts have ended there than failed here.
-    pub(super) fn judge(&mut self, cache: &StateCache) {
+    /// Determines which jobs are crash-looping. Failures on other owners' machines are counted
+    /// by the job's run records: there are some if more attempts have ended there than tasks
+    /// have failed on this owner's machines.
+    pub(super) fn detect_crash_loops(&mut self, cache: &StateCache) {
         for (id, failing) in self
             .0
             .iter_mut()
@@ -100,52 +103,52 @@
         }
     }
 
-    /// Whether the job itself is to blame for its failures.
+    /// Whether the job itself probably causes its failures.
     pub(super) fn is_crash_looping(&self, job: &JobId) -> bool {
         self.0
             .get(job)
             .is_some_and(|failing| failing.is_crash_looping)
     }
 
-    /// Whether only one task of the job may be there at a time: the others would most
-    /// probably fail with it.
+    /// Whether only one task of the job may be placed at a time, since the others would most
+    /// probably fail as well.
     pub(super) fn is_on_probation(&self, job: &JobId, now: Instant) -> bool {
         let failing = self.0.get(job);
         failing.is_some_and(|failing| {
-            failing.is_crash_looping && now < failing.paused_until + PROBATION_PERIOD
+            failing.is_crash_looping && now < failing.backoff_until + PROBATION_PERIOD
         })
     }
 
-    /// The jobs that fail on several machines, with what is left of their pauses; none is
-    /// left while a job is on probation.
-    pub(super) fn paused(&self, now: Instant) -> Vec<(JobId, Duration)> {
-        let several = self.0.iter().filter(|(job, failing)| {
-            let is_paused =
-                failing.machines.len() >= CRASH_LOOP_AFTER_MACHINES && failing.paused_until > now;
-            is_paused || self.is_on_probation(job, now)
+    /// Returns the jobs that fail on several machines, with the rest of their backoff. It is
+    /// zero for a job on probation whose backoff is over.
+    pub(super) fn backing_off(&self, now: Instant) -> Vec<(JobId, Duration)> {
+        let affected = self.0.iter().filter(|(job, failing)| {
+            let is_backing_off =
+                failing.machines.len() >= CRASH_LOOP_AFTER_MACHINES && failing.backoff_until > now;
+            is_backing_off || self.is_on_probation(job, now)
         });
-        several
+        affected
             .map(|(job, failing)| {
                 (
                     job.clone(),
-                    failing.paused_until.saturating_duration_since(now),
+                    failing.backoff_until.saturating_duration_since(now),
                 )
             })
             .collect()
     }
 
-    /// Forgets jobs, so that another one can be remembered.
-    fn make_room(&mut self, now: Instant) {
-        if self.0.len() < MAX_JOBS {
+    /// Forgets jobs if the maximum is reached, so that another one can be tracked.
+    fn evict_if_full(&mut self, now: Instant) {
+        if self.0.len() < MAX_TRACKED_JOBS {
             return;
         }
         self.0
-            .retain(|_, failing| now < failing.paused_until + FAILURE_WINDOW);
-        if self.0.len() >= MAX_JOBS {
+            .retain(|_, failing| now < failing.backoff_until + FAILURE_WINDOW);
+        if self.0.len() >= MAX_TRACKED_JOBS {
             let first = self
                 .0
                 .iter()
-                .min_by_key(|(_, failing)| failing.paused_until);
+                .min_by_key(|(_, failing)| failing.backoff_until);
             if let Some(job) = first.map(|(job, _)| job.clone()) {
                 self.0.remove(&job);
             }
--- a/src/coordination/owner/heartbeats.rs
+++ b/src/coordination/owner/heartbeats.rs
@@ -1,10 +1,11 @@
-//! Applies heartbeats of the agents on owned machines, and decides what they are told.
+//! Applies heartbeats of the agents on owned machines, and chooses the commands in the
+//! responses.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use tokio::time::Instant;
 
-use super::{OwnerState, ShardOwner, stops::grace};
+use super::{OwnerState, ShardOwner, stops::stop_grace_period};
 use crate::{
     coordination::{
         agent_state::{AgentState, MessageSource, ObservedTask},
@@ -14,12 +15,13 @@
     storage::{Attempt, MachineId, StateCache, TaskId, Token, state_cache::PlacedTask},
 };
 
-/// Commands in one answer; the rest follow with the next.
+/// Maximum number of commands in one response; the next response has the rest.
 const MAX_COMMANDS: usize = 400;
 
 impl ShardOwner {
-    /// Applies a heartbeat of an agent whose machine this process owns, under `token`, and
-    /// answers it with the agent's next commands.
+    /// Applies a heartbeat of an agent whose machine this process owns, and returns the
+    /// response with the agent's next commands. `token` is this owner's fencing token for the
+    /// machine's shard.
     pub(in crate::coordination) fn accept_heartbeat(
         &self,
         cache: &StateCache,
@@ -28,12 +30,12 @@
     ) -> HeartbeatResponse {
         let now = Instant::now();
         let mut state = lock(&self.state);
-        let acquired = Token::from(cache.owned_since(&heartbeat.machine));
-        // It went away and came back before our loop noticed.
+        let acquisition_token = Token::from(cache.owned_since(&heartbeat.machine));
+        // The machine was lost and acquired anew before the owner's loop noticed.
         if state
             .agents
             .get(&heartbeat.machine)
-            .is_some_and(|agent| agent.acquired != acquired)
+            .is_some_and(|agent| agent.acquisition_token != acquisition_token)
         {
             state.agents.remove(&heartbeat.machine);
         }
@@ -42,21 +44,22 @@
         } = &mut *state;
         let agent = agents
             .entry(heartbeat.machine.clone())
-            .or_insert_with(|| AgentState::new(acquired, now));
+            .or_insert_with(|| AgentState::new(acquisition_token, now));
         if !agent.apply(heartbeat, MessageSource::Heartbeat, now) {
-            // Overtaken by the answer to a direct command. The agent may still
-            // wait for this one, so it gets its lease, but nothing to do.
+            // A newer message, such as a response to a direct command, has overtaken this
+            // heartbeat. The agent may still wait for the response, which renews its lease,
+            // but the heartbeat is too old to choose commands from.
             return HeartbeatResponse::Accepted {
                 token,
                 commands: Vec::new(),
             };
         }
-        let mut commands = commands(&heartbeat.machine, agent, cache, |task, attempt| {
+        let mut commands = next_commands(&heartbeat.machine, agent, cache, |task, attempt| {
             preempting.get(task) == Some(&attempt)
         });
         commands.truncate(MAX_COMMANDS);
-        agent.answer_starts(&commands);
-        agent.note_answer(token, self.context.config.max_heartbeat_interval(), now);
+        agent.note_starts_in_response(&commands);
+        agent.note_response(token, self.context.config.max_heartbeat_interval(), now);
         if self.note_results(&mut state, cache, &heartbeat.machine, now) {
             self.context.owner_wakeup.notify_one();
         }
@@ -64,9 +67,9 @@
     }
 }
 
-/// What to tell an agent in answer to its heartbeat. Starts are given for
-/// committed placements only, clears for committed results only.
-fn commands(
+/// Returns the commands for the response to an agent's heartbeat. Starts are sent only for
+/// committed placements, clears only for committed results.
+fn next_commands(
     machine: &MachineId,
     agent: &AgentState,
     cache: &StateCache,
@@ -92,7 +95,7 @@
     commands
 }
 
-/// The stop or clear for a task that the agent lists, if it needs one.
+/// Returns the stop or clear for a task that the agent lists, if it needs one.
 fn command_for_observed(
     agent: &AgentState,
     cache: &StateCache,
@@ -105,7 +108,7 @@
     let is_placed = placed.is_some_and(|placed| placed.placement.attempt == attempt);
     let task = task.clone();
     match (is_placed, has_exited) {
-        // Its result is being committed.
+        // The result is not committed yet.
         (true, true) => None,
         (true, false) => {
             let is_cancelled = cache.is_cancelled(&task.job);
@@ -113,19 +116,20 @@
                 return None;
             }
             let spec = cache.jobs.get(&task.job).and_then(|job| job.spec());
-            let grace = grace(spec.map(|spec| &**spec), is_cancelled);
+            let grace = stop_grace_period(spec.map(|spec| &**spec), is_cancelled);
             Some(Command::Stop {
                 task,
                 attempt,
                 grace,
             })
         }
-        // Once cleared, a start that is still on its way would run it again.
+        // An agent does not remember a cleared task, so that a start that is still in flight
+        // would run it again.
         (false, true) => agent
-            .all_commands_resolved()
+            .all_starts_resolved()
             .then_some(Command::Clear { task, attempt }),
-        // Nobody's placement: our cache holds all that earlier owners
-        // committed, since it holds our shard's record.
+        // This attempt has no placement. The cache cannot have missed one: it holds this
+        // owner's shard record and therefore all that earlier owners committed.
         (false, false) => Some(Command::Stop {
             task,
             attempt,
@@ -134,7 +138,7 @@
     }
 }
 
-/// The start of a placed task that the agent does not list and that is to run.
+/// Returns the start of a placed task, if it is to run and the agent does not list it.
 fn start_for_placed(
     agent: &AgentState,
     cache: &StateCache,
@@ -149,11 +153,11 @@
         .is_some_and(|observed| observed.attempt == attempt);
     let spec = cache.jobs.get(&task.job).and_then(|job| job.spec());
     let is_cancelled = cache.is_cancelled(&task.job) || spec.is_none();
-    let is_to_run = !is_listed
+    let needs_start = !is_listed
         && !is_cancelled
         && placed.placement.epoch == agent.epoch
         && !is_preempted(task, attempt);
-    is_to_run.then(|| Command::Start {
+    needs_start.then(|| Command::Start {
         task: task.clone(),
         attempt,
     })
--- a/src/coordination/owner/in_doubt.rs
+++ b/src/coordination/owner/in_doubt.rs
@@ -1,5 +1,5 @@
-//! Resolves commands and commits whose result is unknown, by rewriting the record that
-//! they depend on: whatever may still be on its way no longer applies then.
+//! Resolves starts and commits whose result is unknown by rewriting the record on whose
+//! revision they depend: a request that is still in flight then has no effect.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,15 +16,15 @@
     },
 };
 
-/// Unanswered starts wait this long for a heartbeat before the token is raised.
+/// How long a start must have been in doubt before the fencing token is raised because of it.
 const IN_DOUBT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Shards that are written anew in one round.
+/// Maximum number of shard records that are rewritten in one round.
 const MAX_SHARDS_REWRITTEN: usize = 4;
-/// Pause after the allocation could not be rewritten.
+/// Pause after the allocation could not be rewritten and the state service could not be read.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 impl ShardOwner {
-    /// Writes a record anew, as it is, for the sake of its revision.
+    /// Writes a record with its present content, and returns its new revision.
     async fn rewrite<T: Serialize>(
         &self,
         key: String,
@@ -37,8 +37,9 @@
         store.commit(&transaction, RequestPriority::Fencing).await
     }
 
-    /// Shards with unanswered starts are written anew: a start that may still be
-    /// on its way is not executed under a higher token.
+    /// Rewrites the records of shards with starts in doubt. The new revision of the record is
+    /// a higher fencing token; once an agent has seen it, it no longer executes a start that
+    /// may still be in flight.
     pub(super) async fn resolve_in_doubt_starts(&self) {
         let shards = {
             let cache = self.context.store.cache();
@@ -57,8 +58,9 @@
         }
     }
 
-    /// Our shards with a start that has waited long for its answer, and whose token has
-    /// not been raised since.
+    /// Returns this owner's shards that have a start in doubt for longer than
+    /// [`IN_DOUBT_TIMEOUT`] on a machine whose heartbeats arrive again, and whose fencing token
+    /// has not been raised since.
     fn shards_with_in_doubt_starts(
         &self,
         cache: &StateCache,
@@ -73,7 +75,7 @@
                 && agent.last_heartbeat > since
                 && token >= agent.token;
             if is_due && let Some((shard, entry)) = self.context.own_shard_of(cache, id) {
-                // Raised already: the agent only has to hear of it.
+                // If the token was raised already, the agent only has to receive it.
                 let is_raised = Token::from(entry.revision) > token;
                 if !is_raised {
                     found.insert(shard, entry.clone());
@@ -83,10 +85,11 @@
         found
     }
 
-    /// Writes the allocation anew: no earlier commit of ours applies to its new
-    /// revision.
+    /// Rewrites the quota allocation: the condition of an earlier commit that may still be in
+    /// flight fails on its new revision.
     ///
-    /// False: it could not be done, and nothing may be placed yet.
+    /// Returns false if the commit is still in doubt or the cache is not up to date, so that
+    /// nothing may be placed yet.
     pub(super) async fn resolve_commit_in_doubt(
         &self,
         allocation: &Versioned<AllocationRecord>,
@@ -95,10 +98,11 @@
         match self.rewrite(key, allocation).await {
             Ok(revision) => {
                 tracing::debug!(%revision, "quota allocation rewritten");
-                // What was committed before it is in the cache only after this.
-                let fresh = self.context.store.read_barrier().await;
-                lock(&self.state).has_commit_in_doubt = !fresh;
-                fresh
+                // Only after a read barrier is the cache certain to hold what was committed
+                // before the rewrite.
+                let is_up_to_date = self.context.store.read_barrier().await;
+                lock(&self.state).has_commit_in_doubt = !is_up_to_date;
+                is_up_to_date
             }
             Err(error) => {
                 tracing::debug!(%error, "cannot rewrite the quota allocation");
--- a/src/coordination/owner/mod.rs
+++ b/src/coordination/owner/mod.rs
@@ -1,9 +1,9 @@
-//! The owner of shards: records the results of their tasks, places the tasks that it was
-//! offered, and commands their agents.
+//! The owner of shards: places the tasks that the leader offers to it on the machines of its
+//! shards, sends commands to the agents there, and commits the results of the tasks.
 //!
-//! It owns what is known of the agents, the offers and the preemptions; heartbeats and
-//! peers' requests change these, and its loop (`round`) acts on them. Whoever needs both
-//! locks the cache before the state.
+//! [`OwnerState`] holds the states of the agents, the pending offers and the preemptions.
+//! Heartbeats and peers' requests change it, and the owner's loop (`round`) acts on it.
+//! Lock order: code that needs both the state cache and `OwnerState` locks the cache first.
 
 mod candidates;
 mod commands;
@@ -38,56 +38,58 @@
     storage::{Attempt, JobId, MachineId, Quota, Revision, ShardId, StateCache, TaskId, TeamName},
 };
 
-/// Jobs with offers that are kept. The leader repeats what is beyond that: a longer wait,
-/// no loss. Four passes' worth of its largest.
-const MAX_OFFERS: usize = 2_400;
-/// Tasks to be stopped that are kept, by the same reasoning.
+/// Maximum number of jobs with pending offers: four routing passes of the leader at their
+/// maximum size. Offers beyond it are dropped. The leader repeats them, so that their tasks
+/// wait longer but are not lost.
+const MAX_OFFERED_JOBS: usize = 2_400;
+/// Maximum number of pending preemptions. As with offers, the leader repeats the others.
 const MAX_PREEMPTIONS: usize = 2_400;
-/// Direct commands under way at a time.
+/// Maximum number of direct command requests in flight.
 const MAX_COMMANDS_IN_FLIGHT: usize = 64;
 
-/// Tasks of a job that the leader has offered and that are not placed yet.
+/// The tasks of a job that the leader has offered and that are not placed yet.
 #[derive(Debug)]
 struct PendingOffer {
     tasks: BTreeSet<u32>,
     expires_at: Instant,
 }
 
-/// What is known of a task of ours that is over.
+/// How a placed task on one of this owner's machines turned out to be over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TaskOutcome {
-    /// It ended, and its agent said so.
+    /// The task ended, as its agent reported.
     Ended(Exit),
-    /// Surely not there: its agent's epoch is over, or it never started and
-    /// is not to.
+    /// The task is certainly not on its machine: either the epoch of its agent has ended, or
+    /// the task is not to run any more and its agent proves that it has not started it.
     Terminated,
 }
 
-/// What the owner knows and is to do.
+/// The mutable state of a [`ShardOwner`].
 #[derive(Default)]
 struct OwnerState {
-    /// The agents of our shards' machines.
+    /// The agents on the machines of this owner's shards.
     agents: BTreeMap<MachineId, AgentState>,
-    /// The shards that the agent states were last aligned with.
-    aligned: Vec<(ShardId, Revision)>,
+    /// The shards with which `agents` was last reconciled.
+    reconciled_shards: Vec<(ShardId, Revision)>,
     offers: BTreeMap<JobId, PendingOffer>,
-    /// Tasks to be stopped for other work, with the attempts that are meant.
+    /// Tasks to be stopped in favour of other work, with the attempt to be stopped.
     preempting: BTreeMap<TaskId, Attempt>,
-    /// Jobs with results to be written, since when.
-    results: BTreeMap<JobId, Instant>,
-    /// Jobs whose tasks have failed here lately.
+    /// Jobs with results to be committed, and since when.
+    pending_results: BTreeMap<JobId, Instant>,
+    /// Jobs with recent task failures on this owner's machines.
     failing: FailingJobs,
-    /// Since when changes of idle work wait for others to leave room for them.
+    /// Since when changes of idle work have been waiting for spare writes.
     idle_work_delayed_since: Option<Instant>,
-    /// Quota that tasks offered to us lack.
+    /// Missing quota of each team for the tasks that were offered to this owner.
     deficit: BTreeMap<TeamName, Quota>,
-    /// The outcome of a commit is unknown: nothing is placed before the allocation
-    /// has a new revision, which voids whatever may still be on its way.
+    /// The outcome of a commit is unknown. Nothing is placed before the quota allocation has
+    /// been rewritten: its new revision makes the conditions of a commit that may still be in
+    /// flight fail.
     has_commit_in_doubt: bool,
 }
 
 impl OwnerState {
-    /// Quota of the tasks that are offered to us and not yet placed.
+    /// Quota of the offered tasks that are not placed yet, by team.
     fn offered_quota(&self, cache: &StateCache) -> BTreeMap<TeamName, Quota> {
         let mut offered: BTreeMap<TeamName, Quota> = BTreeMap::new();
         for (id, offer) in &self.offers {
@@ -105,33 +107,33 @@
         offered
     }
 
-    /// Whether the machine itself seems to be the cause of what failed on it.
+    /// Whether the machine itself is probably the cause of the task failures on it.
     fn is_quarantined(&self, agent: &AgentState, now: Instant) -> bool {
         agent.is_quarantined(now, |job| self.failing.is_crash_looping(job))
     }
 }
 
-/// How much an owner has at hand, for the log.
+/// Sizes of an owner's state, for the log.
 pub(super) struct OwnerSizes {
-    /// Machines owned.
+    /// Number of machines with a known agent state.
     pub(super) owned: usize,
-    /// Jobs of which the leader has offered tasks.
+    /// Number of jobs with pending offers.
     pub(super) offered: usize,
-    /// Jobs with results to be written.
+    /// Number of jobs with results to be committed.
     pub(super) results: usize,
 }
 
-/// The duty that serves the shards which the leader leases to this process.
+/// The owner of the shards that the leader leases to this process.
 pub(super) struct ShardOwner {
     context: Arc<Context>,
     quota: Arc<QuotaExchange>,
     state: Mutex<OwnerState>,
-    /// Places for commands sent directly to agents.
+    /// Permits for requests that send commands directly to agents.
     commands_in_flight: Semaphore,
 }
 
 impl ShardOwner {
-    /// An owner of nothing yet.
+    /// An owner without machines, offers or preemptions.
     pub(super) fn new(context: Arc<Context>, quota: Arc<QuotaExchange>) -> Self {
         Self {
             context,
@@ -141,27 +143,27 @@
         }
     }
 
-    /// How much is at hand, for the log.
+    /// Returns the sizes of the owner's state, for the log.
     pub(super) fn sizes(&self) -> OwnerSizes {
         let state = lock(&self.state);
         OwnerSizes {
             owned: state.agents.len(),
             offered: state.offers.len(),
-            results: state.results.len(),
+            results: state.pending_results.len(),
         }
     }
 
-    /// Jobs that fail on several machines, with what is left of their pauses.
+    /// Returns the jobs that fail on several machines, with the rest of their backoff.
     pub(super) fn failing_jobs(&self, now: Instant) -> Vec<(JobId, Duration)> {
-        lock(&self.state).failing.paused(now)
+        lock(&self.state).failing.backing_off(now)
     }
 
-    /// Takes the leader's offers in, and wakes the loop that places their tasks.
+    /// Adds the leader's offers to the pending ones and wakes the loop that places their tasks.
     pub(super) fn accept_offers(&self, offers: Vec<Offer>) {
         let expires_at = Instant::now() + self.context.config.tuning.offer;
         let mut state = lock(&self.state);
         for offer in offers {
-            if state.offers.len() >= MAX_OFFERS && !state.offers.contains_key(&offer.job) {
+            if state.offers.len() >= MAX_OFFERED_JOBS && !state.offers.contains_key(&offer.job) {
                 break;
             }
             let pending = state.offers.entry(offer.job).or_insert(PendingOffer {
@@ -175,7 +177,8 @@
         self.context.owner_wakeup.notify_one();
     }
 
-    /// Takes in which tasks are to be stopped for other work, and wakes the loop that does it.
+    /// Marks the tasks as preempted, as far as they are placed, and wakes the loop that stops
+    /// them.
     pub(super) fn accept_preemptions(&self, tasks: Vec<TaskId>) {
         let cache = self.context.store.cache();
         let mut state = lock(&self.state);
@@ -196,7 +199,7 @@
         self.context.owner_wakeup.notify_one();
     }
 
-    /// What is known of our machines, for the leader.
+    /// Returns the state of this owner's machines, for the leader.
     pub(super) fn owned_machines(&self, now: Instant) -> Vec<OwnedMachine> {
         let cache = self.context.store.cache();
         let state = lock(&self.state);
@@ -227,7 +230,7 @@
                 freed: cache
                     .on_machine
                     .get(id)
-                    .map(|load| agent.freed(load))
+                    .map(|load| agent.freed_resources(load))
                     .unwrap_or_default(),
             })
             .collect()
--- a/src/coordination/owner/offered_jobs.rs
+++ b/src/coordination/owner/offered_jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs of which the leader has offered tasks, and which of these tasks wait.
+//! The jobs of which the leader has offered tasks, and the offered tasks that are not placed.
 
 use super::{
     super::policy::zone_constraint::ZoneScope, OwnerState, planned_changes::PlannedChanges,
@@ -13,11 +13,11 @@
 }
 
 impl OfferedJob<'_> {
-    /// The offered tasks that wait for a place, but for those that this very round
-    /// writes about.
+    /// Returns the offered tasks that are neither placed nor done, except those whose state the
+    /// present round already changes.
     pub(super) fn unplaced(&self, state: &OwnerState, changes: &PlannedChanges) -> Vec<u32> {
         let OfferedJob { id, spec, job } = *self;
-        let is_written_about = |task: u32| {
+        let is_changed = |task: u32| {
             let change = changes.0.get(&(id.clone(), task / keys::CHUNK));
             change.is_some_and(|change| {
                 let record = &change.record;
@@ -31,13 +31,14 @@
                 *task < spec.tasks
                     && job.placement(*task).is_none()
                     && !job.is_task_done(*task)
-                    && !is_written_about(*task)
+                    && !is_changed(*task)
             })
             .collect()
     }
 }
 
-/// The jobs that were offered and still run, the most pressing first.
+/// Returns the jobs with pending offers that are not over, ordered by priority and then by
+/// deadline; without a deadline the time of submission counts.
 pub(super) fn offered_jobs<'a>(state: &OwnerState, cache: &'a StateCache) -> Vec<OfferedJob<'a>> {
     let mut jobs: Vec<OfferedJob<'a>> = state
         .offers
--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -1,4 +1,4 @@
-//! Places offered tasks on the owner's machines, by least estimated completion.
+//! Places offered tasks on the owner's machines, preferring the earliest estimated completion.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,20 +28,22 @@
     },
 };
 
-/// What the owner's tasks use of a team's limit, and may use.
+/// The quota of one team that the owner's tasks use, and the budget that they may use.
 struct TeamQuotaUse {
     used: Quota,
     budget: Quota,
 }
 
-/// Room and quota that a round's placements have left.
+/// The candidates' free resources and the quota in use, updated with each placement of the
+/// round.
 #[derive(Clone)]
 struct FreeResources {
     candidates: Vec<CandidateMachine>,
     used: BTreeMap<TeamName, Quota>,
 }
 
-/// Notes the quota that tasks without a place lack, if it is quota that they lack.
+/// Notes the quota that is missing for a job's unplaced tasks. Notes nothing if the budget
+/// covers the next task, or the whole gang: these tasks lack machines, not quota.
 fn note_deficit(
     state: &mut OwnerState,
     allocation: &Versioned<AllocationRecord>,
@@ -58,12 +60,12 @@
         .unwrap_or_default();
     let used = free.used.get(&spec.team).copied().unwrap_or_default();
     let is_gang = spec.kind == JobKind::Gang;
-    let next = if is_gang {
+    let next_quota = if is_gang {
         quota.times(tasks as f64)
     } else {
         quota
     };
-    if tasks == 0 || budget.covers(&used.plus(&next)) {
+    if tasks == 0 || budget.covers(&used.plus(&next_quota)) {
         return;
     }
     let wanted = used.plus(&quota.times(tasks as f64));
@@ -71,7 +73,7 @@
     *deficit = deficit.max(&wanted.minus(&budget).at_least_zero());
 }
 
-/// Where a task is to be placed.
+/// The machine on which a task is to be placed.
 struct ChosenMachine {
     task: u32,
     /// Index among the round's candidates.
@@ -79,8 +81,8 @@
 }
 
 impl ShardOwner {
-    /// Plans placements for the tasks that were offered, as far as room and quota last, and
-    /// notes the quota that the others lack.
+    /// Plans placements for the offered tasks, as far as free resources and quota suffice, and
+    /// notes the quota that is missing for the others.
     pub(super) fn place_offers(
         &self,
         state: &mut OwnerState,
@@ -94,9 +96,9 @@
         if state.offers.is_empty() {
             return;
         }
-        // Also those that are still leased to the process before us: their tasks go on, and
-        // our budgets count them. By our own shards alone, a restarted process used what
-        // was in use already.
+        // Includes machines that are still leased to this controller's previous process: their
+        // tasks keep running, and the budgets cover them. When only the process's own shards
+        // were counted, a restarted controller spent quota that was already in use.
         let machines = cache.machines_of(&self.context.config.name);
         let mut free = FreeResources {
             candidates: self.candidates(state, cache, now),
@@ -117,8 +119,8 @@
         }
     }
 
-    /// Machines for the tasks of one job that was offered, as far as room and quota last;
-    /// for those of a gang all or none.
+    /// Chooses machines for the offered tasks of one job, as far as free resources and quota
+    /// suffice. For a gang it chooses machines for all of the tasks or for none.
     fn place_job(
         &self,
         state: &OwnerState,
@@ -133,8 +135,8 @@
         if zone_usage::needs_zone_assignment(spec, scope) {
             return Vec::new();
         }
-        let gang = spec.kind == JobKind::Gang;
-        let before = gang.then(|| free.clone());
+        let is_gang = spec.kind == JobKind::Gang;
+        let initial = is_gang.then(|| free.clone());
         let budgets = &allocation.value.budgets;
         let mut team = TeamQuotaUse {
             used: free.used.get(&spec.team).copied().unwrap_or_default(),
@@ -143,7 +145,7 @@
         let mut chosen = Vec::with_capacity(tasks.len());
         for (tasks, constraint) in zone_usage::constrained_parts(cache, job, scope, tasks) {
             let candidates = &mut free.candidates;
-            let part = if gang && spec.one_zone && constraint.is_open() {
+            let part = if is_gang && spec.one_zone && constraint.is_open() {
                 self.choose_zone(&state.agents, offered, tasks, candidates, &mut team)
             } else {
                 self.choose_candidates(
@@ -158,18 +160,18 @@
             chosen.extend(part);
         }
         free.used.insert(spec.team.clone(), team.used);
-        if let Some(before) = before
+        if let Some(initial) = initial
             && chosen.len() < tasks.len()
         {
-            // A gang's part is placed whole or not at all.
-            *free = before;
+            // The offered tasks of a gang are placed together or not at all.
+            *free = initial;
             return Vec::new();
         }
         chosen
     }
 
-    /// Notes in the round's changes that these tasks are placed, and the starts that
-    /// follow once that is committed.
+    /// Adds the placements of these tasks to the round's changes, with the starts to be sent
+    /// once they are committed.
     fn note_placements(
         &self,
         state: &OwnerState,
@@ -189,7 +191,7 @@
                 continue;
             };
             let epoch = agent.epoch;
-            let change = changes.of(id, job, task);
+            let change = changes.change_for(id, job, task);
             if !self.has_condition_for(change, job, shard) {
                 continue;
             }
@@ -198,7 +200,7 @@
                 JobKind::Array | JobKind::Service => change.record.next_attempt(task),
             };
             change.record.place(task, machine.clone(), epoch, attempt);
-            change.places = true;
+            change.has_placements = true;
             change.fenced = true;
             change.shards.insert(shard, entry.revision);
             change.starts.push(PlannedStart {
@@ -210,8 +212,8 @@
         }
     }
 
-    /// As [`Self::choose_candidates`] for a gang that is bound to one zone and has no task
-    /// anywhere yet: the first zone that has room for all of them.
+    /// Like [`Self::choose_candidates`], for a gang that must be in one zone and has no task
+    /// placed yet: chooses machines in the first zone that can take all of the tasks.
     fn choose_zone(
         &self,
         agents: &BTreeMap<MachineId, AgentState>,
@@ -225,7 +227,7 @@
             .map(|candidate| candidate.zone.clone())
             .collect();
         for zone in zones {
-            let before = (candidates.clone(), team.used);
+            let initial = (candidates.clone(), team.used);
             let mut constraint = ZoneConstraint::of_job(offered.spec);
             constraint.confine(zone);
             let chosen =
@@ -233,13 +235,14 @@
             if chosen.len() == tasks.len() {
                 return chosen;
             }
-            (*candidates, team.used) = before;
+            (*candidates, team.used) = initial;
         }
         Vec::new()
     }
 
-    /// Whether a transaction that writes this record can be conditional on one more
-    /// shard, beside its allocation, spec, outcome and the job's records.
+    /// Whether the transaction that writes this record can take a condition on this shard, in
+    /// addition to those on the quota allocation, the job's spec and outcome, and its run
+    /// records.
     pub(super) fn has_condition_for(
         &self,
         change: &RecordChange,
@@ -255,7 +258,7 @@
         change.shards.contains_key(&shard) || change.shards.len() < max_shards.max(1)
     }
 
-    /// A machine for each of the tasks, as far as room and budget last.
+    /// Chooses a machine for each of the tasks, as far as free resources and budget suffice.
     fn choose_candidates(
         &self,
         agents: &BTreeMap<MachineId, AgentState>,
@@ -273,23 +276,24 @@
             let after = team.used.plus(&quota);
             let is_admitted = team.budget.covers(&after)
                 && constraint.admits(&candidate.zone)
-                && takes_job(agents, candidate, id, now);
+                && allows_job(agents, candidate, id, now);
             if is_admitted {
                 team.used = after;
                 constraint.add(&candidate.zone);
             }
             is_admitted
         };
-        // A task that was placed before may still be listed by a machine, which
-        // would refuse it: such tasks look at each machine by themselves.
-        let (placed_before, fresh): (Vec<u32>, Vec<u32>) = tasks
+        // A machine that still lists an earlier attempt of a task would refuse to start it
+        // again. Tasks that were placed before are therefore placed one by one, each with a
+        // check of the candidates' task lists.
+        let (placed_before, never_placed): (Vec<u32>, Vec<u32>) = tasks
             .iter()
             .partition(|task| was_placed_before(job, **task));
         let mut chosen = Vec::with_capacity(tasks.len());
         for task in placed_before {
             let task_id = TaskId::new(id.clone(), task);
             let candidate = placement::choose(spec, candidates, factor, |candidate| {
-                !lists_task(agents, candidate, &task_id) && takes_job(agents, candidate, id, now)
+                !lists_task(agents, candidate, &task_id) && allows_job(agents, candidate, id, now)
             });
             if let Some(candidate) = candidate
                 && admits(&candidates[candidate])
@@ -298,14 +302,14 @@
                 chosen.push(ChosenMachine { task, candidate });
             }
         }
-        let filled = placement::fill(spec, candidates, factor, fresh.len(), admits);
-        let filled = fresh.into_iter().zip(filled);
+        let filled = placement::fill(spec, candidates, factor, never_placed.len(), admits);
+        let filled = never_placed.into_iter().zip(filled);
         chosen.extend(filled.map(|(task, candidate)| ChosenMachine { task, candidate }));
         chosen
     }
 }
 
-/// Whether a task has, or had, an earlier placement.
+/// Whether a task is or was placed.
 fn was_placed_before(job: &Job, task: u32) -> bool {
     let entry = job.chunks.get(&(task / keys::CHUNK));
     entry.is_some_and(|entry| {
@@ -313,7 +317,7 @@
     })
 }
 
-/// Whether a machine's agent lists the task, with whatever attempt.
+/// Whether the agent of a candidate lists the task, with any attempt.
 fn lists_task(
     agents: &BTreeMap<MachineId, AgentState>,
     candidate: &CandidateMachine,
@@ -324,8 +328,8 @@
         .is_some_and(|agent| agent.tasks.contains_key(task))
 }
 
-/// Whether a machine does not refuse the job's tasks for now.
-fn takes_job(
+/// Whether the job is not excluded from the candidate's machine now.
+fn allows_job(
     agents: &BTreeMap<MachineId, AgentState>,
     candidate: &CandidateMachine,
     job: &JobId,
@@ -333,5 +337,5 @@
 ) -> bool {
     agents
         .get(&candidate.machine)
-        .is_some_and(|agent| !agent.refuses(job, now))
+        .is_some_and(|agent| !agent.excludes_job(job, now))
 }
--- a/src/coordination/owner/planned_changes.rs
+++ b/src/coordination/owner/planned_changes.rs
@@ -1,5 +1,5 @@
-//! What one round of the owner wants to write. Placements and results are noted here and
-//! written by `commits`.
+//! The changes of run records that one round of the owner plans: placements and results.
+//! `commits` writes them.
 
 use std::collections::BTreeMap;
 
@@ -11,45 +11,48 @@
     },
 };
 
-/// What one round wants to write about one record of a job. Each record by itself,
-/// so that no transaction is too large however many a job has.
+/// The planned change of one run record of a job. Records are changed separately, so that
+/// no transaction becomes too large, however many records a job has.
 pub(super) struct RecordChange {
     /// The job.
     pub(super) id: JobId,
-    /// Which of its run records.
+    /// Index of the run record within the job.
     pub(super) chunk: u32,
-    /// The record as it is to be.
+    /// The new content of the record.
     pub(super) record: RunRecord,
-    /// It places tasks.
-    pub(super) places: bool,
-    /// The shards on whose machines it places, or finds tasks missing, as the
-    /// plan saw them.
+    /// Whether the change places tasks.
+    pub(super) has_placements: bool,
+    /// The shards of the machines on which the change places tasks or declares them
+    /// terminated, with their revisions in the plan's view of the cache.
     pub(super) shards: BTreeMap<ShardId, Revision>,
-    /// It holds only as long as we hold the machines: what it says is a decision
-    /// of ours, or that a task is missing which a next owner would start. That a
-    /// task has ended stays true whoever holds its machine.
+    /// Whether the change is valid only while this owner holds the machines; it is then
+    /// committed on the condition that the quota allocation has not changed. That is so for
+    /// a placement, which is this owner's decision, and for a task that is declared
+    /// terminated, since a later owner would start that task. The end that an agent reported
+    /// stays true whoever owns the machine.
     pub(super) fenced: bool,
-    /// Others write its records as well, so that it may well be refused.
+    /// Whether other owners write this record as well, so that a conflict is likely.
     pub(super) shared: bool,
-    /// It ends the job.
-    pub(super) finishes: bool,
-    /// Its job is idle work, see `JobSpec::is_idle_work`.
-    pub(super) idle_work: bool,
-    /// Starts that follow once it is committed.
+    /// Whether the change completes the job.
+    pub(super) finishes_job: bool,
+    /// Whether the job is idle work, see [`JobSpec::is_idle_work`](crate::storage::JobSpec::is_idle_work).
+    pub(super) is_idle_work: bool,
+    /// Starts to be sent once the change is committed.
     pub(super) starts: Vec<PlannedStart>,
-    /// Ends that are learned from once they are written down.
-    pub(super) ends: Vec<TaskEnd>,
+    /// Reported ends from which run times, speeds and failures are learned once the change
+    /// is committed.
+    pub(super) task_ends: Vec<TaskEnd>,
 }
 
 /// A task to be started once its placement is committed.
 pub(super) struct PlannedStart {
-    /// The machine that it was placed on.
+    /// The machine on which it is placed.
     pub(super) machine: MachineId,
-    /// The agent epoch that its placement names.
+    /// The agent epoch of its placement.
     pub(super) epoch: AgentEpoch,
     /// The task.
     pub(super) task: TaskId,
-    /// The attempt that its placement names.
+    /// The attempt of its placement.
     pub(super) attempt: Attempt,
 }
 
@@ -57,19 +60,20 @@
 pub(super) struct TaskEnd {
     /// The task.
     pub(super) task: TaskId,
-    /// The machine that it was on.
+    /// The machine on which it ran.
     pub(super) machine: MachineId,
     /// How it ended.
     pub(super) exit: Exit,
 }
 
-/// The changes of a round, by job and run record.
+/// The planned changes of a round, by job and index of the run record.
 #[derive(Default)]
 pub(super) struct PlannedChanges(pub(super) BTreeMap<(JobId, u32), RecordChange>);
 
 impl PlannedChanges {
-    /// The change of the record that lists this task.
-    pub(super) fn of(
+    /// Returns the change of the run record that contains this task. A new change starts with
+    /// the present content of the record.
+    pub(super) fn change_for(
         &mut self,
         id: &JobId,
         job: &state_cache::Job,
@@ -85,14 +89,14 @@
                 .get(&chunk)
                 .map(|entry| entry.value.clone())
                 .unwrap_or_default(),
-            places: false,
+            has_placements: false,
             shards: BTreeMap::new(),
             fenced: false,
             shared: false,
-            finishes: false,
-            idle_work: false,
+            finishes_job: false,
+            is_idle_work: false,
             starts: Vec::new(),
-            ends: Vec::new(),
+            task_ends: Vec::new(),
         })
     }
 }
--- a/src/coordination/owner/record_writes.rs
+++ b/src/coordination/owner/record_writes.rs
@@ -1,4 +1,4 @@
-//! The part of a transaction that writes one run record, with its conditions.
+//! Builds the part of a transaction that writes one run record, with its conditions.
 
 use super::{ShardOwner, offered_jobs::depends_on_all_records, planned_changes::RecordChange};
 use crate::storage::{
@@ -7,17 +7,18 @@
 };
 
 impl ShardOwner {
-    /// The transaction part for one run record, without the allocation's condition. Notes
-    /// in the change what it is like. None: the job is gone, or its spec, and with it what
-    /// a placement depends on.
-    pub(super) fn write_job(
+    /// Builds the transaction part for one run record, without the condition on the quota
+    /// allocation, and sets the flags of the change that depend on the cache. Returns `None`
+    /// if the cache has no such job any more, or if the change places tasks and the cache has
+    /// no spec of the job.
+    pub(super) fn record_transaction(
         &self,
         cache: &StateCache,
         change: &mut RecordChange,
     ) -> Option<Transaction> {
         let job = cache.jobs.get(&change.id)?;
         let spec = job.spec();
-        change.idle_work = spec.is_some_and(|spec| spec.is_idle_work());
+        change.is_idle_work = spec.is_some_and(|spec| spec.is_idle_work());
         change.shared = self.is_shared(cache, job, change.chunk);
         let key = keys::run(&change.id, change.chunk);
         let mut part = Transaction::default().require(key.clone(), job.run_revision(change.chunk));
@@ -29,18 +30,18 @@
             && change.record.done_count() >= spec.tasks
             && job.cleanup_since.is_none()
         {
-            change.finishes = true;
+            change.finishes_job = true;
             return Some(finish_job(part, change, spec));
         }
         part = part.set(key, &change.record);
-        if change.places {
+        if change.has_placements {
             part = self.require_for_placement(part, change, job)?;
         }
         Some(part)
     }
 
-    /// Whether a machine of another owner holds tasks of this record, so that its owner
-    /// writes the record as well.
+    /// Whether tasks of this record are placed on a machine of another owner, who then writes
+    /// the record as well.
     fn is_shared(&self, cache: &StateCache, job: &Job, chunk: u32) -> bool {
         let entry = job.chunks.get(&chunk);
         let placed = entry.iter().flat_map(|entry| entry.value.placed.values());
@@ -51,8 +52,10 @@
         })
     }
 
-    /// A placement holds only while the job is not over and its spec is what the plan
-    /// saw; some jobs' placements also while their other tasks are where they were.
+    /// Adds the conditions of a placement: the job is not over, and its spec has not changed
+    /// since the plan. If the placement depends on where the job's other tasks are, none of
+    /// the job's other run records may have changed either. Returns `None` if the cache has
+    /// no spec of the job.
     fn require_for_placement(
         &self,
         part: Transaction,
@@ -74,7 +77,7 @@
     }
 }
 
-/// The end of a job of one record takes its keys with it.
+/// Adds the outcome of a job that has a single run record, and the removal of the job's keys.
 fn finish_job(part: Transaction, change: &RecordChange, spec: &JobSpec) -> Transaction {
     let outcome = OutcomeRecord {
         outcome: JobOutcome::Done,
--- a/src/coordination/owner/results.rs
+++ b/src/coordination/owner/results.rs
@@ -1,4 +1,5 @@
-//! Finds out which of the owner's tasks are over, and learns from how they ended.
+//! Determines which of the owner's tasks are over, plans the changes of their run records, and
+//! learns run times, machine speeds and failures from how they ended.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,32 +20,32 @@
     },
 };
 
-/// A machine on which a job has failed does not get it again for this long.
-const REFUSAL_PERIOD: Duration = Duration::from_secs(60);
-/// A machine that refused a start gets the job again after this long.
-const RETRY_START_AFTER: Duration = Duration::from_secs(3);
-/// Weight of a new measurement of a machine's speed.
-const SPEED_GAIN: f64 = 0.1;
-/// Bounds of what one run may say about a machine, as measured over expected run time.
+/// How long a job is excluded from a machine on which one of its tasks has failed.
+const FAILURE_EXCLUSION: Duration = Duration::from_secs(60);
+/// How long a job is excluded from a machine that refused to start one of its tasks.
+const REFUSAL_EXCLUSION: Duration = Duration::from_secs(3);
+/// Weight of a new measurement in the moving average of a machine's speed.
+const SPEED_SMOOTHING_FACTOR: f64 = 0.1;
+/// Bounds on the ratio of measured to expected run time that one run may contribute.
 const MIN_RUN_TIME_RATIO: f64 = 0.2;
 const MAX_RUN_TIME_RATIO: f64 = 5.0;
 
-/// A task of ours that is over.
+/// A placed task on one of this owner's machines that is over.
 struct TaskResult<'a> {
     index: u32,
     placement: &'a Placement,
     outcome: TaskOutcome,
 }
 
-/// What is known of a job's tasks on our machines.
+/// The results of a job's tasks on this owner's machines.
 struct JobResults<'a> {
     results: Vec<TaskResult<'a>>,
-    /// Tasks that are not over.
+    /// Number of tasks on these machines that are not over.
     unfinished: u32,
 }
 
 impl ShardOwner {
-    /// Whether a placed task of ours is over, as far as its agent's state tells.
+    /// Returns the outcome of a placed task if, by the state of its agent, it is over.
     pub(super) fn task_outcome(
         &self,
         agent: &AgentState,
@@ -69,14 +70,14 @@
             None => {
                 let is_unwanted = job.is_none_or(|job| job.cleanup_since.is_some())
                     || preempting.get(task) == Some(&placement.attempt);
-                (is_unwanted && placement.epoch == agent.epoch && agent.absence_is_proof(task))
+                (is_unwanted && placement.epoch == agent.epoch && agent.is_absence_conclusive(task))
                     .then_some(TaskOutcome::Terminated)
             }
         }
     }
 
-    /// Notes which jobs have results on a machine whose agent state has just changed;
-    /// true if there are any.
+    /// Notes the jobs with results, and the images of running tasks, on a machine whose agent
+    /// state has just changed. Returns whether there are any results.
     pub(super) fn note_results(
         &self,
         state: &mut OwnerState,
@@ -86,7 +87,7 @@
     ) -> bool {
         let OwnerState {
             agents,
-            results,
+            pending_results,
             preempting,
             ..
         } = state;
@@ -112,19 +113,19 @@
             let outcome = self.task_outcome(agent, job, task, &placed.placement, preempting);
             if outcome.is_some() {
                 has_results = true;
-                if !results.contains_key(&task.job) {
-                    results.insert(task.job.clone(), now);
+                if !pending_results.contains_key(&task.job) {
+                    pending_results.insert(task.job.clone(), now);
                 }
             }
         }
         has_results
     }
 
-    /// Results of a job may wait for others of it, as each record written costs
-    /// one of the scarce changes; the longer, the fewer of these are left. Room
-    /// does not wait for them, nor does a result that ends the job, or our part
-    /// of it.
-    pub(super) fn result_patience(&self) -> Duration {
+    /// Returns how long results of a job may wait for further results, to be committed
+    /// together. Each record written uses one of the state service's limited changes, so the
+    /// fewer of these are left, the longer the wait. The resources of ended tasks are free
+    /// without it, and a result that ends the job, or this owner's part of it, does not wait.
+    pub(super) fn result_batch_delay(&self) -> Duration {
         match self.context.store.spare_writes() {
             spare if spare > 0.85 => Duration::from_millis(200),
             spare if spare > 0.6 => Duration::from_millis(1500),
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Plans the changes for results of our tasks, but for those that may wait.
+    /// Plans the changes for results, except those that may wait for further ones.
     pub(super) fn collect_results(
         &self,
         state: &mut OwnerState,
@@ -141,14 +142,14 @@
         now: Instant,
         changes: &mut PlannedChanges,
     ) {
-        let patience = self.result_patience();
+        let batch_delay = self.result_batch_delay();
         let OwnerState {
             agents,
-            results,
+            pending_results,
             preempting,
             ..
         } = state;
-        results.retain(|id, since| {
+        pending_results.retain(|id, since| {
             let Some(job) = cache.jobs.get(id) else {
                 return false;
             };
@@ -156,18 +157,18 @@
             if found.results.is_empty() {
                 return false;
             }
-            if found.unfinished > 0 && now.duration_since(*since) < patience {
+            if found.unfinished > 0 && now.duration_since(*since) < batch_delay {
                 return true;
             }
             for result in found.results {
                 self.note_result(cache, (id, job), result, changes);
             }
-            // It stays until the cache shows the result.
+            // The job stays in the list until the cache shows its results as committed.
             true
         });
     }
 
-    /// What is known of the job's tasks on our machines.
+    /// Returns the results of the job's tasks on this owner's machines.
     fn find_results<'a>(
         &self,
         agents: &BTreeMap<MachineId, AgentState>,
@@ -196,8 +197,8 @@
         found
     }
 
-    /// Notes a result in the round's changes, unless the change of its record has no room
-    /// for another condition: then it comes in the next round.
+    /// Adds a result to the round's changes, unless the transaction of its run record cannot
+    /// take another condition. In that case the result is planned again in the next round.
     fn note_result(
         &self,
         cache: &StateCache,
@@ -210,7 +211,7 @@
             placement,
             outcome,
         } = result;
-        let change = changes.of(id, job, index);
+        let change = changes.change_for(id, job, index);
         if outcome == TaskOutcome::Terminated
             && let Some((shard, entry)) = self.context.own_shard_of(cache, &placement.machine)
         {
@@ -225,7 +226,7 @@
             TaskOutcome::Ended(_) | TaskOutcome::Terminated => change.record.unplace(index),
         }
         if let TaskOutcome::Ended(exit) = outcome {
-            change.ends.push(TaskEnd {
+            change.task_ends.push(TaskEnd {
                 task: TaskId::new(id.clone(), index),
                 machine: placement.machine.clone(),
                 exit,
@@ -233,8 +234,9 @@
         }
     }
 
-    /// What a written end of a task tells about its class and its machine. Only
-    /// now, so that a result whose commit is repeated counts once.
+    /// Updates what is known about the task's class, job and machine from the end of a task.
+    /// It must be called only after the end is committed, so that a result whose commit is
+    /// repeated counts once.
     pub(super) fn learn_from(&self, state: &mut OwnerState, cache: &StateCache, end: &TaskEnd) {
         let TaskEnd {
             task,
@@ -246,8 +248,8 @@
             return;
         };
         if *exit == Exit::Done {
-            // It can run: whatever failed before was not the job's own fault.
-            state.failing.succeeded(&task.job);
+            // The job can run, so its earlier failures were not its own fault.
+            state.failing.record_success(&task.job);
             self.observe_run_time(agent, cache, task, now);
             return;
         }
@@ -256,20 +258,20 @@
             Exit::Failed => {
                 agent.note_failure(&task.job, now);
                 if !state.failing.is_crash_looping(&task.job) {
-                    agent.refuse(&task.job, now + REFUSAL_PERIOD, now);
+                    agent.exclude_job(&task.job, now + FAILURE_EXCLUSION, now);
                 }
-                state.failing.failed(&task.job, machine, now);
+                state.failing.record_failure(&task.job, machine, now);
             }
-            // Something is on the machine that we do not know of yet.
-            Exit::NoRoom | Exit::Busy => agent.refuse(&task.job, now + RETRY_START_AFTER, now),
-            // Its user has not uploaded the description yet, or never will.
-            Exit::Unknown => state.failing.failed(&task.job, machine, now),
+            // The machine has something on it that is missing in this owner's view.
+            Exit::NoRoom | Exit::Busy => agent.exclude_job(&task.job, now + REFUSAL_EXCLUSION, now),
+            // The user has not uploaded the job's description yet, or never will.
+            Exit::Unknown => state.failing.record_failure(&task.job, machine, now),
             Exit::Stopped | Exit::Other | Exit::Done => {}
         }
     }
 
-    /// Learns the run time of its class, and the speed of the machine, from a task that
-    /// has completed.
+    /// Updates the run time estimate of the task's class and the speed of the machine from a
+    /// completed task.
     fn observe_run_time(
         &self,
         agent: &mut AgentState,
@@ -287,7 +289,7 @@
         let ratio = lock(&self.context.estimator).observe(&spec.class, spec.estimate, run_time);
         if let Some(ratio) = ratio {
             let speed = 1.0 / ratio.clamp(MIN_RUN_TIME_RATIO, MAX_RUN_TIME_RATIO);
-            agent.speed += SPEED_GAIN * (speed - agent.speed);
+            agent.speed += SPEED_SMOOTHING_FACTOR * (speed - agent.speed);
         }
     }
 }
--- a/src/coordination/owner/round.rs
+++ b/src/coordination/owner/round.rs
@@ -1,5 +1,5 @@
-//! The owner's loop. One loop does all commits, so that the shard's budgets are counted
-//! once.
+//! The owner's loop. All commits of the owner are made by this one loop, so that no two
+//! commits spend the same quota budget.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -14,21 +14,21 @@
     },
 };
 
-/// Shortest pause between two rounds.
+/// Minimum pause between two rounds.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(15);
-/// Longest pause between two rounds while there is something to do.
+/// Maximum pause between two rounds while there is work.
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(150);
-/// A round is run after this long although nothing has changed.
+/// A round runs at least this often, even if nothing has changed.
 const IDLE_ROUND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a round has decided.
+/// The changes and stops that a round has planned.
 struct RoundPlan {
     changes: PlannedChanges,
     stops: PlannedStops,
 }
 
 impl ShardOwner {
-    /// Duty: the owner's loop.
+    /// Runs the owner's loop until the controller stops.
     pub(in crate::coordination) async fn run(self: &Arc<Self>) {
         let context = &self.context;
         let mut changes = context.store.changes();
@@ -40,8 +40,9 @@
             if self.context.store.is_loaded() {
                 self.run_round().await;
             }
-            // Many changes come close together; one round serves them all. On a
-            // controller that is short of processor time rounds are fewer.
+            // Many changes arrive close together, and the pause lets one round handle them
+            // all. It grows with the duration of the round, so that a controller that is
+            // short of CPU time runs fewer rounds.
             let pause = started
                 .elapsed()
                 .clamp(MIN_ROUND_INTERVAL, MAX_ROUND_INTERVAL);
@@ -49,10 +50,10 @@
         }
     }
 
-    /// One round: resolves what is in doubt, serves and makes quota requests, then plans
-    /// results, placements and stops on one view of the cache, and carries them out.
+    /// Runs one round: resolves commits and starts in doubt, serves and makes quota requests,
+    /// plans results, placements and stops on one view of the cache, and executes the plan.
     async fn run_round(self: &Arc<Self>) {
-        let Some(allocation) = self.align_with_cache() else {
+        let Some(allocation) = self.reconcile_with_cache() else {
             return;
         };
         let has_commit_in_doubt = lock(&self.state).has_commit_in_doubt;
@@ -63,8 +64,8 @@
         if !self.exchange_quota().await {
             return;
         }
-        // Changes of the state service are scarce: what is planned only when one
-        // may be made is not outdated when it is sent.
+        // The state service limits the rate of changes. Changes are planned only when a commit
+        // can be made at once, so that they are not outdated when they are committed.
         let commit_wait = self.context.store.commit_wait(RequestPriority::Placement);
         let Some(plan) = self.plan_round(commit_wait.is_none()) else {
             return;
@@ -81,14 +82,15 @@
         self.commit_changes(plan.changes).await;
     }
 
-    /// Aligns the agent states with our shards, and returns our quota allocation. Without
-    /// one nothing is ours: what is known of agents and offers goes.
-    fn align_with_cache(&self) -> Option<Versioned<AllocationRecord>> {
+    /// Reconciles the agent states with this owner's shards, and returns its quota allocation.
+    /// A process without an allocation owns nothing, so that its agent states, offers and
+    /// preemptions are dropped.
+    fn reconcile_with_cache(&self) -> Option<Versioned<AllocationRecord>> {
         let cache = self.context.store.cache();
         let allocation = self.context.own_allocation(&cache).cloned();
         let mut state = lock(&self.state);
         if allocation.is_some() {
-            self.align(&mut state, &cache);
+            self.reconcile_agents(&mut state, &cache);
         } else {
             *state = OwnerState {
                 failing: std::mem::take(&mut state.failing),
@@ -99,8 +101,8 @@
         allocation
     }
 
-    /// Decides other controllers' requests for quota, and asks for what we lack. False: a
-    /// commit is in doubt, and the round is over.
+    /// Decides other controllers' requests for quota, and requests the quota that is missing
+    /// here. Returns false if a commit is in doubt, in which case the round must end.
     async fn exchange_quota(&self) -> bool {
         if self
             .quota
@@ -118,13 +120,14 @@
         true
     }
 
-    /// Plans on one view of the cache; none: we have lost our allocation.
+    /// Plans a round on one view of the cache. Returns `None` if this process has lost its
+    /// quota allocation.
     fn plan_round(&self, may_commit: bool) -> Option<RoundPlan> {
         let cache = self.context.store.cache();
         let allocation = self.context.own_allocation(&cache)?;
         let mut state = lock(&self.state);
         let now = Instant::now();
-        state.failing.judge(&cache);
+        state.failing.detect_crash_loops(&cache);
         let mut changes = PlannedChanges::default();
         if may_commit {
             self.collect_results(&mut state, &cache, now, &mut changes);
@@ -136,12 +139,13 @@
         Some(RoundPlan { changes, stops })
     }
 
-    /// Asks other controllers to stop their members of gangs that we stop.
+    /// Asks other controllers to stop the members on their machines of gangs that this owner
+    /// stops.
     fn forward_stops(self: &Arc<Self>, remote_gang_members: BTreeMap<ControllerName, Vec<TaskId>>) {
         for (controller, tasks) in remote_gang_members {
             let this = self.clone();
             tokio::spawn(async move {
-                // Unanswered: the gang falls back to its last checkpoint.
+                // If the request fails, the gang restarts from its last checkpoint.
                 let _ = this
                     .context
                     .peers
@@ -151,8 +155,9 @@
         }
     }
 
-    /// Keeps agent states for our shards' machines and for no others.
-    fn align(&self, state: &mut OwnerState, cache: &StateCache) {
+    /// Drops preemptions of attempts that are no longer placed, and the states of agents on
+    /// machines that were lost or acquired anew; adds states for new machines.
+    fn reconcile_agents(&self, state: &mut OwnerState, cache: &StateCache) {
         let OwnerState {
             agents, preempting, ..
         } = state;
@@ -168,14 +173,14 @@
             .own_shards(cache)
             .map(|(id, entry)| (id, entry.revision))
             .collect();
-        if state.aligned == shards {
+        if state.reconciled_shards == shards {
             return;
         }
         self.context.startup.note_holding();
         let now = Instant::now();
         agents.retain(|id, agent| {
             self.context.own_shard_of(cache, id).is_some()
-                && agent.acquired == Token::from(cache.owned_since(id))
+                && agent.acquisition_token == Token::from(cache.owned_since(id))
         });
         for (_, entry) in self.context.own_shards(cache) {
             for id in entry.value.machines.keys() {
@@ -184,6 +189,6 @@
                     .or_insert_with(|| AgentState::new(cache.owned_since(id).into(), now));
             }
         }
-        state.aligned = shards;
+        state.reconciled_shards = shards;
     }
 }
--- a/src/coordination/owner/stops.rs
+++ b/src/coordination/owner/stops.rs
@@ -1,5 +1,6 @@
-//! Decides which tasks are told to stop ahead of the next heartbeat: those of cancelled
-//! jobs, preempted ones, and those on machines that the cloud is about to take.
+//! Chooses the tasks to which a stop is sent directly, before their agents' next heartbeats:
+//! tasks of cancelled jobs, preempted tasks, and tasks on machines that the cloud is about to
+//! reclaim.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,24 +22,25 @@
     },
 };
 
-/// Before a stop that was not obeyed is sent again directly.
+/// How long after a direct stop it is sent again if the task has not ended.
 const STOP_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long a task may take to save when it is stopped for another reason than
-/// its job's cancellation.
-pub(super) fn grace(spec: Option<&JobSpec>, cancelled: bool) -> Duration {
+/// Returns how long a task may take to save a checkpoint when it is stopped. It is zero if the
+/// job is cancelled, takes no checkpoints, or has no known spec.
+pub(super) fn stop_grace_period(spec: Option<&JobSpec>, cancelled: bool) -> Duration {
     match spec {
         Some(spec) if !cancelled && !spec.checkpoint.is_zero() => spec.save,
         _ => Duration::ZERO,
     }
 }
 
-/// What a round wants stopped now, directly rather than with the next answers.
+/// The stops of a round that are sent directly rather than in responses to heartbeats.
 pub(super) struct PlannedStops {
-    /// Commands for our own machines.
+    /// Stop commands for this owner's machines.
     pub(super) commands: BTreeMap<MachineId, Vec<Command>>,
-    /// Members of gangs that other controllers are to stop with ours, since a gang
-    /// saves only if all of it is told within `gang_peer_s`.
+    /// Gang members that other controllers are to stop together with those on this owner's
+    /// machines: a gang can save a checkpoint only if all of its tasks get the stop within
+    /// `gang_peer_s`.
     pub(super) remote_gang_members: BTreeMap<ControllerName, Vec<TaskId>>,
 }
 
@@ -48,7 +50,7 @@
     placement: &'a Placement,
 }
 
-/// All placed tasks of a job.
+/// Returns all placed tasks of a job.
 fn placed_tasks<'a>(id: &'a JobId, job: &'a Job) -> impl Iterator<Item = StopTarget<'a>> {
     let placed = job.chunks.values().flat_map(|entry| &entry.value.placed);
     placed.map(|(index, placement)| StopTarget {
@@ -57,7 +59,8 @@
     })
 }
 
-/// The placed tasks of jobs that are cancelled, by their records or by a peer's word.
+/// Returns the placed tasks of jobs that are cancelled according to their records or to a
+/// peer.
 fn cancelled_tasks(cache: &StateCache) -> impl Iterator<Item = StopTarget<'_>> {
     let pending_cleanup = cache
         .pending_cleanup
@@ -72,7 +75,7 @@
         .flat_map(|(id, job)| placed_tasks(id, job))
 }
 
-/// The preempted tasks that are still placed with the attempt that was preempted.
+/// Returns the preempted tasks that are still placed with the preempted attempt.
 fn preempted_tasks<'a>(
     cache: &'a StateCache,
     preempting: &BTreeMap<TaskId, Attempt>,
@@ -86,7 +89,7 @@
     })
 }
 
-/// A machine that the cloud is about to take.
+/// A machine that the cloud is about to reclaim.
 struct LeavingMachine<'agents, 'cache> {
     agent: &'agents AgentState,
     leaves_at: Instant,
@@ -107,9 +110,9 @@
 }
 
 impl<'cache> LeavingMachine<'_, 'cache> {
-    /// The cloud takes the machine: replicas go to another one before it
-    /// does, and tasks that can save do so. Gangs leave as a whole, see
-    /// [`Self::gangs_to_stop`].
+    /// Returns the tasks to be stopped before the cloud reclaims the machine: replicas of
+    /// services, which are placed on another machine, and array tasks that still have the
+    /// time to save a checkpoint. Gangs are stopped as a whole, see [`Self::gangs_to_stop`].
     fn tasks_to_stop(&self, now: Instant) -> impl Iterator<Item = StopTarget<'cache>> {
         let leaves_at = self.leaves_at;
         self.tasks.iter().filter_map(move |(task, placed)| {
@@ -126,8 +129,8 @@
         })
     }
 
-    /// The gangs of which a task here will not end before the machine goes, while there
-    /// is time to save.
+    /// Returns the gangs that have a task on this machine which is not expected to end before
+    /// the cloud reclaims it, as long as there is time to save a checkpoint.
     fn gangs_to_stop(&self, now: Instant) -> impl Iterator<Item = JobId> {
         self.tasks.iter().filter_map(move |(task, placed)| {
             let spec = placed.spec.as_ref()?;
@@ -145,8 +148,8 @@
 }
 
 impl ShardOwner {
-    /// Tasks to be stopped now, directly rather than with the next answer. Gangs on
-    /// machines that are about to go count as preempted from now on.
+    /// Returns the stops to be sent directly now. Marks the gangs to be stopped on machines
+    /// that the cloud is about to reclaim as preempted.
     pub(super) fn collect_stops(
         &self,
         state: &mut OwnerState,
@@ -188,8 +191,8 @@
     }
 }
 
-/// The commands for those targets on our machines that are not over, nor were told so
-/// lately.
+/// Returns stop commands for the targets on this owner's machines that are not over, except
+/// those to which a stop was sent recently.
 fn stop_commands(
     agents: &mut BTreeMap<MachineId, AgentState>,
     cache: &StateCache,
@@ -213,7 +216,7 @@
         }
         agent.stops_sent.insert(task.clone(), now);
         let spec = cache.jobs.get(&task.job).and_then(|job| job.spec());
-        let grace = grace(spec.map(|spec| &**spec), cache.is_cancelled(&task.job));
+        let grace = stop_grace_period(spec.map(|spec| &**spec), cache.is_cancelled(&task.job));
         commands
             .entry(placement.machine.clone())
             .or_default()
