--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -73,7 +73,7 @@
             evenness_threshold: 0.4,
             paid: PaidPeriods {
                 first: Duration::from_secs(60),
-                then: Duration::from_secs(10),
+                renewal: Duration::from_secs(10),
             },
             controller_lease: Duration::from_secs(4),
             offer: Duration::from_secs(2),
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -1,8 +1,9 @@
-//! Runs a routing pass and sends what it decides to the shard owners.
+//! Runs routing passes and sends the resulting offers and preemptions to the shard owners.
 //!
-//! The pass itself, a function of the replica, of the owners' statuses and of what earlier
-//! passes left, is [`routing::RoutingPass`]. Offers and preemptions go out without waiting
-//! for answers: an owner that does not answer is offered nothing until its next status.
+//! A pass ([`routing::RoutingPass`]) is a function of the replica, the owners' statuses and the
+//! state kept from earlier passes. Offers and preemptions are sent without waiting for
+//! responses. An owner that does not respond to offers gets no further ones until its next
+//! status.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,7 +22,7 @@
 };
 
 impl Leader {
-    /// Decides which owners get which waiting tasks, and sends these as offers.
+    /// Runs a routing pass, writes its zone assignments and sends its preemptions and offers.
     pub(super) async fn route(self: &Arc<Self>) {
         let Some(routed) = self.run_routing_pass() else {
             return;
@@ -31,7 +32,8 @@
         self.dispatch_offers(routed.offers);
     }
 
-    /// What the waiting tasks need now; none if no task waits.
+    /// Runs a routing pass and keeps its results for the quota exchange and the autoscaler.
+    /// Returns `None` if no task is waiting.
     fn run_routing_pass(&self) -> Option<routing::RoutingResult> {
         let cache = self.context.store.cache();
         if cache.waiting.is_empty() {
@@ -39,7 +41,7 @@
             return None;
         }
         let now = Instant::now();
-        let wall = (self.context.config.wall)();
+        let wall_time = (self.context.config.wall)();
         let estimator = lock(&self.context.estimator);
         let mut state = lock(&self.state);
         let failing = state.failing_jobs();
@@ -62,9 +64,9 @@
             start_target: self.context.config.tuning.start_target,
             offer_ttl: self.context.config.tuning.offer,
             now,
-            wall,
-            factor: &|class| estimator.factor(class),
-            full: BTreeSet::new(),
+            wall_time,
+            run_time_factor: &|class| estimator.factor(class),
+            unplaceable: BTreeSet::new(),
         }
         .run();
         state.deficit = std::mem::take(&mut routed.deficit);
@@ -78,7 +80,7 @@
         Some(routed)
     }
 
-    /// What is free on the machines that tasks may be routed to.
+    /// Returns the machines that tasks may be routed to, with their free resources.
     fn free_capacity(&self, cache: &StateCache, state: &LeaderState) -> routing::FreeCapacity {
         let unresponsive_after = self.context.config.unresponsive_after();
         routing::candidate_machines(
@@ -97,7 +99,8 @@
                 self.owner.accept_preemptions(tasks);
                 continue;
             }
-            // Unanswered: the room does not show and is asked for again.
+            // A lost request needs no handling: the resources do not become free, so the tasks
+            // are preempted again in a later pass.
             self.spawn_peer_request(controller, PeerRequest::Preempt(tasks), |_, _| {});
         }
     }
@@ -112,14 +115,15 @@
             self.spawn_peer_request(
                 controller,
                 PeerRequest::Offers(offers),
-                move |leader, controller| leader.forget_offers(controller, &jobs),
+                move |leader, controller| leader.remove_offers(controller, &jobs),
             );
         }
     }
 
-    /// An owner has not answered to offers of these jobs' tasks. It may have got them all
-    /// the same; its commits would then win or lose like any other's.
-    fn forget_offers(&self, controller: &ControllerName, jobs: &[JobId]) {
+    /// Removes the offers of these jobs' tasks to an owner that did not respond. The owner may
+    /// have received them nevertheless; its commits then succeed or fail like those of any
+    /// other owner.
+    fn remove_offers(&self, controller: &ControllerName, jobs: &[JobId]) {
         let mut state = lock(&self.state);
         for job in jobs {
             if let Some(tasks) = state.offered.get_mut(job) {
@@ -129,19 +133,19 @@
         state.statuses.remove(controller);
     }
 
-    /// Sends a request to another controller without waiting for the answer.
-    /// `on_no_answer` is called if none comes.
+    /// Sends a request to another controller without waiting for the response. Calls
+    /// `on_failure` if the request fails.
     pub(super) fn spawn_peer_request(
         self: &Arc<Self>,
         controller: ControllerName,
         request: PeerRequest,
-        on_no_answer: impl FnOnce(&Leader, &ControllerName) + Send + 'static,
+        on_failure: impl FnOnce(&Leader, &ControllerName) + Send + 'static,
     ) {
         let leader = self.clone();
         tokio::spawn(async move {
-            let answer = leader.context.peers.call(&controller, request).await;
-            if answer.is_err() {
-                on_no_answer(&leader, &controller);
+            let response = leader.context.peers.call(&controller, request).await;
+            if response.is_err() {
+                on_failure(&leader, &controller);
             }
         });
     }
--- a/src/coordination/leader/fleet/machine_inspection.rs
+++ b/src/coordination/leader/fleet/machine_inspection.rs
@@ -337,7 +337,7 @@
 
     /// Whether a draining machine is idle and at the end of its paid period.
     fn is_scale_in_due(&self, machine: InspectedMachine<'a>) -> bool {
-        let paid_left = self.config.tuning.paid.left(self.age(machine.record));
+        let paid_left = self.config.tuning.paid.time_left(self.age(machine.record));
         self.state.fleet.draining_machines.contains(machine.id)
             && !self.cache.on_machine.contains_key(machine.id)
             && paid_left < SCALE_IN_MARGIN
--- a/src/coordination/leader/fleet/market/demand.rs
+++ b/src/coordination/leader/fleet/market/demand.rs
@@ -173,11 +173,11 @@
         if left == 0 {
             break;
         }
-        if !placement::allowed(spec, candidate) {
+        if !placement::is_eligible(spec, candidate) {
             continue;
         }
         let fitting = spec.per_task.count_in(&candidate.room).min(left);
-        let fitting = fitting.min(constraint.room(&candidate.zone));
+        let fitting = fitting.min(constraint.remaining_tasks(&candidate.zone));
         if fitting > 0 {
             candidate.room -= spec.per_task.times(f64::from(fitting));
             constraint.add_tasks(&candidate.zone, fitting);
--- a/src/coordination/leader/fleet/market/machines.rs
+++ b/src/coordination/leader/fleet/market/machines.rs
@@ -90,11 +90,11 @@
             let age = Duration::from_millis(now_ms.saturating_sub(record.provisioned_ms));
             let utilisation = scale_in::MachineUtilisation {
                 id: id.clone(),
-                kind: kind_index,
+                type_index: kind_index,
                 utilisation: load.map_or(0.0, |load| load.taken.cpus) / size.cpus.max(MIN_CPUS),
-                power: size.cpus,
+                computing_power: size.cpus,
                 shard: cache.shard_of(id).map_or(0, |(shard, _)| shard.0),
-                paid_left: paid_periods.left(age),
+                paid_left: paid_periods.time_left(age),
             };
             Some(UsedMachine {
                 utilisation,
--- a/src/coordination/leader/fleet/market/suitability_search.rs
+++ b/src/coordination/leader/fleet/market/suitability_search.rs
@@ -35,7 +35,7 @@
             };
             let tasks = match pool.zone.as_ref().filter(|_| by_zone) {
                 Some(zone) => {
-                    let tasks = left.min(demand.constraint.room(zone));
+                    let tasks = left.min(demand.constraint.remaining_tasks(zone));
                     demand.constraint.add_tasks(zone, tasks);
                     tasks
                 }
--- a/src/coordination/leader/fleet/miss_rate_band.rs
+++ b/src/coordination/leader/fleet/miss_rate_band.rs
@@ -152,7 +152,7 @@
         miss_share: misses.shares.get(pool).copied().unwrap_or(0.0),
         queue_share: queued / f64::from(waiting.total.max(1)),
         least_utilisation,
-        need: need
+        machines_needed: need
             .by_pool
             .get(pool)
             .map_or(0, |machines| machines.ceil() as u32),
@@ -162,7 +162,9 @@
 /// The mean over all machines, weighted by their power.
 fn mean_utilisation(machines: &[UsedMachine]) -> f64 {
     let machines = || machines.iter().map(|machine| &machine.utilisation);
-    let used: f64 = machines().map(|used| used.utilisation * used.power).sum();
-    let power: f64 = machines().map(|used| used.power).sum();
+    let used: f64 = machines()
+        .map(|used| used.utilisation * used.computing_power)
+        .sum();
+    let power: f64 = machines().map(|used| used.computing_power).sum();
     used / power.max(1.0)
 }
--- a/src/coordination/leader/routing/candidates.rs
+++ b/src/coordination/leader/routing/candidates.rs
@@ -1,4 +1,4 @@
-//! The machines that tasks can be routed to.
+//! Finds the machines that tasks can be routed to.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -13,14 +13,15 @@
 /// Machines that tasks can be routed to, with their owners.
 #[derive(Clone, Debug, Default)]
 pub struct FreeCapacity {
-    /// The owners; a candidate names its own by the index in here.
+    /// The owners. Candidates refer to their owner by index.
     pub controllers: Vec<ControllerName>,
-    /// The machines. Full ones are among them, since others may be preempted there.
+    /// The machines, including those without free resources, since tasks may be preempted
+    /// there.
     pub candidates: Vec<CandidateMachine>,
 }
 
 impl FreeCapacity {
-    /// What is free on each owner's machines.
+    /// Returns the free quota on each owner's machines.
     pub fn free_quota(&self) -> BTreeMap<ControllerName, Quota> {
         let mut free: BTreeMap<ControllerName, Quota> = BTreeMap::new();
         for candidate in &self.candidates {
@@ -31,7 +32,7 @@
         free
     }
 
-    /// The index of an owner that has candidates.
+    /// Returns the index of an owner that has candidates.
     pub(super) fn owner_index(&self, controller: &ControllerName) -> Option<usize> {
         self.controllers
             .iter()
@@ -46,26 +47,26 @@
     }
 }
 
-/// What an owner said last of a machine that takes tasks.
+/// A machine that takes tasks, as of its owner's last status.
 pub struct UsableMachine {
     /// Images in its cache.
     pub images: Arc<Vec<ImageName>>,
-    /// Learned speed; 1 is usual.
+    /// Learned speed relative to other machines of the type; 1 is typical.
     pub speed: f64,
-    /// Room of ended tasks that the cache still counts.
+    /// Resources of ended tasks that the state cache still counts as used.
     pub freed: Resources,
 }
 
-/// Looks up an owner's machine; none if it takes no tasks now.
+/// Looks up an owner's machine; returns `None` if it takes no tasks at present.
 pub type UsableMachines<'a> = &'a dyn Fn(&ControllerName, &MachineId) -> Option<UsableMachine>;
 
-/// The machines that the leader may route tasks to. Full ones are among them,
-/// since others may be stopped there.
+/// Returns the machines that the leader may route tasks to, including those without free
+/// resources, since tasks may be preempted there.
 pub fn candidate_machines(
     cache: &StateCache,
     usable: UsableMachines<'_>,
     now_ms: u64,
-    paid: PaidPeriods,
+    paid_periods: PaidPeriods,
 ) -> FreeCapacity {
     let mut capacity = FreeCapacity::default();
     let shards = cache.shards.values().map(|entry| &entry.value);
@@ -80,7 +81,8 @@
                 let age = age_of(cache, id, now_ms);
                 CandidateMachine {
                     owner,
-                    leaves_in: (*machine_use == MachineUse::Draining).then(|| paid.left(age)),
+                    time_until_return: (*machine_use == MachineUse::Draining)
+                        .then(|| paid_periods.time_left(age)),
                     ..candidate
                 }
             }));
@@ -90,11 +92,14 @@
 }
 
 fn age_of(cache: &StateCache, id: &MachineId, now_ms: u64) -> Duration {
-    let provisioned_ms = cache.machines.get(id).map_or(now_ms, |m| m.provisioned_ms);
+    let provisioned_ms = cache
+        .machines
+        .get(id)
+        .map_or(now_ms, |record| record.provisioned_ms);
     Duration::from_millis(now_ms.saturating_sub(provisioned_ms))
 }
 
-/// The machine with what is free on it; none if it takes no tasks now.
+/// Returns the machine with its free resources, or `None` if it takes no tasks at present.
 fn candidate(
     cache: &StateCache,
     usable: UsableMachines<'_>,
@@ -104,16 +109,17 @@
     let record = cache.machines.get(id)?;
     let machine_type = cache.machine_type(&record.kind)?;
     let machine = usable(&shard.controller, id)?;
-    let mut room = machine_type.size;
-    room -= cache.taken(id);
-    // What an owner says is behind by up to a second: never more than
-    // the cache counts.
+    let mut free = machine_type.size;
+    free -= cache.taken(id);
+    // An owner's status is up to one second old and may still report freed resources that the
+    // cache no longer counts as used. The free resources are therefore limited to the machine's
+    // size.
     if cache.on_machine.contains_key(id) {
-        room += machine.freed;
-        room = room.at_most(&machine_type.size);
+        free += machine.freed;
+        free = free.at_most(&machine_type.size);
     }
     Some(CandidateMachine {
-        room,
+        room: free,
         speed: machine.speed,
         images: machine.images,
         ..CandidateMachine::empty(id.clone(), machine_type, &record.zone, record.spot)
--- a/src/coordination/leader/routing/mod.rs
+++ b/src/coordination/leader/routing/mod.rs
@@ -1,13 +1,14 @@
-//! Which owner gets which waiting tasks.
+//! Routes waiting tasks to shard owners.
 //!
-//! The leader makes a trial placement over all shards, by the same rule that the owners use,
-//! and offers each task to the owner of the machine that it found. A pass reads the cache and
-//! what the owners said last; it changes only what routing remembers between passes
-//! ([`state`]) and returns its effects ([`RoutingResult`]), which the leader carries out.
+//! The leader makes a trial placement over all shards, by the same rule as the owners, and
+//! offers each task to the owner of the machine that the trial placement chose. A pass reads
+//! the state cache and the last statuses of the owners. It changes only the state that routing
+//! keeps between passes ([`state`]) and returns its decisions ([`RoutingResult`]), which the
+//! leader carries out.
 //!
-//! A pass goes through the queue ([`queue_order`]) job by job: quota of the team, zone,
-//! machine; what finds no room is explained ([`unplaced`]), so that quota moves, other tasks
-//! are preempted or machines are provisioned.
+//! A pass processes the queue ([`queue_order`]) job by job and checks the team's quota, the
+//! zones and the machines. Tasks without a placement are classified by what they lack
+//! ([`unplaced`]): quota is then moved, other tasks are preempted or machines are provisioned.
 
 mod candidates;
 mod gangs;
@@ -37,76 +38,81 @@
 };
 
 use queue_order::QueuedJob;
-use quota_use::{QuotaUse, tasks_left};
+use quota_use::{QuotaUsage, tasks_left};
 use state::{PREEMPTION_TIMEOUT, RECORD_AFFINITY_TIMEOUT};
 use tokio::time::Instant;
 
 use crate::storage::{ClassName, JobId, JobKind, JobSpec, Quota, StateCache, Team};
 
-/// Tasks offered in one pass, about what owners write down until the next.
-const TASKS_PER_PASS: usize = 600;
-/// Tasks of one job looked at in one pass.
-const TASKS_PER_JOB: usize = 4_000;
-/// Jobs for which all free room is looked through in one pass.
-const JOBS_PER_PASS: usize = 96;
-/// A record is forgotten once its affinity has been over for this many timeouts.
-const RECORD_AFFINITY_KEPT: u32 = 3;
+/// Maximum number of tasks offered in one pass, about as many as the owners commit before the
+/// next one.
+const MAX_OFFERED_TASKS_PER_PASS: usize = 600;
+/// Maximum number of tasks of one job considered in one pass.
+const MAX_TASKS_PER_JOB_PER_PASS: usize = 4_000;
+/// Maximum number of jobs for which one pass searches all free capacity.
+const MAX_ROUTED_JOBS_PER_PASS: usize = 96;
+/// The affinity of a run record is kept for this many timeouts in total, so that a record whose
+/// affinity has expired does not start to wait again at once.
+const RECORD_AFFINITY_RETENTION_TIMEOUTS: u32 = 3;
 
-/// One pass over the queue: what it reads, and what it remembers for the next.
+/// One pass over the queue: its inputs and the state kept between passes.
 pub struct RoutingPass<'a> {
-    /// The live set as the leader knows it.
+    /// The leader's replica of the jobs, machines and shards.
     pub cache: &'a StateCache,
     /// All teams with their guarantees and limits.
     pub teams: &'a [Team],
-    /// The machines that tasks can be routed to; the pass fills them up.
+    /// The machines that tasks can be routed to; the pass deducts what it places.
     pub free_capacity: FreeCapacity,
-    /// Tasks offered in earlier passes.
+    /// Outstanding offers of earlier passes.
     pub offered: &'a mut OutstandingOffers,
-    /// Preemptions asked for in earlier passes.
+    /// Preemptions requested in earlier passes.
     pub pending_preemptions: &'a mut PendingPreemptions,
-    /// Idle work that is being stopped.
+    /// Tasks of the lowest priority that are being preempted, see [`reclaim`].
     pub reclaiming: &'a mut Reclaiming,
-    /// Records that wait for their writer.
+    /// Run records whose tasks wait for capacity at the owner that writes them.
     pub record_affinity: &'a mut RecordAffinity,
-    /// Gangs that are placed in part.
+    /// Partially placed gangs.
     pub gangs: &'a mut PartialGangs,
-    /// Owners that let offers expire.
+    /// Owners that let offers expire, by job.
     pub expired_offers: &'a mut ExpiredOffersByJob,
-    /// Jobs that fail wherever they are tried, and until when they pause.
+    /// Crash-looping jobs, each with the end of the pause before its next attempt.
     pub failing: &'a BTreeMap<JobId, Instant>,
-    /// Changes in a transaction, which decide what zone-bound placements depend on.
+    /// Maximum number of changes per transaction, which determines the [`ZoneScope`](crate::coordination::policy::zone_constraint::ZoneScope) of
+    /// zone-bound placements.
     pub changes_per_transaction: usize,
-    /// A task without a deadline that waits longer is overdue.
+    /// Waiting time after which a task without a deadline is overdue.
     pub start_target: Duration,
-    /// An offer that was not taken up for this long has expired.
+    /// Time after which an offer expires that has not led to a placement.
     pub offer_ttl: Duration,
-    /// The steady clock.
+    /// Monotonic time of the pass.
     pub now: Instant,
-    /// The time of day, by which jobs age.
-    pub wall: SystemTime,
-    /// Measured run time against the owner's estimate, by class of jobs.
-    pub factor: &'a dyn Fn(&ClassName) -> f64,
-    /// Requirements that have found no room in this pass.
-    pub full: BTreeSet<PlacementRequirements>,
+    /// Time of day, from which the age of jobs is calculated.
+    pub wall_time: SystemTime,
+    /// Ratio of measured run time to the submitter's estimate, by job class.
+    pub run_time_factor: &'a dyn Fn(&ClassName) -> f64,
+    /// Requirements for which this pass has found no machine with enough free resources.
+    pub unplaceable: BTreeSet<PlacementRequirements>,
 }
 
 impl RoutingPass<'_> {
-    /// Routes what it can of the queue.
+    /// Routes the queued tasks and returns the decisions.
     pub fn run(mut self) -> RoutingResult {
         let mut result = RoutingResult::default();
-        let mut used = QuotaUse::of(self.cache, &self.free_capacity.controllers);
+        let mut used = QuotaUsage::of(self.cache, &self.free_capacity.controllers);
         self.expire_offers(&mut used);
-        self.forget_past_passes();
+        self.prune_state();
         let cache = self.cache;
         let mut routed_jobs = 0;
         for queued in self.queued_jobs(cache, &used) {
             let requirements = PlacementRequirements::of(queued.spec);
             let may_preempt = self.may_preempt(queued.spec, &result);
-            if self.full.contains(&requirements) && !may_preempt {
-                // Others just like it have found nothing. They all count, since
-                // machines are provisioned by what waits.
-                self.count_unplaced(&queued, &mut used, &mut result);
-            } else if result.offered < TASKS_PER_PASS && routed_jobs < JOBS_PER_PASS {
+            if self.unplaceable.contains(&requirements) && !may_preempt {
+                // Tasks with the same requirements have found no free capacity in this pass.
+                // They are still counted, since machines are provisioned for the waiting tasks.
+                self.count_job_unplaced(&queued, &mut used, &mut result);
+            } else if result.offered < MAX_OFFERED_TASKS_PER_PASS
+                && routed_jobs < MAX_ROUTED_JOBS_PER_PASS
+            {
                 routed_jobs += 1;
                 self.route_job(&queued, &mut used, &mut result);
             } else {
@@ -121,44 +127,45 @@
         result
     }
 
-    /// Forgets what earlier passes remembered and what no longer holds.
-    fn forget_past_passes(&mut self) {
+    /// Removes expired and obsolete entries from the state that is kept between passes.
+    fn prune_state(&mut self) {
         let now = self.now;
         let jobs = &self.cache.jobs;
         self.pending_preemptions
             .retain(|_, since| now.duration_since(*since) < PREEMPTION_TIMEOUT);
         self.gangs.retain(|id, _| jobs.contains_key(id));
         self.reclaiming.begin_pass(now);
-        let affinity_ttl = RECORD_AFFINITY_TIMEOUT * RECORD_AFFINITY_KEPT;
+        let affinity_ttl = RECORD_AFFINITY_TIMEOUT * RECORD_AFFINITY_RETENTION_TIMEOUTS;
         self.record_affinity
             .retain(|_, since| now.duration_since(*since) < affinity_ttl);
     }
 
-    /// As [`Self::route_job`] for a job that has no room anywhere.
-    fn count_unplaced(
+    /// Handles a job like [`Self::route_job`], but without a search, since its requirements are
+    /// known to find no free capacity. Its tasks may still reclaim capacity.
+    fn count_job_unplaced(
         &mut self,
         queued: &QueuedJob<'_>,
-        used: &mut QuotaUse,
+        used: &mut QuotaUsage,
         result: &mut RoutingResult,
     ) {
         let QueuedJob { id, spec, job, .. } = queued;
-        let under_way = self.offered.get(*id).map_or(0, BTreeMap::len);
-        let waiting = (job.waiting() as usize).saturating_sub(under_way);
+        let outstanding = self.offered.get(*id).map_or(0, BTreeMap::len);
+        let waiting = (job.waiting() as usize).saturating_sub(outstanding);
         let within_limit = self.tasks_within_limit(spec, used);
         let tried = if self.is_on_probation(id) { 1 } else { waiting };
         let tasks = waiting.min(within_limit).min(tried);
-        let reclaimed = self.reclaim_room(queued, tasks, result);
-        self.note_unplaced(queued, (tasks - reclaimed) as u32, used, result);
+        let reclaimed = self.reclaim_capacity(queued, tasks, result);
+        self.add_unplaced(queued, (tasks - reclaimed) as u32, used, result);
     }
 
-    /// How many more tasks of the job its team's limit allows.
-    fn tasks_within_limit(&self, spec: &JobSpec, used: &QuotaUse) -> usize {
+    /// Returns how many more tasks of the job fit within its team's limit.
+    fn tasks_within_limit(&self, spec: &JobSpec, used: &QuotaUsage) -> usize {
         let quota = Quota::from(&spec.per_task);
-        tasks_left(&self.limit(spec), &used.all(&spec.team), &quota)
+        tasks_left(&self.limit(spec), &used.total(&spec.team), &quota)
     }
 
-    /// How many more tasks the owner's budget for the job's team allows.
-    fn budget_left(&self, owner: usize, spec: &JobSpec, used: &QuotaUse) -> usize {
+    /// Returns how many more tasks of the job fit within the owner's budget for its team.
+    fn budget_left(&self, owner: usize, spec: &JobSpec, used: &QuotaUsage) -> usize {
         let budget = self
             .cache
             .allocations
@@ -166,28 +173,28 @@
             .and_then(|entry| entry.value.budgets.get(&spec.team))
             .copied()
             .unwrap_or_default();
-        let used = used.by(owner, &spec.team);
+        let used = used.by_owner(owner, &spec.team);
         tasks_left(&budget, &used, &Quota::from(&spec.per_task))
     }
 
-    /// Routes what it can of one job.
+    /// Offers the tasks of one job that can be placed and classifies the others.
     fn route_job(
         &mut self,
         queued: &QueuedJob<'_>,
-        used: &mut QuotaUse,
+        used: &mut QuotaUsage,
         result: &mut RoutingResult,
     ) {
         let QueuedJob { id, spec, .. } = queued;
         let is_gang = spec.kind == JobKind::Gang;
-        if is_gang && (self.offered.contains_key(*id) || !self.may_join(queued, result)) {
+        if is_gang && (self.offered.contains_key(*id) || !self.may_route_gang(queued, result)) {
             return;
         }
         let mut tasks = self.tasks_to_route(queued);
-        if tasks.is_empty() || !self.keep_within_limit(queued, &mut tasks, used, result) {
+        if tasks.is_empty() || !self.truncate_to_limit(queued, &mut tasks, used, result) {
             return;
         }
         if self.awaits_zone_assignment(queued, tasks.len(), result) {
-            self.note_unplaced(queued, tasks.len() as u32, used, result);
+            self.add_unplaced(queued, tasks.len() as u32, used, result);
         } else if is_gang {
             self.route_gang(queued, &tasks, used, result);
         } else {
@@ -195,19 +202,20 @@
         }
     }
 
-    /// The job's waiting tasks that are not under way yet, as many as are tried now.
+    /// Returns the job's waiting tasks without an outstanding offer, up to the number to be
+    /// tried in this pass.
     fn tasks_to_route(&self, queued: &QueuedJob<'_>) -> Vec<u32> {
         let QueuedJob { id, spec, job, .. } = queued;
         let is_gang = spec.kind == JobKind::Gang;
         let max_tasks = if is_gang {
             spec.tasks as usize
         } else {
-            TASKS_PER_JOB
+            MAX_TASKS_PER_JOB_PER_PASS
         };
-        let under_way = self.offered.get(*id);
+        let outstanding = self.offered.get(*id);
         let waiting = job.waiting_tasks(max_tasks).into_iter();
         let mut tasks: Vec<u32> = waiting
-            .filter(|task| under_way.is_none_or(|tasks| !tasks.contains_key(task)))
+            .filter(|task| outstanding.is_none_or(|tasks| !tasks.contains_key(task)))
             .collect();
         if self.is_on_probation(id) && !is_gang {
             tasks.truncate(1);
@@ -215,13 +223,14 @@
         tasks
     }
 
-    /// Leaves out the tasks beyond the team's limit: more machines would not help them.
-    /// False: nothing of the job is routed, since a gang is placed whole.
-    fn keep_within_limit(
+    /// Removes the tasks beyond the team's limit, for which more machines would not help.
+    /// Returns false if nothing of the job is to be routed: a gang that exceeds the limit,
+    /// since gangs are placed as a whole.
+    fn truncate_to_limit(
         &mut self,
         queued: &QueuedJob<'_>,
         tasks: &mut Vec<u32>,
-        used: &QuotaUse,
+        used: &QuotaUsage,
         result: &mut RoutingResult,
     ) -> bool {
         let spec = queued.spec;
@@ -239,12 +248,12 @@
         true
     }
 
-    /// Offers the tasks of an array or a service that have room, and explains the others.
+    /// Offers the tasks of an array or service that can be placed and classifies the others.
     fn route_tasks(
         &mut self,
         queued: &QueuedJob<'_>,
         tasks: Vec<u32>,
-        used: &mut QuotaUse,
+        used: &mut QuotaUsage,
         result: &mut RoutingResult,
     ) {
         let placed = if queued.spec.is_zone_bound() {
@@ -252,21 +261,21 @@
         } else {
             self.place_by_record(queued, &tasks, used)
         };
-        let found: BTreeSet<u32> = placed.iter().map(|trial| trial.task).collect();
+        let placed_tasks: BTreeSet<u32> = placed.iter().map(|trial| trial.task).collect();
         for trial in placed {
             self.offer(queued.id, trial.task, trial.candidate, result);
         }
-        let left_over: Vec<u32> = tasks
+        let unplaced_tasks: Vec<u32> = tasks
             .into_iter()
-            .filter(|task| !found.contains(task))
+            .filter(|task| !placed_tasks.contains(task))
             .collect();
-        if !left_over.is_empty() {
-            self.explain_unplaced(queued, &left_over, used, result);
+        if !unplaced_tasks.is_empty() {
+            self.classify_unplaced(queued, &unplaced_tasks, used, result);
         }
     }
 }
 
-/// A task with the machine that the trial placement found for it.
+/// A task and the machine that the trial placement chose for it.
 #[derive(Clone, Copy, Debug)]
 struct TrialPlacement {
     task: u32,
--- a/src/coordination/leader/routing/offers.rs
+++ b/src/coordination/leader/routing/offers.rs
@@ -1,4 +1,4 @@
-//! Offers of tasks to owners: made, taken up or expired.
+//! Makes offers of tasks to owners and tracks which are accepted or expire.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use super::{
     RoutingPass, RoutingResult,
-    quota_use::QuotaUse,
+    quota_use::QuotaUsage,
     state::{EXPIRED_OFFERS_TTL, ExpiredOffers, ExpiredOffersByJob, OutstandingOffer},
 };
 use crate::{
@@ -15,16 +15,16 @@
 };
 
 impl RoutingPass<'_> {
-    /// Forgets offers that were taken up, or not in time, and sets the room and quota of
-    /// the others aside.
-    pub(super) fn expire_offers(&mut self, used: &mut QuotaUse) {
-        self.forget_ended_offers();
+    /// Removes accepted and expired offers, and reserves resources and quota for the
+    /// outstanding ones.
+    pub(super) fn expire_offers(&mut self, used: &mut QuotaUsage) {
+        self.remove_ended_offers();
         if !self.offered.is_empty() {
-            self.reserve_offered(used);
+            self.reserve_outstanding_offers(used);
         }
     }
 
-    fn forget_ended_offers(&mut self) {
+    fn remove_ended_offers(&mut self) {
         let (cache, now, ttl) = (self.cache, self.now, self.offer_ttl);
         let expired_offers = &mut *self.expired_offers;
         expired_offers.retain(|_, expired| now.duration_since(expired.last) < EXPIRED_OFFERS_TTL);
@@ -32,26 +32,26 @@
             let Some(job) = cache.jobs.get(id) else {
                 return false;
             };
-            let mut expired_at = None;
+            let mut expired_owner = None;
             tasks.retain(|task, offered| {
-                let waits = job.placement(*task).is_none() && !job.is_task_done(*task);
-                let is_open = now.duration_since(offered.offered_at) < ttl;
-                if waits && !is_open {
+                let is_waiting = job.placement(*task).is_none() && !job.is_task_done(*task);
+                let is_outstanding = now.duration_since(offered.offered_at) < ttl;
+                if is_waiting && !is_outstanding {
                     tracing::debug!(job = %id, task, owner = %offered.controller,
                         machine = %offered.machine, "offer expired");
-                    expired_at = Some(offered.controller.clone());
+                    expired_owner = Some(offered.controller.clone());
                 }
-                waits && is_open
+                is_waiting && is_outstanding
             });
-            if let Some(controller) = expired_at {
-                note_expired(expired_offers, id, controller, now);
+            if let Some(controller) = expired_owner {
+                count_expired_offer(expired_offers, id, controller, now);
             }
             !tasks.is_empty()
         });
     }
 
-    /// Counts what was offered before as placed where the trial placement had found room.
-    fn reserve_offered(&mut self, used: &mut QuotaUse) {
+    /// Counts outstanding offers as placed on the machines that the trial placement chose.
+    fn reserve_outstanding_offers(&mut self, used: &mut QuotaUsage) {
         let capacity = &mut self.free_capacity;
         let candidates = capacity.candidates.iter().enumerate();
         let index_of: BTreeMap<MachineId, usize> = candidates
@@ -66,10 +66,10 @@
                 if let Some(owner) = capacity.owner_index(&offered.controller) {
                     used.add(owner, &spec.team, &quota);
                 }
-                // Which machine the owner takes is its own choice; it decides
-                // by the same rule as the trial.
+                // The owner chooses the machine itself, by the same rule as the trial
+                // placement.
                 if let Some(index) = index_of.get(&offered.machine) {
-                    capacity.candidates[*index].put(spec);
+                    capacity.candidates[*index].place_task(spec);
                 }
             }
         }
@@ -106,18 +106,18 @@
     }
 }
 
-/// Counts how often in a row the same owner let offers of the job expire.
-fn note_expired(
+/// Counts consecutive expired offers of the job at the same owner.
+fn count_expired_offer(
     expired_offers: &mut ExpiredOffersByJob,
     id: &JobId,
     controller: ControllerName,
     now: Instant,
 ) {
-    let before = expired_offers
+    let previous = expired_offers
         .get(id)
         .filter(|expired| expired.controller == controller);
     let expired = ExpiredOffers {
-        count: before.map_or(1, |expired| expired.count + 1),
+        count: previous.map_or(1, |expired| expired.count + 1),
         last: now,
         controller,
     };
--- a/src/coordination/leader/routing/preemption.rs
+++ b/src/coordination/leader/routing/preemption.rs
@@ -1,4 +1,4 @@
-//! Preempts array tasks for replicas of the highest priority.
+//! Preempts array tasks for service replicas of the highest priority.
 
 use super::{RoutingPass, RoutingResult, queue_order::QueuedJob};
 use crate::{
@@ -8,10 +8,10 @@
     },
 };
 
-/// Replicas for which other tasks are preempted in one pass.
-const PREEMPTING_REPLICAS_PER_PASS: usize = 12;
+/// Maximum number of replicas for which one pass tries to preempt tasks.
+const MAX_PREEMPTING_REPLICAS_PER_PASS: usize = 12;
 
-/// A task that may be preempted for another.
+/// A task that may be preempted for another task.
 struct Victim<'a> {
     priority: Priority,
     /// Higher for jobs that were accepted earlier.
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The lowest priority first, then the youngest job.
+    /// Sorts by ascending priority, then by age, youngest job first.
     fn sort(victims: &mut [Self]) {
         victims.sort_by(|a, b| {
             (a.priority, a.age_rank, a.task).cmp(&(b.priority, b.age_rank, b.task))
@@ -40,38 +40,40 @@
     }
 }
 
-/// What has to be preempted on one machine to make room for a replica.
+/// Tasks to be preempted on one machine to free enough resources for a replica.
 struct MachinePreemption {
     /// Index of the candidate machine.
     candidate: usize,
     victims: Vec<TaskId>,
     /// The machine lacks the replica's image.
-    is_cold: bool,
-    /// The least age rank among the victims.
+    lacks_image: bool,
+    /// Lowest age rank among the victims.
     youngest: u64,
 }
 
 impl MachinePreemption {
-    /// Fewer victims first, then a machine with the image, then younger victims.
+    /// Returns the sort key, cheapest first: fewest victims, then machines with the image, then
+    /// the youngest victims.
     fn cost(&self) -> (usize, bool, u64) {
-        (self.victims.len(), self.is_cold, self.youngest)
+        (self.victims.len(), self.lacks_image, self.youngest)
     }
 
-    /// Nothing can be better than this.
+    /// Whether the search can stop, since only the age of the victim could be better: a single
+    /// victim on a machine that has the image.
     fn is_cheapest(&self) -> bool {
-        self.victims.len() == 1 && !self.is_cold
+        self.victims.len() == 1 && !self.lacks_image
     }
 }
 
 impl RoutingPass<'_> {
-    /// Whether tasks may be preempted for one of this job in this pass.
+    /// Whether tasks may be preempted for a task of this job in this pass.
     pub(super) fn may_preempt(&self, spec: &JobSpec, result: &RoutingResult) -> bool {
         spec.kind == JobKind::Service
             && spec.priority == Priority::Production
-            && result.preempting_replicas < PREEMPTING_REPLICAS_PER_PASS
+            && result.preempting_replicas < MAX_PREEMPTING_REPLICAS_PER_PASS
     }
 
-    /// Whether a task of `other` may be preempted for one of `spec`.
+    /// Whether a task of the job `other` may be preempted for a task of the job `spec`.
     fn is_preemptible(&self, task: &TaskId, other: &JobSpec, spec: &JobSpec) -> bool {
         other.kind == JobKind::Array
             && other.priority < spec.priority
@@ -79,8 +81,8 @@
             && !self.pending_preemptions.contains_key(task)
     }
 
-    /// A replica of the highest priority whose team is at its limit: the team's
-    /// own youngest array tasks of lower priority make way.
+    /// Preempts the youngest array tasks of lower priority of the same team for a replica of
+    /// the highest priority whose team is at its limit.
     pub(super) fn preempt_for_quota(
         &mut self,
         queued: &QueuedJob<'_>,
@@ -105,8 +107,8 @@
         }
     }
 
-    /// Tasks of the same team that take as many CPUs as one of the job; none: there are not
-    /// enough of them.
+    /// Returns tasks of the same team that use at least as many CPUs as a task of the job, or
+    /// `None` if there are not enough of them.
     fn victims_for_quota(&self, spec: &JobSpec) -> Option<Vec<(ControllerName, TaskId)>> {
         let mut victims: Vec<Victim<'_>> = Vec::new();
         for (machine, load) in &self.cache.on_machine {
@@ -135,9 +137,9 @@
         (missing_cpus <= AMOUNT_SLACK).then_some(chosen)
     }
 
-    /// Finds array tasks to stop for a replica of the highest priority that has
-    /// no room. One machine is cleared, with the fewest and youngest victims.
-    /// True: room is on its way.
+    /// Preempts array tasks for a replica of the highest priority that fits on no machine. All
+    /// victims are on one machine, the one with the fewest and youngest victims. Returns true
+    /// if the preemption is pending.
     pub(super) fn preempt_for_capacity(
         &mut self,
         queued: &QueuedJob<'_>,
@@ -162,7 +164,8 @@
             self.pending_preemptions.insert(victim.clone(), self.now);
         }
         let candidate = &self.free_capacity.candidates[preemption.candidate];
-        // What is freed belongs to the waiting task; the rest is small.
+        // The freed resources are not deducted from the free capacity: they are meant for the
+        // waiting task, and the remainder is small.
         tracing::debug!(job = %id, task, machine = %candidate.machine, victims = victims.len(),
             "preempting for capacity");
         let controller = self.free_capacity.controllers[candidate.owner].clone();
@@ -174,7 +177,8 @@
         true
     }
 
-    /// The machine on which the fewest and youngest victims make room for the task.
+    /// Returns the preemption with the fewest and youngest victims that frees enough resources
+    /// for the task.
     fn cheapest_preemption(&self, queued: &QueuedJob<'_>, task: u32) -> Option<MachinePreemption> {
         let parts = self.constrained_parts(queued, std::slice::from_ref(&task));
         let constraint = parts.into_iter().map(|(_, constraint)| constraint).next();
@@ -194,8 +198,8 @@
         best
     }
 
-    /// What has to be preempted on this machine for one task of the job; none: the job may
-    /// not run there, or nothing would help.
+    /// Returns the tasks to preempt on this machine for one task of the job, or `None` if the
+    /// job may not run there or preemption would not free enough resources.
     fn preemption_on(
         &self,
         index: usize,
@@ -203,8 +207,8 @@
         constraint: &ZoneConstraint,
     ) -> Option<MachinePreemption> {
         let candidate = &self.free_capacity.candidates[index];
-        if !placement::allowed(spec, candidate)
-            || candidate.leaves_in.is_some()
+        if !placement::is_eligible(spec, candidate)
+            || candidate.time_until_return.is_some()
             || !constraint.admits(&candidate.zone)
         {
             return None;
@@ -219,24 +223,24 @@
             })
             .collect();
         Victim::sort(&mut victims);
-        let mut room = candidate.room;
+        let mut free = candidate.room;
         let mut chosen = Vec::new();
         let mut youngest = u64::MAX;
         for victim in victims {
-            if spec.per_task.fits_in(&room) {
+            if spec.per_task.fits_in(&free) {
                 break;
             }
-            room += victim.size;
+            free += victim.size;
             youngest = youngest.min(victim.age_rank);
             chosen.push(victim.task.clone());
         }
-        if chosen.is_empty() || !spec.per_task.fits_in(&room) {
+        if chosen.is_empty() || !spec.per_task.fits_in(&free) {
             return None;
         }
         Some(MachinePreemption {
             candidate: index,
             victims: chosen,
-            is_cold: !candidate.images.contains(&spec.image),
+            lacks_image: !candidate.images.contains(&spec.image),
             youngest,
         })
     }
--- a/src/coordination/leader/routing/queue_order.rs
+++ b/src/coordination/leader/routing/queue_order.rs
@@ -1,8 +1,8 @@
-//! The queue of jobs with waiting tasks, and the order in which it is served.
+//! The queue of jobs with waiting tasks and its order.
 
 use std::{cmp::Reverse, time::Duration};
 
-use super::{RoutingPass, quota_use::QuotaUse};
+use super::{RoutingPass, quota_use::QuotaUsage};
 use crate::storage::{JobId, JobSpec, Priority, Quota, StateCache, state_cache::Job};
 
 /// A job with waiting tasks.
@@ -13,32 +13,33 @@
     pub(super) rank: QueueRank,
 }
 
-/// How soon a job is to be served, the soonest first. The fields are compared in order.
+/// Position of a job in the queue; lower ranks are served first. The fields are compared in
+/// order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueRank {
-    /// The job's priority, raised by its age.
+    /// Priority of the job, raised by its age.
     pub(super) priority: Reverse<Priority>,
-    /// Its team uses more than its guarantee.
+    /// One more task of the job would exceed the guarantee of its team.
     pub(super) borrows: bool,
-    /// Milliseconds of the time of day at which it was accepted, or is due.
+    /// Time of day at which the job was accepted plus its deadline, if any, in milliseconds.
     pub(super) due_ms: u64,
 }
 
-/// A job of which no task has begun for this long is served before others of
-/// its priority, and with each further such time as if its priority were one
-/// higher; one that has begun but still has tasks waiting rises half as fast.
-/// Early-first alone lets bursts of small or important jobs keep it waiting for
-/// good (exception to section 4.4.1, see docs/DESIGN.md).
+/// Interval of priority aging. A job of which no task has started for one interval no longer
+/// counts as borrowing quota, which puts it before the borrowing jobs of its priority; each
+/// further interval raises its priority by one level. A job that has started but still has
+/// waiting tasks ages half as fast. With the order by arrival and deadline alone, bursts of
+/// small or important jobs would starve it (exception to section 4.4.1, see docs/DESIGN.md).
 const AGING_INTERVAL: Duration = Duration::from_secs(75);
 
-/// The priority of a job that has waited, and whether it still counts as borrowing.
-pub(super) fn raised_by_age(
+/// Returns the priority of a job of this age, and whether it still counts as borrowing.
+pub(super) fn aged_priority(
     priority: Priority,
     borrows: bool,
-    begun: bool,
+    started: bool,
     age: Duration,
 ) -> (Priority, bool) {
-    let interval = if begun {
+    let interval = if started {
         AGING_INTERVAL * 2
     } else {
         AGING_INTERVAL
@@ -56,11 +57,11 @@
 }
 
 impl RoutingPass<'_> {
-    /// The jobs with waiting tasks that may be tried now, in the order of the queue.
+    /// Returns the jobs with waiting tasks that may be tried now, in queue order.
     pub(super) fn queued_jobs<'b>(
         &self,
         cache: &'b StateCache,
-        used: &QuotaUse,
+        used: &QuotaUsage,
     ) -> Vec<QueuedJob<'b>> {
         let waiting = cache.waiting.iter();
         let mut queued_jobs: Vec<QueuedJob<'b>> = waiting
@@ -75,16 +76,17 @@
         &self,
         cache: &'b StateCache,
         id: &'b JobId,
-        used: &QuotaUse,
+        used: &QuotaUsage,
     ) -> Option<QueuedJob<'b>> {
         let job = cache.jobs.get(id)?;
         let spec = job.spec()?;
         if self.is_on_probation(id) && (job.present() > 0 || self.offered.contains_key(id)) {
             return None;
         }
-        let begun = job.placed + job.done > 0;
+        let started = job.placed + job.done > 0;
         let borrows = self.borrows(spec, used);
-        let (priority, borrows) = raised_by_age(spec.priority, borrows, begun, spec.age(self.wall));
+        let (priority, borrows) =
+            aged_priority(spec.priority, borrows, started, spec.age(self.wall_time));
         let deadline_ms = spec.deadline.map_or(0, |d| d.as_millis() as u64);
         let rank = QueueRank {
             priority: Reverse(priority),
@@ -99,22 +101,23 @@
         })
     }
 
-    /// Whether one more task of the job would be beyond its team's guarantee.
-    fn borrows(&self, spec: &JobSpec, used: &QuotaUse) -> bool {
+    /// Whether one more task of the job would exceed its team's guarantee.
+    fn borrows(&self, spec: &JobSpec, used: &QuotaUsage) -> bool {
         let team = self.teams.iter().find(|team| team.name == spec.team);
         team.is_some_and(|team| {
-            let after = used.all(&spec.team).plus(&Quota::from(&spec.per_task));
+            let after = used.total(&spec.team).plus(&Quota::from(&spec.per_task));
             !team.guaranteed.covers(&after)
         })
     }
 
-    /// Whether the job fails wherever it is tried, so that one task of it is tried at a
-    /// time: offers of all of them, which no owner takes, would keep room from others.
+    /// Whether the job is crash-looping, so that only one of its tasks is tried at a time.
+    /// Offers of all its tasks, which no owner accepts, would reserve resources that other jobs
+    /// need.
     pub(super) fn is_on_probation(&self, id: &JobId) -> bool {
         self.failing.contains_key(id)
     }
 
-    /// The limit of the job's team.
+    /// Returns the limit of the job's team.
     pub(super) fn limit(&self, spec: &JobSpec) -> Quota {
         let team = self.teams.iter().find(|team| team.name == spec.team);
         team.map(|team| team.limit).unwrap_or_default()
--- a/src/coordination/leader/routing/quota_use.rs
+++ b/src/coordination/leader/routing/quota_use.rs
@@ -1,46 +1,46 @@
-//! What of the teams' limits is used while a pass goes on.
+//! Quota usage of the teams during a pass.
 
 use std::collections::BTreeMap;
 
 use crate::storage::{AMOUNT_SLACK, ControllerName, Quota, StateCache, TeamName};
 
-/// What is used of each team's limit, by all and by each owner. It grows with what the pass
-/// offers, so that later jobs find that much less.
+/// Quota used by each team, in total and per owner. The offers of a pass are added, so that
+/// less is left for later jobs.
 #[derive(Clone, Debug, Default)]
-pub(super) struct QuotaUse {
-    all: BTreeMap<TeamName, Quota>,
-    /// By the owner's index.
+pub(super) struct QuotaUsage {
+    total: BTreeMap<TeamName, Quota>,
+    /// Usage on the machines of each owner, by owner index.
     by_owner: Vec<BTreeMap<TeamName, Quota>>,
 }
 
-impl QuotaUse {
-    /// What is used now; owners are counted by their index in `owners`.
+impl QuotaUsage {
+    /// Returns the current usage; owner indices refer to `owners`.
     pub(super) fn of(cache: &StateCache, owners: &[ControllerName]) -> Self {
         let used_by = |owner| cache.quota_used(cache.machines_of(owner));
         Self {
-            all: cache.quota_used(cache.on_machine.keys()),
+            total: cache.quota_used(cache.on_machine.keys()),
             by_owner: owners.iter().map(used_by).collect(),
         }
     }
 
-    /// Counts more as used by this owner, and so by all.
+    /// Adds to the usage on the machines of this owner and to the total.
     pub(super) fn add(&mut self, owner: usize, team: &TeamName, quota: &Quota) {
-        add_to(&mut self.all, team, quota);
+        add_to(&mut self.total, team, quota);
         add_to(&mut self.by_owner[owner], team, quota);
     }
 
-    /// Counts more as used by nobody in particular yet.
+    /// Adds to the total usage only, for tasks without an owner.
     pub(super) fn add_unplaced(&mut self, team: &TeamName, quota: &Quota) {
-        add_to(&mut self.all, team, quota);
+        add_to(&mut self.total, team, quota);
     }
 
-    /// What all use of the team's limit.
-    pub(super) fn all(&self, team: &TeamName) -> Quota {
-        self.all.get(team).copied().unwrap_or_default()
+    /// Returns the total usage of the team.
+    pub(super) fn total(&self, team: &TeamName) -> Quota {
+        self.total.get(team).copied().unwrap_or_default()
     }
 
-    /// What one owner uses of the team's limit.
-    pub(super) fn by(&self, owner: usize, team: &TeamName) -> Quota {
+    /// Returns the usage of the team on the machines of one owner.
+    pub(super) fn by_owner(&self, owner: usize, team: &TeamName) -> Quota {
         self.by_owner[owner].get(team).copied().unwrap_or_default()
     }
 }
@@ -54,7 +54,7 @@
     }
 }
 
-/// How many tasks of this quota fit between what is used and the limit.
+/// Returns how many tasks of this quota fit between the usage and the limit.
 pub(super) fn tasks_left(limit: &Quota, used: &Quota, per_task: &Quota) -> usize {
     let free = limit.minus(used);
     let fit = |free: f64, each: f64| {
--- a/src/coordination/leader/routing/reclaim.rs
+++ b/src/coordination/leader/routing/reclaim.rs
@@ -1,8 +1,9 @@
-//! Stops tasks of the lowest priority for waiting work of a higher one that has no room.
+//! Preempts tasks of the lowest priority for waiting tasks of a higher priority that fit on no
+//! machine.
 //!
-//! The paper's tasks are all alike and short, so that it never stops one. Work of the
-//! lowest priority that runs for minutes would keep a full fleet from all others for as
-//! long (exception to section 4.4.1, see docs/DESIGN.md).
+//! The paper never preempts, since its tasks are uniform and short. Here, tasks of the lowest
+//! priority that run for minutes would block a fully used fleet for all other work for as long
+//! (exception to section 4.4.1, see docs/DESIGN.md).
 
 use std::{cmp::Reverse, collections::BTreeMap, time::Duration};
 
@@ -10,7 +11,7 @@
 
 use super::{
     RoutingPass, RoutingResult,
-    queue_order::{QueueRank, QueuedJob, raised_by_age},
+    queue_order::{QueueRank, QueuedJob, aged_priority},
     state::PREEMPTION_TIMEOUT,
 };
 use crate::{
@@ -18,47 +19,48 @@
     storage::{JobId, JobKind, JobSpec, Priority, Resources, TaskId},
 };
 
-/// Waiting tasks of a job for which others are being stopped.
+/// Number of waiting tasks of a job for which other tasks are being preempted.
 #[derive(Clone, Copy, Debug)]
-struct Reclaimed {
+struct ReclaimRequest {
     tasks: usize,
     since: Instant,
 }
 
-impl Reclaimed {
-    fn is_fresh(&self, now: Instant) -> bool {
+impl ReclaimRequest {
+    fn is_pending(&self, now: Instant) -> bool {
         now.duration_since(self.since) < PREEMPTION_TIMEOUT
     }
 }
 
-/// What is being stopped, and for whom.
+/// Pending reclaims by job, and the machines whose tasks can be preempted.
 #[derive(Debug, Default)]
 pub struct Reclaiming {
-    jobs: BTreeMap<JobId, Reclaimed>,
-    /// Machines with tasks that may be stopped, once a pass has looked for them.
-    machines: Option<Vec<Reclaimable>>,
+    jobs: BTreeMap<JobId, ReclaimRequest>,
+    /// Machines with reclaimable tasks; `None` until the current pass has searched for them.
+    machines: Option<Vec<ReclaimableMachine>>,
 }
 
 impl Reclaiming {
-    /// A pass begins: machines are looked for anew.
+    /// Drops expired requests, and the machines found in the previous pass.
     pub(super) fn begin_pass(&mut self, now: Instant) {
         self.machines = None;
-        self.jobs.retain(|_, known| known.is_fresh(now));
+        self.jobs.retain(|_, request| request.is_pending(now));
     }
 
-    /// For how many tasks of the job others were told to stop a moment ago.
-    fn tasks_of(&self, id: &JobId) -> usize {
-        self.jobs.get(id).map_or(0, |known| known.tasks)
+    /// Returns the number of tasks of the job for which preemptions are pending.
+    fn pending_tasks(&self, id: &JobId) -> usize {
+        self.jobs.get(id).map_or(0, |request| request.tasks)
     }
 }
 
-/// Tasks told to stop in one pass, about what owners write down until the next.
-const STOPPED_PER_PASS: usize = 128;
-/// A task that takes no longer than this leaves its room by itself as soon as a stopped
-/// one would.
-const SHORT_TASK: Duration = Duration::from_secs(8);
+/// Maximum number of tasks preempted in one pass, about as many as the owners commit before the
+/// next one.
+const MAX_RECLAIMED_TASKS_PER_PASS: usize = 128;
+/// Tasks with an estimated run time of at most this are not preempted, since they end by
+/// themselves about as soon as a preempted task would.
+const SHORT_TASK_RUN_TIME: Duration = Duration::from_secs(8);
 
-/// A task that may be stopped.
+/// A task that may be preempted.
 #[derive(Debug)]
 struct Victim {
     task: TaskId,
@@ -66,22 +68,23 @@
     rank: QueueRank,
 }
 
-/// A machine with tasks that may be stopped, the first to go last.
+/// A machine with tasks that may be preempted.
 #[derive(Debug)]
-struct Reclaimable {
+struct ReclaimableMachine {
     candidate: usize,
+    /// In reverse order of preemption: the last one is preempted first.
     victims: Vec<Victim>,
 }
 
-/// Whether a running task of this job may be stopped for work of a higher priority.
-fn is_stoppable(spec: &JobSpec) -> bool {
-    spec.is_idle_work() && spec.estimate > SHORT_TASK
+/// Whether running tasks of this job may be preempted for tasks of a higher priority.
+fn is_reclaimable(spec: &JobSpec) -> bool {
+    spec.is_idle_work() && spec.estimate > SHORT_TASK_RUN_TIME
 }
 
 impl RoutingPass<'_> {
-    /// Stops tasks of the lowest priority on machines that could take up to `tasks`
-    /// waiting ones of the job. Returns for how many room is on its way.
-    pub(super) fn reclaim_room(
+    /// Preempts tasks of the lowest priority to free resources for up to `tasks` waiting tasks
+    /// of the job. Returns the number of tasks for which resources are being freed.
+    pub(super) fn reclaim_capacity(
         &mut self,
         queued: &QueuedJob<'_>,
         tasks: usize,
@@ -94,8 +97,8 @@
         if !may_reclaim || tasks == 0 {
             return 0;
         }
-        let under_way = self.reclaiming.tasks_of(queued.id);
-        if under_way >= tasks {
+        let outstanding = self.reclaiming.pending_tasks(queued.id);
+        if outstanding >= tasks {
             return tasks;
         }
         let mut machines = match self.reclaiming.machines.take() {
@@ -104,8 +107,8 @@
         };
         let mut found = 0;
         for machine in &mut machines {
-            while under_way + found < tasks
-                && result.reclaimed < STOPPED_PER_PASS
+            while outstanding + found < tasks
+                && result.reclaimed < MAX_RECLAIMED_TASKS_PER_PASS
                 && self.reclaim_one(queued, machine, result)
             {
                 found += 1;
@@ -114,32 +117,32 @@
         self.reclaiming.machines = Some(machines);
         if found > 0 {
             tracing::debug!(job = %queued.id, tasks = found, "preempting idle work for capacity");
-            let reclaimed = Reclaimed {
-                tasks: under_way + found,
+            let reclaimed = ReclaimRequest {
+                tasks: outstanding + found,
                 since: self.now,
             };
             self.reclaiming.jobs.insert(queued.id.clone(), reclaimed);
         }
-        under_way + found
+        outstanding + found
     }
 
-    /// The open machines with tasks that may be stopped. Of these the youngest job's
-    /// latest tasks go first, which have done least.
-    fn find_reclaimable(&self) -> Vec<Reclaimable> {
+    /// Returns the candidate machines with tasks that may be preempted. The last tasks of the
+    /// youngest job are preempted first, since these have done the least work.
+    fn find_reclaimable(&self) -> Vec<ReclaimableMachine> {
         let mut machines = Vec::new();
-        for (candidate, open) in self.free_capacity.candidates.iter().enumerate() {
-            let Some(load) = self.cache.on_machine.get(&open.machine) else {
+        for (candidate, machine) in self.free_capacity.candidates.iter().enumerate() {
+            let Some(load) = self.cache.on_machine.get(&machine.machine) else {
                 continue;
             };
             let mut victims: Vec<Victim> = Vec::new();
             for (task, placed) in &load.tasks {
                 let Some(spec) = &placed.spec else { continue };
-                if is_stoppable(spec)
+                if is_reclaimable(spec)
                     && !self.pending_preemptions.contains_key(task)
                     && !self.cache.pending_cleanup.contains(&task.job)
                 {
                     let (priority, borrows) =
-                        raised_by_age(spec.priority, true, true, spec.age(self.wall));
+                        aged_priority(spec.priority, true, true, spec.age(self.wall_time));
                     victims.push(Victim {
                         task: task.clone(),
                         size: spec.per_task,
@@ -153,43 +156,51 @@
             }
             if !victims.is_empty() {
                 victims.sort_by(|a, b| (a.rank, &a.task).cmp(&(b.rank, &b.task)));
-                machines.push(Reclaimable { candidate, victims });
+                machines.push(ReclaimableMachine { candidate, victims });
             }
         }
         machines
     }
 
-    /// Stops what keeps one more task of the job from having room on this machine.
+    /// Preempts as many tasks on this machine as needed for one more task of the job. Returns
+    /// false if that is not possible.
     fn reclaim_one(
         &mut self,
         queued: &QueuedJob<'_>,
-        machine: &mut Reclaimable,
+        machine: &mut ReclaimableMachine,
         result: &mut RoutingResult,
     ) -> bool {
         let spec = queued.spec;
         let candidate = &mut self.free_capacity.candidates[machine.candidate];
-        if !placement::allowed(spec, candidate) || candidate.leaves_in.is_some() {
+        if !placement::is_eligible(spec, candidate) || candidate.time_until_return.is_some() {
             return false;
         }
-        let mut room = candidate.room;
-        let mut from = machine.victims.len();
-        while !spec.per_task.fits_in(&room) {
-            let Some(victim) = from.checked_sub(1).map(|at| &machine.victims[at]) else {
+        let mut free = candidate.room;
+        let mut first_victim = machine.victims.len();
+        while !spec.per_task.fits_in(&free) {
+            let Some(victim) = first_victim
+                .checked_sub(1)
+                .map(|index| &machine.victims[index])
+            else {
                 return false;
             };
-            // One that has waited long enough to have risen stays.
+            // Aging may have raised the victim to the priority of the waiting job; it is not
+            // preempted then.
             if victim.rank.priority <= queued.rank.priority {
                 return false;
             }
-            room += victim.size;
-            from -= 1;
+            free += victim.size;
+            first_victim -= 1;
         }
-        // What is free already goes to the waiting task as well.
-        room -= spec.per_task;
-        candidate.room = candidate.room.at_most(&room);
+        // The resources that were already free are reserved for the waiting task, too.
+        free -= spec.per_task;
+        candidate.room = candidate.room.at_most(&free);
         let controller = self.free_capacity.controllers[candidate.owner].clone();
-        let stopped = machine.victims.drain(from..).map(|victim| victim.task);
-        for task in stopped {
+        let preempted = machine
+            .victims
+            .drain(first_victim..)
+            .map(|victim| victim.task);
+        for task in preempted {
             result.reclaimed += 1;
             self.pending_preemptions.insert(task.clone(), self.now);
             result
--- a/src/coordination/leader/routing/records.rs
+++ b/src/coordination/leader/routing/records.rs
@@ -1,12 +1,12 @@
-//! Places tasks that are bound to no zone, run record by run record, each with one owner as
-//! far as it goes.
+//! Places tasks without zone constraints, one run record at a time. The tasks of a record go to
+//! a single owner where possible.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{
     RoutingPass, TrialPlacement,
     queue_order::QueuedJob,
-    quota_use::QuotaUse,
+    quota_use::QuotaUsage,
     state::{EXPIRED_OFFERS_LIMIT, RECORD_AFFINITY_TIMEOUT},
 };
 use crate::{
@@ -18,10 +18,11 @@
 };
 
 impl RoutingPass<'_> {
-    /// The owners that have tasks of this record, and so write it, by index.
-    pub(super) fn writers(&self, id: &JobId, job: &Job, chunk: u32) -> Vec<usize> {
+    /// Returns the indices of the owners that write this run record, since they run or have
+    /// been offered tasks of it.
+    pub(super) fn writers(&self, id: &JobId, job: &Job, record: u32) -> Vec<usize> {
         let mut controllers: BTreeSet<&ControllerName> = BTreeSet::new();
-        if let Some(entry) = job.chunks.get(&chunk) {
+        if let Some(entry) = job.chunks.get(&record) {
             for placement in entry.value.placed.values() {
                 if let Some((_, shard)) = self.cache.shard_of(&placement.machine) {
                     controllers.insert(&shard.value.controller);
@@ -29,7 +30,7 @@
             }
         }
         for (task, offered) in self.offered.get(id).into_iter().flatten() {
-            if task / keys::CHUNK == chunk {
+            if task / keys::CHUNK == record {
                 controllers.insert(&offered.controller);
             }
         }
@@ -39,26 +40,28 @@
             .collect()
     }
 
-    /// The owner that let an offer of these tasks expire, if they have ended without a
-    /// result before and there are other owners. Two such jobs with room at two owners
-    /// would keep each other's only other place for good.
+    /// Returns the index of the owner to exclude for these tasks: the one that let
+    /// [`EXPIRED_OFFERS_LIMIT`] consecutive offers of the job expire. This applies only if some
+    /// of the tasks were placed before, ended without a result, and there are other owners.
+    /// Without it, two such jobs with capacity at two owners would block each other's only
+    /// alternative forever.
     fn owner_with_expired_offers(&self, id: &JobId, job: &Job, tasks: &[u32]) -> Option<usize> {
         let expired = self.expired_offers.get(id)?;
         let record = &job.chunks.get(&(tasks.first()? / keys::CHUNK))?.value;
-        let is_again = tasks.iter().any(|task| record.before.contains_key(task));
+        let is_retry = tasks.iter().any(|task| record.before.contains_key(task));
         let owner = self.free_capacity.owner_index(&expired.controller);
-        let refuses = expired.count >= EXPIRED_OFFERS_LIMIT;
-        owner.filter(|_| refuses && is_again && self.free_capacity.controllers.len() > 1)
+        let refuses_job = expired.count >= EXPIRED_OFFERS_LIMIT;
+        owner.filter(|_| refuses_job && is_retry && self.free_capacity.controllers.len() > 1)
     }
 
-    /// The tasks of each record go to one owner as far as it has room: each
-    /// further owner would write the same record, and changes of the state
-    /// service are scarce. Within an owner by least estimated completion.
+    /// Places the tasks of each record with one owner as far as it has capacity. Each
+    /// additional owner would write the same record, and the rate of changes of the state
+    /// service is limited. The machines of an owner are chosen by least estimated completion.
     pub(super) fn place_by_record(
         &mut self,
         queued: &QueuedJob<'_>,
         tasks: &[u32],
-        used: &mut QuotaUse,
+        used: &mut QuotaUsage,
     ) -> Vec<TrialPlacement> {
         let mut placed = Vec::with_capacity(tasks.len());
         for record_tasks in tasks.chunk_by(|a, b| a / keys::CHUNK == b / keys::CHUNK) {
@@ -67,65 +70,65 @@
         placed
     }
 
-    /// Places tasks of one record, with one owner after the other.
+    /// Places tasks of one record, trying one owner after the other.
     fn place_record(
         &mut self,
         queued: &QueuedJob<'_>,
         tasks: &[u32],
-        used: &mut QuotaUse,
+        used: &mut QuotaUsage,
         placed: &mut Vec<TrialPlacement>,
     ) {
         let QueuedJob { id, spec, job, .. } = queued;
-        let factor = (self.factor)(&spec.class);
-        let chunk = tasks[0] / keys::CHUNK;
-        let keeps_to_writers = self.keeps_to_writers(queued, chunk);
-        let mut rest = tasks;
-        let mut writers = self.writers(id, job, chunk);
+        let run_time_factor = (self.run_time_factor)(&spec.class);
+        let record = tasks[0] / keys::CHUNK;
+        let waits_for_writers = self.waits_for_writers(queued, record);
+        let mut remaining = tasks;
+        let mut writers = self.writers(id, job, record);
         let candidates = &self.free_capacity.candidates;
-        let mut fits = compare_owners(spec, candidates, factor, rest.len());
-        if let Some(owner) = self.owner_with_expired_offers(id, job, rest) {
+        let mut fits = compare_owners(spec, candidates, run_time_factor, remaining.len());
+        if let Some(owner) = self.owner_with_expired_offers(id, job, remaining) {
             fits.remove(&owner);
         }
-        while !rest.is_empty() {
-            self.keep_within_budgets(&mut fits, queued, used);
+        while !remaining.is_empty() {
+            self.cap_to_budgets(&mut fits, queued, used);
             let Some(owner) = best_owner(&fits, &writers) else {
                 return;
             };
-            if keeps_to_writers && !writers.is_empty() && !writers.contains(&owner) {
+            if waits_for_writers && !writers.is_empty() && !writers.contains(&owner) {
                 let now = self.now;
-                let key = ((*id).clone(), chunk);
+                let key = ((*id).clone(), record);
                 self.record_affinity.entry(key).or_insert(now);
                 return;
             }
             writers = vec![owner];
             let fit = fits.remove(&owner).map_or(0, |fit| fit.tasks);
-            let count = fit.min(rest.len());
-            let chosen = self.fill_owner(queued, owner, factor, count, used);
-            let trials = rest.iter().zip(&chosen);
+            let count = fit.min(remaining.len());
+            let chosen = self.fill_owner(queued, owner, run_time_factor, count, used);
+            let trials = remaining.iter().zip(&chosen);
             placed.extend(trials.map(|(task, candidate)| TrialPlacement {
                 task: *task,
                 candidate: *candidate,
             }));
-            rest = &rest[chosen.len()..];
+            remaining = &remaining[chosen.len()..];
         }
     }
 
-    /// Whether the record waits for room at the owners that write it already. A second
-    /// writer would cost two changes for each of its results, one of them refused. An
-    /// owner's room comes back all the time, as array tasks end; replicas do not wait for
+    /// Whether tasks of the record wait for capacity at the owners that already write it. A
+    /// second writer would cost two changes for each of its results, one of them rejected.
+    /// Array tasks end all the time and free capacity at the owner; replicas do not wait for
     /// that.
-    fn keeps_to_writers(&self, queued: &QueuedJob<'_>, chunk: u32) -> bool {
-        let since = self.record_affinity.get(&(queued.id.clone(), chunk));
-        let is_due =
+    fn waits_for_writers(&self, queued: &QueuedJob<'_>, record: u32) -> bool {
+        let since = self.record_affinity.get(&(queued.id.clone(), record));
+        let affinity_expired =
             since.is_some_and(|since| self.now.duration_since(*since) >= RECORD_AFFINITY_TIMEOUT);
-        queued.spec.kind == JobKind::Array && !is_due
+        queued.spec.kind == JobKind::Array && !affinity_expired
     }
 
-    fn keep_within_budgets(
+    fn cap_to_budgets(
         &self,
         fits: &mut BTreeMap<usize, OwnerFit>,
         queued: &QueuedJob<'_>,
-        used: &QuotaUse,
+        used: &QuotaUsage,
     ) {
         for (owner, fit) in fits {
             let budget_left = self.budget_left(*owner, queued.spec, used);
@@ -133,21 +136,22 @@
         }
     }
 
-    /// Puts up to `count` tasks on the owner's machines; returns the candidates' indices.
+    /// Places up to `count` tasks on the owner's machines and returns the candidate indices.
     fn fill_owner(
         &mut self,
         queued: &QueuedJob<'_>,
         owner: usize,
-        factor: f64,
+        run_time_factor: f64,
         count: usize,
-        used: &mut QuotaUse,
+        used: &mut QuotaUsage,
     ) -> Vec<usize> {
         let spec = queued.spec;
         let quota = Quota::from(&spec.per_task);
         let candidates = &mut self.free_capacity.candidates;
-        let chosen = placement::fill(spec, candidates, factor, count, |candidate| {
-            candidate.owner == owner
-        });
+        let chosen =
+            placement::place_tasks(spec, candidates, run_time_factor, count, |candidate| {
+                candidate.owner == owner
+            });
         for _ in &chosen {
             used.add(owner, &spec.team, &quota);
         }
--- a/src/coordination/leader/routing/requirements.rs
+++ b/src/coordination/leader/routing/requirements.rs
@@ -1,16 +1,17 @@
-//! What decides whether a task has room somewhere.
+//! Requirements that decide whether a task fits on any machine.
 
 use crate::storage::{JobKind, JobSpec, TypeName, ZoneName};
 
-/// What tasks need of a machine. Where one has found no room, none just like it does.
+/// Requirements of tasks on a machine. If a task finds no machine in a pass, no other task with
+/// equal requirements does.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PlacementRequirements {
-    /// The bits of CPUs, GPUs and memory, which can be compared for equality.
+    /// Bit patterns of CPUs, GPUs and memory, which can be compared for equality.
     size_bits: [u64; 3],
     spot: bool,
     service: bool,
-    /// Bound to zones, or to other tasks of its gang.
-    bound: bool,
+    /// Whether the placement depends on other tasks of the job (zone constraint or gang).
+    constrained: bool,
     zone: Option<ZoneName>,
     types: Option<Vec<TypeName>>,
 }
@@ -22,9 +23,9 @@
         Self {
             size_bits: [size.cpus, size.gpus, size.memory].map(f64::to_bits),
             spot: spec.spot,
-            // A draining machine takes an array's short tasks only.
+            // Draining machines take no services, only tasks that end in time.
             service: spec.kind == JobKind::Service,
-            bound: spec.is_zone_bound() || spec.kind == JobKind::Gang,
+            constrained: spec.is_zone_bound() || spec.kind == JobKind::Gang,
             zone: spec.zone.clone(),
             types: spec.types.clone(),
         }
--- a/src/coordination/leader/routing/result.rs
+++ b/src/coordination/leader/routing/result.rs
@@ -1,4 +1,4 @@
-//! What a routing pass has found out and decided.
+//! Results of a routing pass.
 
 use std::collections::BTreeMap;
 
@@ -7,78 +7,80 @@
     storage::{ControllerName, JobId, Quota, TaskId, TeamName, ZoneName},
 };
 
-/// Tasks of a job that found no room.
+/// Tasks of a job that fit on no machine.
 #[derive(Clone, Debug)]
 pub struct Unplaced {
     /// Their job.
     pub job: JobId,
-    /// How many.
+    /// Number of tasks.
     pub tasks: u32,
-    /// They wait longer than the start target, or will miss their deadline.
+    /// Whether the tasks have waited longer than the start target or will miss their deadline.
     pub overdue: bool,
 }
 
-/// What became of the waiting tasks in one pass, for the log.
+/// Number of waiting tasks by what the pass did with them, for the log.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoutingCounts {
     /// Offered to owners in this pass.
     pub offered: usize,
-    /// Under way to owners since an earlier pass.
+    /// Offered in an earlier pass and not yet placed.
     pub under_way: usize,
-    /// Beyond their team's limit.
+    /// Not routed, since they exceed their team's limit.
     pub limited: usize,
-    /// With room somewhere, which a next pass gives them.
+    /// Not offered although there is capacity, for lack of quota or because another owner
+    /// writes their record; left to a later pass.
     pub covered: usize,
-    /// Without room anywhere.
+    /// Without capacity on any machine.
     pub unplaced: usize,
-    /// Left for a next pass.
+    /// Not processed in this pass because of its limits.
     pub left: usize,
 }
 
-/// Tasks of a team for which owners have room, some of them without the quota for it.
+/// Tasks of a team for which owners have capacity but may lack quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaDemand {
     /// The team.
     pub team: TeamName,
-    /// The tasks, by the owner that has room for them.
+    /// The tasks, by the owner that has capacity for them.
     pub tasks: ::quota::TaskDemand<ControllerName>,
 }
 
-/// The zone that a job of many records is confined to from now on; none: its zone has
-/// no room, and another is to be chosen once none of its tasks can be there.
+/// A zone assignment to write for a job that must be in one zone and is placed record by
+/// record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneAssignment {
     /// The job.
     pub job: JobId,
-    /// Its zone; none: the assignment is taken back.
+    /// The zone that the job is confined to. `None` revokes the assignment of a zone without
+    /// capacity; another zone is chosen once no task of the job can be in the old one.
     pub zone: Option<ZoneName>,
 }
 
-/// The effects of a routing pass, for the leader to carry out.
+/// Decisions of a routing pass, which the leader carries out.
 #[derive(Debug, Default)]
 pub struct RoutingResult {
-    /// What became of the waiting tasks, for the log.
+    /// Number of waiting tasks by what the pass did with them, for the log.
     pub counts: RoutingCounts,
     /// Tasks to offer to each owner.
     pub offers: BTreeMap<ControllerName, Vec<Offer>>,
-    /// Tasks without room, by which machines are provisioned.
+    /// Tasks that fit on no machine, for which machines are provisioned.
     pub unplaced: Vec<Unplaced>,
-    /// Quota that an owner lacks for tasks that it has room for.
+    /// Quota that an owner lacks for tasks that it has capacity for.
     pub deficit: BTreeMap<(ControllerName, TeamName), Quota>,
-    /// Tasks with room that lack quota somewhere, the most pressing first.
+    /// Tasks with capacity that lack quota, the most urgent first (in queue order).
     pub demand: Vec<QuotaDemand>,
-    /// Quota that an owner is about to need, beside what it uses.
+    /// Quota that an owner will need in addition to its usage.
     pub reserved: BTreeMap<(ControllerName, TeamName), Quota>,
-    /// Jobs whose zone is to be written, or to be taken back.
+    /// Zone assignments to write or revoke.
     pub zone_assignments: Vec<ZoneAssignment>,
-    /// Tasks of lower rank that owners are to stop for those of higher rank.
+    /// Tasks that owners are to preempt.
     pub preempt: BTreeMap<ControllerName, Vec<TaskId>>,
-    /// Replicas for which room or quota was looked for by preemption.
+    /// Number of replicas for which preemption was tried.
     pub(super) preempting_replicas: usize,
-    /// Tasks of the lowest priority that are told to stop.
+    /// Number of tasks of the lowest priority that are to be preempted.
     pub(super) reclaimed: usize,
-    /// Tasks in the offers.
+    /// Number of tasks in the offers.
     pub(super) offered: usize,
-    /// CPUs that are free and waited for.
+    /// Free CPUs that tasks without an offer are waiting for.
     pub(super) claimed_cpus: f64,
 }
--- a/src/coordination/leader/routing/unplaced.rs
+++ b/src/coordination/leader/routing/unplaced.rs
@@ -1,10 +1,11 @@
-//! What tasks without a place lack: quota at an owner, room that can be cleared, or room.
+//! Determines what unplaced tasks lack: quota at an owner, capacity that preemption can free,
+//! or more machines.
 
 use std::collections::BTreeMap;
 
 use super::{
     PlacementRequirements, QuotaDemand, RoutingPass, RoutingResult, Unplaced,
-    queue_order::QueuedJob, quota_use::QuotaUse,
+    queue_order::QueuedJob, quota_use::QuotaUsage,
 };
 use crate::{
     coordination::policy::{
@@ -14,11 +15,11 @@
     storage::{ControllerName, JobKind, JobSpec, Quota, TeamName, keys},
 };
 
-/// Least CPUs of a task when free ones are divided by it.
-const MIN_TASK_CPUS: f64 = 0.01;
+/// Lower bound of the CPUs of a task as a divisor of the free CPUs.
+const MIN_CPUS_PER_TASK: f64 = 0.01;
 
 impl RoutingResult {
-    /// Notes tasks that owners have room for, of which some lack quota.
+    /// Adds tasks that owners have capacity for, but may lack quota.
     fn demand_quota(&mut self, spec: &JobSpec, parts: Vec<(ControllerName, u32)>) {
         let tasks = ::quota::TaskDemand {
             parts,
@@ -29,14 +30,14 @@
         self.demand.push(QuotaDemand { team, tasks });
     }
 
-    /// Notes quota that an owner lacks for tasks that it has room for.
+    /// Adds quota that an owner lacks for tasks that it has capacity for.
     fn add_deficit(&mut self, owner: &ControllerName, team: &TeamName, quota: &Quota) {
         let deficit = self.deficit.entry((owner.clone(), team.clone()));
         let deficit = deficit.or_default();
         *deficit = deficit.plus(quota);
     }
 
-    /// Notes quota that an owner is about to need.
+    /// Adds quota that an owner will need.
     fn add_reserved(&mut self, owner: &ControllerName, team: &TeamName, quota: &Quota) {
         let reserved = self.reserved.entry((owner.clone(), team.clone()));
         let reserved = reserved.or_default();
@@ -45,13 +46,13 @@
 }
 
 impl RoutingPass<'_> {
-    /// Why tasks found no place: budget that lies with another owner, room that
-    /// can be cleared, or no room.
-    pub(super) fn explain_unplaced(
+    /// Classifies tasks that were not placed: they lack budget that other owners hold, need
+    /// capacity that preemption can free, or need more machines.
+    pub(super) fn classify_unplaced(
         &mut self,
         queued: &QueuedJob<'_>,
         tasks: &[u32],
-        used: &mut QuotaUse,
+        used: &mut QuotaUsage,
         result: &mut RoutingResult,
     ) {
         let covered = if queued.spec.is_zone_bound() {
@@ -67,113 +68,124 @@
             }
             unplaced += 1;
         }
-        let reclaimed = self.reclaim_room(queued, unplaced, result);
-        self.note_unplaced(queued, (unplaced - reclaimed) as u32, used, result);
+        let reclaimed = self.reclaim_capacity(queued, unplaced, result);
+        self.add_unplaced(queued, (unplaced - reclaimed) as u32, used, result);
     }
 
-    /// Room that tasks could not be given, as its owner lacks budget or another
-    /// one writes their record. Returns for how many of them there is room.
+    /// Finds capacity that the tasks could not use, since its owner lacks budget or another
+    /// owner writes their record. Adds the missing budget to the result and returns the number
+    /// of tasks for which there is capacity.
     fn find_deficit(
         &mut self,
         queued: &QueuedJob<'_>,
         tasks: &[u32],
-        used: &mut QuotaUse,
+        used: &mut QuotaUsage,
         result: &mut RoutingResult,
     ) -> usize {
         let QueuedJob { id, spec, job, .. } = queued;
-        let factor = (self.factor)(&spec.class);
+        let run_time_factor = (self.run_time_factor)(&spec.class);
         let candidates = &self.free_capacity.candidates;
-        let fits = compare_owners(spec, candidates, factor, tasks.len());
+        let fits = compare_owners(spec, candidates, run_time_factor, tasks.len());
         let free_cpus: f64 = fits.values().map(|fit| fit.free_cpus).sum();
-        let fit_in_all: usize = fits.values().map(|fit| fit.tasks).sum();
-        if fit_in_all == 0 {
-            self.full.insert(PlacementRequirements::of(spec));
+        let total_fitting: usize = fits.values().map(|fit| fit.tasks).sum();
+        if total_fitting == 0 {
+            self.unplaceable.insert(PlacementRequirements::of(spec));
             return 0;
         }
         let writers = self.writers(id, job, tasks[0] / keys::CHUNK);
-        self.note_owner_deficits(spec, tasks.len(), fits, &writers, used, result);
-        // Earlier jobs wait for some of that room.
+        self.add_owner_deficits(spec, tasks.len(), fits, &writers, used, result);
+        // Earlier jobs in the queue are waiting for some of these CPUs.
         let unclaimed_cpus = (free_cpus - result.claimed_cpus).max(0.0);
-        let unclaimed = unclaimed_cpus / spec.per_task.cpus.max(MIN_TASK_CPUS);
-        let covered = tasks.len().min(fit_in_all).min(unclaimed as usize);
+        let unclaimed = unclaimed_cpus / spec.per_task.cpus.max(MIN_CPUS_PER_TASK);
+        let covered = tasks.len().min(total_fitting).min(unclaimed as usize);
         result.claimed_cpus += spec.per_task.cpus * covered as f64;
         covered
     }
 
-    /// Goes through the owners in the order in which they would get the tasks, and notes
-    /// what each lacks for those that it has room for.
-    fn note_owner_deficits(
+    /// Visits the owners in the order in which they would get the tasks, and adds the quota
+    /// that each lacks for those that it has capacity for.
+    fn add_owner_deficits(
         &self,
         spec: &JobSpec,
         tasks: usize,
         mut fits: BTreeMap<usize, OwnerFit>,
         writers: &[usize],
-        used: &mut QuotaUse,
+        used: &mut QuotaUsage,
         result: &mut RoutingResult,
     ) {
         let quota = Quota::from(&spec.per_task);
         let mut parts: Vec<(ControllerName, u32)> = Vec::new();
         let mut has_deficit = false;
-        let mut rest = tasks;
-        while rest > 0
+        let mut remaining = tasks;
+        while remaining > 0
             && let Some(owner) = best_owner(&fits, writers)
         {
-            let fit = fits.remove(&owner).map_or(0, |fit| fit.tasks).min(rest);
-            let missing = fit.saturating_sub(self.budget_left(owner, spec, used));
+            let fitting = fits
+                .remove(&owner)
+                .map_or(0, |fit| fit.tasks)
+                .min(remaining);
+            let missing = fitting.saturating_sub(self.budget_left(owner, spec, used));
             let controller = &self.free_capacity.controllers[owner];
-            parts.push((controller.clone(), fit as u32));
+            parts.push((controller.clone(), fitting as u32));
             if missing > 0 {
                 has_deficit = true;
                 let quota = quota.times(missing as f64);
                 used.add(owner, &spec.team, &quota);
                 result.add_deficit(controller, &spec.team, &quota);
             }
-            rest -= fit;
+            remaining -= fitting;
         }
         if has_deficit {
             result.demand_quota(spec, parts);
         }
     }
 
-    /// As [`Self::find_deficit`] for tasks that are bound to zones.
+    /// Like [`Self::find_deficit`], for tasks with zone constraints.
     fn find_zone_bound_deficit(
         &mut self,
         queued: &QueuedJob<'_>,
         tasks: &[u32],
-        used: &mut QuotaUse,
+        used: &mut QuotaUsage,
         result: &mut RoutingResult,
     ) -> usize {
         let spec = queued.spec;
-        let factor = (self.factor)(&spec.class);
+        let run_time_factor = (self.run_time_factor)(&spec.class);
         let quota = Quota::from(&spec.per_task);
-        let mut with_room = Vec::new();
+        let mut candidates_with_capacity = Vec::new();
         for (part, mut constraint) in self.constrained_parts(queued, tasks) {
             let candidates = &mut self.free_capacity.candidates;
-            let chosen = placement::fill(spec, candidates, factor, part.len(), |candidate| {
-                let admitted = constraint.admits(&candidate.zone);
-                if admitted {
-                    constraint.add(&candidate.zone);
-                }
-                admitted
-            });
-            with_room.extend(chosen);
+            let chosen = placement::place_tasks(
+                spec,
+                candidates,
+                run_time_factor,
+                part.len(),
+                |candidate| {
+                    let admitted = constraint.admits(&candidate.zone);
+                    if admitted {
+                        constraint.add(&candidate.zone);
+                    }
+                    admitted
+                },
+            );
+            candidates_with_capacity.extend(chosen);
         }
-        self.note_quota_deficit(spec, &with_room, used, result);
-        for candidate in &with_room {
+        self.add_quota_deficits(spec, &candidates_with_capacity, used, result);
+        for candidate in &candidates_with_capacity {
             let owner = self.free_capacity.candidates[*candidate].owner;
             used.add(owner, &spec.team, &quota);
         }
-        with_room.len()
+        candidates_with_capacity.len()
     }
 
-    /// What the owners of these candidates lack for a task on each. No more than that: an
-    /// owner that lacks something gives nothing up, so that with all of them in want
-    /// no budget would ever move.
-    pub(super) fn note_quota_deficit(
+    /// Adds the quota demand of one task on each of these candidates: the quota that their
+    /// owners will need and the part of it that they lack. The deficit must not be larger: an
+    /// owner with a deficit gives up no quota, so if all owners had one, no budget would ever
+    /// move.
+    pub(super) fn add_quota_deficits(
         &self,
         spec: &JobSpec,
         chosen: &[usize],
-        used: &QuotaUse,
+        used: &QuotaUsage,
         result: &mut RoutingResult,
     ) {
         let mut tasks_by_owner: BTreeMap<usize, usize> = BTreeMap::new();
@@ -196,20 +208,20 @@
         }
     }
 
-    /// Notes tasks that found no room, for which machines are to be provisioned.
-    pub(super) fn note_unplaced(
+    /// Adds tasks that fit on no machine, for which machines are to be provisioned.
+    pub(super) fn add_unplaced(
         &self,
         queued: &QueuedJob<'_>,
         tasks: u32,
-        used: &mut QuotaUse,
+        used: &mut QuotaUsage,
         result: &mut RoutingResult,
     ) {
         if tasks == 0 {
             return;
         }
         let spec = queued.spec;
-        // Machines come for these, so that later ones of the team find that
-        // much less of its limit.
+        // Machines will be provisioned for these tasks, so they count against the limit for
+        // later tasks of the team.
         let quota = Quota::from(&spec.per_task).times(f64::from(tasks));
         used.add_unplaced(&spec.team, &quota);
         result.unplaced.push(Unplaced {
@@ -219,9 +231,10 @@
         });
     }
 
-    /// Whether tasks that have no room now wait too long.
+    /// Whether unplaced tasks of this job have waited longer than the start target or will miss
+    /// their deadline. Idle work without a deadline is never overdue.
     fn is_overdue(&self, spec: &JobSpec) -> bool {
-        let age = spec.age(self.wall);
+        let age = spec.age(self.wall_time);
         match spec.deadline {
             Some(deadline) => age + spec.estimate > deadline,
             None => age > self.start_target && !spec.is_idle_work(),
--- a/src/coordination/leader/routing/zone_bound.rs
+++ b/src/coordination/leader/routing/zone_bound.rs
@@ -1,10 +1,10 @@
-//! Places tasks of jobs that are bound to zones.
+//! Places tasks of jobs with zone constraints.
 
 use std::collections::BTreeMap;
 
 use super::{
     RoutingPass, RoutingResult, TrialPlacement, ZoneAssignment, queue_order::QueuedJob,
-    quota_use::QuotaUse,
+    quota_use::QuotaUsage,
 };
 use crate::{
     coordination::{
@@ -18,9 +18,10 @@
 };
 
 impl RoutingPass<'_> {
-    /// Chooses the zone of a job of many records that must be in one zone, or has it
-    /// chosen anew when its zone has no room while another has. True: nothing of it is
-    /// placed in this pass.
+    /// Handles the zone assignment of a job that must be in one zone and is placed record by
+    /// record. Assigns a zone if there is none, and revokes the assignment if its zone has no
+    /// capacity while another one has. Returns true if no task of the job is to be placed in
+    /// this pass.
     pub(super) fn awaits_zone_assignment(
         &self,
         queued: &QueuedJob<'_>,
@@ -32,10 +33,10 @@
             return false;
         }
         let needed = if spec.kind == JobKind::Gang { tasks } else { 1 };
-        let room = self.room_by_zone(spec);
-        let largest = room.iter().max_by_key(|(_, room)| **room);
-        let zone_with_room = largest
-            .filter(|(_, room)| **room >= needed)
+        let capacity = self.task_capacity_by_zone(spec);
+        let largest = capacity.iter().max_by_key(|(_, tasks)| **tasks);
+        let zone_with_capacity = largest
+            .filter(|(_, tasks)| **tasks >= needed)
             .map(|(zone, _)| zone);
         let assignment = |zone| ZoneAssignment {
             job: (*id).clone(),
@@ -43,50 +44,54 @@
         };
         let Some(assigned_zone) = &spec.assigned_zone else {
             let current = zone_usage::of_job(self.cache, job).current_zone().cloned();
-            if let Some(zone) = current.or(zone_with_room.cloned()) {
+            if let Some(zone) = current.or(zone_with_capacity.cloned()) {
                 result.zone_assignments.push(assignment(Some(zone)));
             }
             return true;
         };
-        let is_nowhere = job.present() == 0 && !self.offered.contains_key(*id);
-        let has_room = room.get(assigned_zone).is_some_and(|room| *room >= needed);
-        let moves = is_nowhere && !has_room && zone_with_room.is_some();
-        if moves {
+        let is_unplaced = job.present() == 0 && !self.offered.contains_key(*id);
+        let has_capacity = capacity
+            .get(assigned_zone)
+            .is_some_and(|tasks| *tasks >= needed);
+        let unassigns = is_unplaced && !has_capacity && zone_with_capacity.is_some();
+        if unassigns {
             result.zone_assignments.push(assignment(None));
         }
-        moves
+        unassigns
     }
 
-    /// Tasks of the job that fit in each zone that it allows, wherever it is confined to.
-    fn room_by_zone(&self, spec: &JobSpec) -> BTreeMap<ZoneName, usize> {
-        let anywhere = JobSpec {
+    /// Returns how many tasks of the job fit in each zone that it allows, regardless of its
+    /// assigned zone.
+    fn task_capacity_by_zone(&self, spec: &JobSpec) -> BTreeMap<ZoneName, usize> {
+        let unconfined = JobSpec {
             assigned_zone: None,
             ..spec.clone()
         };
-        let mut room: BTreeMap<ZoneName, usize> = BTreeMap::new();
+        let mut capacity: BTreeMap<ZoneName, usize> = BTreeMap::new();
         for candidate in &self.free_capacity.candidates {
-            if placement::allowed(&anywhere, candidate) {
+            if placement::is_eligible(&unconfined, candidate) {
                 let fit = spec.per_task.count_in(&candidate.room) as usize;
-                *room.entry(candidate.zone.clone()).or_default() += fit;
+                *capacity.entry(candidate.zone.clone()).or_default() += fit;
             }
         }
-        room
+        capacity
     }
 
-    /// What the placement of a zone-bound job depends on.
+    /// Returns the scope that the placement of a zone-bound job depends on.
     fn scope(&self, spec: &JobSpec) -> ZoneScope {
         ZoneScope::of(spec, self.changes_per_transaction)
     }
 
-    /// The zone constraint for the next task of a job; those under way are as good as
-    /// there.
+    /// Returns the zone constraint for the next task of a job. Outstanding offers count as
+    /// placed.
     pub(super) fn constraint(&self, queued: &QueuedJob<'_>) -> ZoneConstraint {
         let mut constraint = zone_usage::of_job(self.cache, queued.job);
         self.count_offered(queued, &mut constraint, |_| true);
         constraint
     }
 
-    /// The tasks in parts that share a zone constraint.
+    /// Splits the tasks into parts that share a zone constraint. Outstanding offers count as
+    /// placed.
     pub(super) fn constrained_parts<'t>(
         &self,
         queued: &QueuedJob<'_>,
@@ -103,7 +108,7 @@
         parts
     }
 
-    /// Counts the job's tasks under way that `counts` admits as placed.
+    /// Counts the job's outstanding offers as placed, for those tasks that `counts` accepts.
     fn count_offered(
         &self,
         queued: &QueuedJob<'_>,
@@ -113,8 +118,8 @@
         if !queued.spec.is_zone_bound() {
             return;
         }
-        let under_way = self.offered.get(queued.id);
-        for (task, offered) in under_way.into_iter().flatten() {
+        let outstanding = self.offered.get(queued.id);
+        for (task, offered) in outstanding.into_iter().flatten() {
             if let Some(record) = self.cache.machines.get(&offered.machine)
                 && counts(*task)
             {
@@ -123,32 +128,38 @@
         }
     }
 
-    /// Tasks that are bound to zones, or to each other's: by least estimated
-    /// completion over all owners.
+    /// Places tasks with zone constraints by least estimated completion over all owners.
     pub(super) fn place_zone_bound(
         &mut self,
         queued: &QueuedJob<'_>,
         tasks: &[u32],
-        used: &mut QuotaUse,
+        used: &mut QuotaUsage,
     ) -> Vec<TrialPlacement> {
         let spec = queued.spec;
         let mut budgets: Vec<usize> = (0..self.free_capacity.controllers.len())
             .map(|owner| self.budget_left(owner, spec, used))
             .collect();
-        let factor = (self.factor)(&spec.class);
+        let run_time_factor = (self.run_time_factor)(&spec.class);
         let quota = Quota::from(&spec.per_task);
         let mut placed = Vec::with_capacity(tasks.len());
         for (part, mut constraint) in self.constrained_parts(queued, tasks) {
             let candidates = &mut self.free_capacity.candidates;
-            let chosen = placement::fill(spec, candidates, factor, part.len(), |candidate| {
-                let admitted = constraint.admits(&candidate.zone) && budgets[candidate.owner] > 0;
-                if admitted {
-                    budgets[candidate.owner] -= 1;
-                    constraint.add(&candidate.zone);
-                    used.add(candidate.owner, &spec.team, &quota);
-                }
-                admitted
-            });
+            let chosen = placement::place_tasks(
+                spec,
+                candidates,
+                run_time_factor,
+                part.len(),
+                |candidate| {
+                    let admitted =
+                        constraint.admits(&candidate.zone) && budgets[candidate.owner] > 0;
+                    if admitted {
+                        budgets[candidate.owner] -= 1;
+                        constraint.add(&candidate.zone);
+                        used.add(candidate.owner, &spec.team, &quota);
+                    }
+                    admitted
+                },
+            );
             let trials = part.iter().zip(chosen);
             placed.extend(trials.map(|(task, candidate)| TrialPlacement {
                 task: *task,
--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -143,7 +143,7 @@
         let mut chosen = Vec::with_capacity(tasks.len());
         for (tasks, constraint) in zone_usage::constrained_parts(cache, job, scope, tasks) {
             let candidates = &mut free.candidates;
-            let part = if gang && spec.one_zone && constraint.is_open() {
+            let part = if gang && spec.one_zone && constraint.has_no_zone() {
                 self.choose_zone(&state.agents, offered, tasks, candidates, &mut team)
             } else {
                 self.choose_candidates(
@@ -227,7 +227,7 @@
         for zone in zones {
             let before = (candidates.clone(), team.used);
             let mut constraint = ZoneConstraint::of_job(offered.spec);
-            constraint.confine(zone);
+            constraint.confine_to(zone);
             let chosen =
                 self.choose_candidates(agents, offered, tasks, candidates, team, constraint);
             if chosen.len() == tasks.len() {
@@ -288,17 +288,17 @@
         let mut chosen = Vec::with_capacity(tasks.len());
         for task in placed_before {
             let task_id = TaskId::new(id.clone(), task);
-            let candidate = placement::choose(spec, candidates, factor, |candidate| {
+            let candidate = placement::best_candidate(spec, candidates, factor, |candidate| {
                 !lists_task(agents, candidate, &task_id) && takes_job(agents, candidate, id, now)
             });
             if let Some(candidate) = candidate
                 && admits(&candidates[candidate])
             {
-                candidates[candidate].put(spec);
+                candidates[candidate].place_task(spec);
                 chosen.push(ChosenMachine { task, candidate });
             }
         }
-        let filled = placement::fill(spec, candidates, factor, fresh.len(), admits);
+        let filled = placement::place_tasks(spec, candidates, factor, fresh.len(), admits);
         let filled = fresh.into_iter().zip(filled);
         chosen.extend(filled.map(|(task, candidate)| ChosenMachine { task, candidate }));
         chosen
--- a/src/coordination/policy/band.rs
+++ b/src/coordination/policy/band.rs
@@ -1,52 +1,60 @@
 //! The miss-rate band and periodic scaling out (section 5.3.1, algorithm 1,
 //! equation 6).
 
-/// What one machine type looks like in a round.
+/// Load and demand of one machine type in a scaling round.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TypeLoad {
-    /// Share of all recent misses that tasks suited to this type had (σ).
+    /// Share of the recent misses that belongs to tasks suited to this type (σ).
     pub miss_share: f64,
     /// Share of the waiting tasks that suit this type (φ).
     pub queue_share: f64,
-    /// Utilisation of its least-used machine (ρ); none: no machine of the type.
+    /// Utilisation of the least-used machine of this type (ρ); `None` if there is no such
+    /// machine.
     pub least_utilisation: Option<f64>,
-    /// Machines that its waiting tasks would fill, less those booting (ours).
-    pub need: u32,
+    /// Machines that the waiting tasks suited to this type would fill, less those booting (not
+    /// in the paper).
+    pub machines_needed: u32,
 }
 
-/// The band's open values, from the operators' settings.
+/// Parameters of periodic scaling out, from the operators' settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
     /// Miss rate from which machines are provisioned (β).
     pub beta: f64,
     /// Weight of the miss share against the queue share, 0 to 1 (k).
     pub miss_weight: f64,
-    /// Least demand of a type that is provisioned.
+    /// Minimum demand of a type for which machines are provisioned.
     pub demand: f64,
-    /// Least utilisation of the least-used machine of a type that is provisioned.
+    /// Minimum utilisation of the least-used machine of a type for which more machines are
+    /// provisioned.
     pub utilisation: f64,
 }
 
-/// A type's demand: ω = k·σ + (1 - k)·φ.
+/// Returns the demand for a machine type: ω = k·σ + (1 - k)·φ.
 pub fn demand(load: &TypeLoad, miss_weight: f64) -> f64 {
     miss_weight * load.miss_share + (1.0 - miss_weight) * load.queue_share
 }
 
-/// How many machines of each type to provision, given the miss rate and the arrival
-/// rate of tasks per minute.
-pub fn scale_out(miss_rate: f64, arrivals: f64, loads: &[TypeLoad], at: &Thresholds) -> Vec<u32> {
+/// Returns the number of machines of each type to provision: arrivals·ω/β, rounded down and at
+/// most the machines needed. `arrivals` is the arrival rate in tasks per minute.
+pub fn scale_out(
+    miss_rate: f64,
+    arrivals: f64,
+    loads: &[TypeLoad],
+    thresholds: &Thresholds,
+) -> Vec<u32> {
     loads
         .iter()
         .map(|load| {
-            let demand = demand(load, at.miss_weight);
-            let busy = load
+            let demand = demand(load, thresholds.miss_weight);
+            let is_busy = load
                 .least_utilisation
-                .is_none_or(|least| least >= at.utilisation);
-            if miss_rate < at.beta || demand < at.demand || !busy {
+                .is_none_or(|utilisation| utilisation >= thresholds.utilisation);
+            if miss_rate < thresholds.beta || demand < thresholds.demand || !is_busy {
                 return 0;
             }
-            let wanted = (arrivals * demand / at.beta).floor().max(0.0);
-            (wanted as u32).min(load.need)
+            let machines = (arrivals * demand / thresholds.beta).floor().max(0.0);
+            (machines as u32).min(load.machines_needed)
         })
         .collect()
 }
--- a/src/coordination/policy/mod.rs
+++ b/src/coordination/policy/mod.rs
@@ -1,6 +1,6 @@
-//! The policy of the paper, as pure functions of a snapshot. Section numbers
-//! are those of "Cost-Efficient and Robust On-Demand Video Transcoding Using
-//! Heterogeneous Cloud Services".
+//! Scheduling and scaling policies as pure functions of a snapshot. They follow the paper
+//! "Cost-Efficient and Robust On-Demand Video Transcoding Using Heterogeneous Cloud Services";
+//! section, algorithm and equation numbers refer to it.
 
 pub mod band;
 pub mod owner_choice;
--- a/src/coordination/policy/owner_choice.rs
+++ b/src/coordination/policy/owner_choice.rs
@@ -1,47 +1,51 @@
-//! Which owner gets the tasks of a run record: the comparison between owners that the
-//! leader's trial placement makes (ours; the paper has one queue).
+//! Chooses the shard owner for the tasks of a run record in the leader's trial placement. This
+//! is not in the paper, which has a single queue.
 
 use std::collections::BTreeMap;
 
 use super::placement::{CandidateMachine, CompletionOrder, completion_order};
 use crate::storage::JobSpec;
 
-/// What one owner's machines offer to tasks of a job.
+/// Capacity of one owner's machines for tasks of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OwnerFit {
-    /// Tasks that it can take, up to the number asked for.
+    /// Number of tasks that fit on the owner's machines, up to the number requested.
     pub tasks: usize,
-    /// Sum of their places in the order of completion.
-    cost: u64,
-    /// CPUs that are free.
+    /// Sum of the completion steps of these tasks, see [`CompletionOrder`].
+    completion_steps: u64,
+    /// Free CPUs on the owner's machines that can take a task of the job.
     pub free_cpus: f64,
 }
 
-/// What each owner's machines offer to up to `count` tasks of the job, by the owner's index.
+/// Returns the capacity of each owner's machines for up to `count` tasks of the job, by owner
+/// index. Owners without a suitable machine are left out.
 pub fn compare_owners(
     spec: &JobSpec,
     candidates: &[CandidateMachine],
-    factor: f64,
+    run_time_factor: f64,
     count: usize,
 ) -> BTreeMap<usize, OwnerFit> {
-    let mut keys: BTreeMap<usize, Vec<(CompletionOrder, usize)>> = BTreeMap::new();
+    let mut machines: BTreeMap<usize, Vec<(CompletionOrder, usize)>> = BTreeMap::new();
     let mut fits: BTreeMap<usize, OwnerFit> = BTreeMap::new();
     for candidate in candidates {
-        if let Some(key) = completion_order(spec, candidate, factor) {
+        if let Some(order) = completion_order(spec, candidate, run_time_factor) {
             let tasks = spec.per_task.count_in(&candidate.room) as usize;
-            keys.entry(candidate.owner).or_default().push((key, tasks));
+            machines
+                .entry(candidate.owner)
+                .or_default()
+                .push((order, tasks));
             fits.entry(candidate.owner).or_default().free_cpus += candidate.room.cpus;
         }
     }
-    for (owner, mut keys) in keys {
-        keys.sort_unstable();
+    for (owner, mut machines) in machines {
+        machines.sort_unstable();
         let Some(fit) = fits.get_mut(&owner) else {
             continue;
         };
-        for (key, tasks) in keys {
-            let taken = tasks.min(count - fit.tasks);
-            fit.tasks += taken;
-            fit.cost += key.completion_step * taken as u64;
+        for (order, tasks) in machines {
+            let fitting = tasks.min(count - fit.tasks);
+            fit.tasks += fitting;
+            fit.completion_steps += order.completion_step * fitting as u64;
             if fit.tasks == count {
                 break;
             }
@@ -50,20 +54,20 @@
     fits
 }
 
-/// The index of the owner for the tasks of one record: the one that takes most of them, since
-/// each further owner writes the record as well; of equals the one where they
-/// complete first, then the one with most room.
-/// `writers`: owners that write the record already, which come first.
+/// Returns the index of the owner for the tasks of one record. Owners that already write the
+/// record (`writers`) come first, then the owner that can take most of the tasks, since each
+/// additional owner also has to write the record. Ties go to the owner with the earliest mean
+/// completion, then to the one with the most free CPUs.
 pub fn best_owner(fits: &BTreeMap<usize, OwnerFit>, writers: &[usize]) -> Option<usize> {
     fits.iter()
         .filter(|(_, fit)| fit.tasks > 0)
         .max_by(|(i, a), (j, b)| {
-            let cost = |fit: &OwnerFit| fit.cost / fit.tasks as u64;
+            let mean_completion_step = |fit: &OwnerFit| fit.completion_steps / fit.tasks as u64;
             writers
                 .contains(i)
                 .cmp(&writers.contains(j))
                 .then(a.tasks.cmp(&b.tasks))
-                .then(cost(b).cmp(&cost(a)))
+                .then(mean_completion_step(b).cmp(&mean_completion_step(a)))
                 .then(a.free_cpus.total_cmp(&b.free_cpus))
         })
         .map(|(owner, _)| *owner)
--- a/src/coordination/policy/placement.rs
+++ b/src/coordination/policy/placement.rs
@@ -1,7 +1,6 @@
-//! Placing by least estimated completion (section 4.3, equation 2). Machines
-//! run tasks side by side, so that the queue ahead of a task is what keeps it
-//! from having room at all; what is left of equation 2 is the image fetch and
-//! the run time on that machine.
+//! Places tasks by least estimated completion time (section 4.3, equation 2). Machines run
+//! several tasks concurrently, so the queueing term of equation 2 only decides whether a task
+//! fits at all; the estimate is the image fetch plus the run time on that machine.
 
 use std::{cmp::Reverse, collections::BinaryHeap, sync::Arc, time::Duration};
 
@@ -9,10 +8,11 @@
     ImageName, JobKind, JobSpec, MachineId, MachineType, Resources, TypeName, ZoneName,
 };
 
-/// A machine with free capacity that might take a task.
+/// A machine that is considered for a task.
 #[derive(Clone, Debug)]
 pub struct CandidateMachine {
-    /// Index of its owner: the leader's trial looks at several owners' machines.
+    /// Index of its owner, since the leader's trial placement considers machines of several
+    /// owners.
     pub owner: usize,
     /// The machine.
     pub machine: MachineId,
@@ -22,44 +22,47 @@
     pub zone: ZoneName,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// What is free on it.
+    /// Free resources.
     pub room: Resources,
-    /// What it has in all.
+    /// Total resources.
     pub size: Resources,
-    /// How fast it fetches images, in GB a second.
+    /// Image fetch rate in GB per second.
     pub fetch_gb_per_s: f64,
-    /// Learned speed; 1 is usual.
+    /// Learned speed relative to other machines of the type; 1 is typical.
     pub speed: f64,
     /// Images in its cache.
     pub images: Arc<Vec<ImageName>>,
-    /// A draining machine's paid period ends in this time.
-    pub leaves_in: Option<Duration>,
+    /// Time until the paid period of a draining machine ends and it is returned; `None` if the
+    /// machine is not draining.
+    pub time_until_return: Option<Duration>,
 }
 
-/// How long a task would take on a machine.
+/// Estimated duration of a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// Until it has its image.
+    /// Time to fetch the image.
     pub fetch: Duration,
-    /// From then on.
+    /// Run time once the image is there.
     pub run: Duration,
 }
 
 impl Estimate {
-    /// From now until the task is complete.
+    /// Returns the time until the task is complete.
     pub fn completion(&self) -> Duration {
         self.fetch + self.run
     }
 }
 
-/// Completions closer than this are taken as equal. Run times are guesses, and
-/// often wrong by half; a service has none, and each second of its start counts.
-const MIN_TOLERANCE: Duration = Duration::from_millis(200);
-const TOLERANCE: f64 = 0.1;
+/// Minimum tolerance within which completion times count as equal. It applies to services,
+/// which have no run time and for which every second until the start counts.
+const MIN_COMPLETION_TOLERANCE: Duration = Duration::from_millis(200);
+/// Tolerance within which completion times count as equal, relative to the submitted run time
+/// estimate, which is often wrong by half.
+const COMPLETION_TOLERANCE_RATIO: f64 = 0.1;
 
-/// The estimate for a task of the job on a machine. `factor`: measured run time against the
-/// owner's estimate, for the job's class.
-pub fn estimate(spec: &JobSpec, candidate: &CandidateMachine, factor: f64) -> Estimate {
+/// Estimates the duration of a task of the job on a machine. `run_time_factor` is the ratio of
+/// measured run time to the submitter's estimate for the job's class.
+pub fn estimate(spec: &JobSpec, candidate: &CandidateMachine, run_time_factor: f64) -> Estimate {
     let fetch = if candidate.images.contains(&spec.image) || spec.image_gb <= 0.0 {
         Duration::ZERO
     } else {
@@ -67,19 +70,20 @@
     };
     let run = spec
         .estimate
-        .mul_f64(factor / candidate.speed.clamp(0.05, 5.0));
+        .mul_f64(run_time_factor / candidate.speed.clamp(0.05, 5.0));
     Estimate { fetch, run }
 }
 
-/// Whether the job allows the machine at all, its other tasks aside.
-pub fn allowed(spec: &JobSpec, candidate: &CandidateMachine) -> bool {
+/// Whether the job allows the machine's type, zone and spot status, regardless of free
+/// resources and of the job's other tasks.
+pub fn is_eligible(spec: &JobSpec, candidate: &CandidateMachine) -> bool {
     spec.allows_type(&candidate.kind)
         && spec.allows_zone(&candidate.zone)
         && (spec.spot || !candidate.spot)
 }
 
 impl CandidateMachine {
-    /// A machine of this type with nothing on it, of the owner with index 0.
+    /// Returns an idle machine of this type with an empty image cache; its owner index is 0.
     pub fn empty(
         machine: MachineId,
         machine_type: &MachineType,
@@ -97,12 +101,12 @@
             fetch_gb_per_s: machine_type.fetch_gb_per_s,
             speed: 1.0,
             images: Arc::default(),
-            leaves_in: None,
+            time_until_return: None,
         }
     }
 
-    /// One task of the job is put here.
-    pub fn put(&mut self, spec: &JobSpec) {
+    /// Takes the resources of one task of the job and adds its image to the cached images.
+    pub fn place_task(&mut self, spec: &JobSpec) {
         self.room -= spec.per_task;
         if !self.images.contains(&spec.image) {
             Arc::make_mut(&mut self.images).push(spec.image.clone());
@@ -110,141 +114,156 @@
     }
 }
 
-/// Least estimated completion; of equals spot machines for tasks that may use
-/// them (ordinary ones are kept for those that may not), then the image, then
-/// the tightest fit, which leaves other machines empty. The fields are compared in order.
+/// Sort key of candidates for a task, best first; the fields are compared in order. Least
+/// estimated completion comes first. Ties go to spot machines if the task may use them
+/// (on-demand machines are kept for tasks that may not), then to machines with the image, then
+/// to the tightest fit, which leaves other machines empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CompletionOrder {
-    /// Estimated completion in steps of the tolerance; for a gang the image fetch.
+    /// Estimated completion in steps of the tolerance; for a gang, the image fetch in steps of
+    /// the minimum tolerance.
     pub(super) completion_step: u64,
-    /// An ordinary machine for a task that may use spot machines.
-    wastes_ordinary: bool,
-    /// The image fetch; for a gang the run time.
-    tie_ms: u64,
-    /// Bits of the CPUs that would be left free.
+    /// The machine is on-demand although the task may use spot machines.
+    uses_on_demand: bool,
+    /// Image fetch time; for a gang, the run time.
+    tie_breaker_ms: u64,
+    /// Bit pattern of the number of CPUs that would be left free.
     left_cpus_bits: u64,
 }
 
-/// The candidate's place in the order for a task of the job; none if it can't take it.
+/// Returns the sort key of the candidate for a task of the job, or `None` if it cannot take the
+/// task. A draining machine takes only tasks that complete before it is returned, and no
+/// service.
 pub(super) fn completion_order(
     spec: &JobSpec,
     candidate: &CandidateMachine,
-    factor: f64,
+    run_time_factor: f64,
 ) -> Option<CompletionOrder> {
-    if !spec.per_task.fits_in(&candidate.room) || !allowed(spec, candidate) {
+    if !spec.per_task.fits_in(&candidate.room) || !is_eligible(spec, candidate) {
         return None;
     }
-    let estimate = estimate(spec, candidate, factor);
-    if let Some(left) = candidate.leaves_in
+    let estimate = estimate(spec, candidate, run_time_factor);
+    if let Some(left) = candidate.time_until_return
         && (spec.kind == JobKind::Service || estimate.completion() > left)
     {
         return None;
     }
-    let wastes_ordinary = spec.spot && !candidate.spot;
-    // The bits of numbers from zero on are in the numbers' order.
+    let uses_on_demand = spec.spot && !candidate.spot;
+    // Bit patterns of non-negative floats sort like the floats themselves.
     let left_cpus_bits = (candidate.room.cpus - spec.per_task.cpus)
         .max(0.0)
         .to_bits();
     if spec.kind == JobKind::Gang {
-        // All wait for the last image, and run at the slowest machine's pace: a
-        // cached image counts before a quicker machine for one of them.
+        // All tasks of a gang wait for the last image and run at the pace of the slowest
+        // machine, so a cached image matters more than a faster machine for one of them.
         return Some(CompletionOrder {
-            completion_step: (estimate.fetch.as_millis() / MIN_TOLERANCE.as_millis()) as u64,
-            wastes_ordinary,
-            tie_ms: estimate.run.as_millis() as u64,
+            completion_step: (estimate.fetch.as_millis() / MIN_COMPLETION_TOLERANCE.as_millis())
+                as u64,
+            uses_on_demand,
+            tie_breaker_ms: estimate.run.as_millis() as u64,
             left_cpus_bits,
         });
     }
-    let tolerance = spec.estimate.mul_f64(TOLERANCE).max(MIN_TOLERANCE);
+    let tolerance = spec
+        .estimate
+        .mul_f64(COMPLETION_TOLERANCE_RATIO)
+        .max(MIN_COMPLETION_TOLERANCE);
     Some(CompletionOrder {
         completion_step: (estimate.completion().as_millis() / tolerance.as_millis()) as u64,
-        wastes_ordinary,
-        tie_ms: estimate.fetch.as_millis() as u64,
+        uses_on_demand,
+        tie_breaker_ms: estimate.fetch.as_millis() as u64,
         left_cpus_bits,
     })
 }
 
-/// The index of the candidate for one task.
-pub fn choose(
+/// Returns the index of the best candidate for one task of the job among those that `admits`
+/// accepts.
+pub fn best_candidate(
     spec: &JobSpec,
     candidates: &[CandidateMachine],
-    factor: f64,
+    run_time_factor: f64,
     mut admits: impl FnMut(&CandidateMachine) -> bool,
 ) -> Option<usize> {
     let mut best: Option<(CompletionOrder, usize)> = None;
-    for (at, candidate) in candidates.iter().enumerate() {
-        if let Some(key) = completion_order(spec, candidate, factor)
-            && best.is_none_or(|(least, _)| key < least)
+    for (index, candidate) in candidates.iter().enumerate() {
+        if let Some(order) = completion_order(spec, candidate, run_time_factor)
+            && best.is_none_or(|(best_order, _)| order < best_order)
             && admits(candidate)
         {
-            best = Some((key, at));
+            best = Some((order, index));
         }
     }
-    best.map(|(_, at)| at)
+    best.map(|(_, index)| index)
 }
 
-/// Puts up to `count` tasks of a job, each where [`choose`] would put it one
-/// after the other, with one look at each candidate for all of them: one that has
-/// taken a task is the best for the next one as well, until it is full, since
-/// it then has the image and fits tighter. Replicas and gangs without the image are
-/// spread first, see `tasks_at_once`. `admits` is asked for each task; a candidate that it
-/// once refuses it must refuse for good.
-pub fn fill(
+/// Places up to `count` tasks of a job and returns the candidate index of each. The result is
+/// the same as placing one task after the other with [`best_candidate`], but each candidate is
+/// evaluated only once: a candidate that has taken a task remains the best one until it is
+/// full, since it then has the image and fits tighter. Services and gangs whose image is not
+/// cached are the exception: they are spread first, see `initial_task_limit`.
+///
+/// `admits` is called for each task. Once it has rejected a candidate, it must keep rejecting
+/// it.
+pub fn place_tasks(
     spec: &JobSpec,
     candidates: &mut [CandidateMachine],
-    factor: f64,
+    run_time_factor: f64,
     count: usize,
     mut admits: impl FnMut(&CandidateMachine) -> bool,
 ) -> Vec<usize> {
-    let mut order: BinaryHeap<Reverse<(CompletionOrder, usize)>> = candidates
+    let mut queue: BinaryHeap<Reverse<(CompletionOrder, usize)>> = candidates
         .iter()
         .enumerate()
-        .filter_map(|(at, candidate)| {
-            Some(Reverse((completion_order(spec, candidate, factor)?, at)))
+        .filter_map(|(index, candidate)| {
+            Some(Reverse((
+                completion_order(spec, candidate, run_time_factor)?,
+                index,
+            )))
         })
         .collect();
     let mut chosen = Vec::with_capacity(count);
-    let mut warmed = Vec::new();
+    let mut image_holders = Vec::new();
     while chosen.len() < count {
-        let Some(Reverse((_, at))) = order.pop() else {
+        let Some(Reverse((_, index))) = queue.pop() else {
             break;
         };
-        let candidate = &mut candidates[at];
-        let max_tasks = tasks_at_once(spec, candidate).min(count - chosen.len());
-        let put = put_tasks(spec, candidate, max_tasks, &mut admits);
-        chosen.extend(std::iter::repeat_n(at, put));
-        if put == max_tasks {
-            warmed.push(at);
+        let candidate = &mut candidates[index];
+        let max_tasks = initial_task_limit(spec, candidate).min(count - chosen.len());
+        let placed = place_on_candidate(spec, candidate, max_tasks, &mut admits);
+        chosen.extend(std::iter::repeat_n(index, placed));
+        if placed == max_tasks {
+            image_holders.push(index);
         }
     }
-    // Fewer machines than tasks: they take more than one after all.
-    for at in warmed {
-        let left = count - chosen.len();
-        let put = put_tasks(spec, &mut candidates[at], left, &mut admits);
-        chosen.extend(std::iter::repeat_n(at, put));
+    // There are fewer machines than tasks, so the limit of one task per machine is lifted.
+    for index in image_holders {
+        let remaining = count - chosen.len();
+        let placed = place_on_candidate(spec, &mut candidates[index], remaining, &mut admits);
+        chosen.extend(std::iter::repeat_n(index, placed));
     }
     chosen
 }
 
-/// Puts up to `max_tasks` tasks on a candidate; returns how many it has taken.
-fn put_tasks(
+/// Places up to `max_tasks` tasks on a candidate and returns the number placed.
+fn place_on_candidate(
     spec: &JobSpec,
     candidate: &mut CandidateMachine,
     max_tasks: usize,
     admits: &mut impl FnMut(&CandidateMachine) -> bool,
 ) -> usize {
-    let mut put = 0;
-    while put < max_tasks && spec.per_task.fits_in(&candidate.room) && admits(candidate) {
-        candidate.put(spec);
-        put += 1;
+    let mut placed = 0;
+    while placed < max_tasks && spec.per_task.fits_in(&candidate.room) && admits(candidate) {
+        candidate.place_task(spec);
+        placed += 1;
     }
-    put
+    placed
 }
 
-/// Replicas and gangs whose image a machine has not yet go to several machines, one task
-/// each: all of these have the image for the next job that needs it, and one that is lost
-/// takes fewer tasks of a job along. Measured effect in docs/DESIGN.md, 15.
-fn tasks_at_once(spec: &JobSpec, candidate: &CandidateMachine) -> usize {
+/// Returns the number of tasks to place on the candidate before other candidates are tried.
+/// Services and gangs put only one task on a machine that lacks their image: more machines then
+/// have the image for the next job that needs it, and the loss of a machine affects fewer tasks
+/// of the job. Measured effect in docs/DESIGN.md, 15.
+fn initial_task_limit(spec: &JobSpec, candidate: &CandidateMachine) -> usize {
     if spec.kind == JobKind::Array || candidate.images.contains(&spec.image) {
         usize::MAX
     } else {
--- a/src/coordination/policy/remedial/tests.rs
+++ b/src/coordination/policy/remedial/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn one_machine_a_job_at_the_papers_values() {
+fn one_machine_per_job_with_the_parameters_of_the_paper() {
     assert_eq!(scale_out(0, 10.0, 0.1, 0), 0);
     assert_eq!(scale_out(3, 10.0, 0.1, 0), 3);
     assert_eq!(scale_out(3, 10.0, 0.1, 2), 1);
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn theta_softens_it_and_rounds_up() {
+fn larger_theta_requests_fewer_machines_and_rounds_up() {
     // 5 / (20·0.1) = 2.5
     assert_eq!(scale_out(5, 20.0, 0.1, 0), 3);
 }
--- a/src/coordination/policy/scale_in.rs
+++ b/src/coordination/policy/scale_in.rs
@@ -1,101 +1,101 @@
-//! Scaling in (section 5.3.2, algorithm 2, equations 7 and 8): at or
-//! below α the least-used machine is marked; it goes back empty at the end of
-//! its paid period.
+//! Scaling in (section 5.3.2, algorithm 2, equations 7 and 8): at a miss rate of α or less, the
+//! least-used machine is drained. It is returned idle at the end of its paid period.
 
 use std::time::Duration;
 
-/// A machine that is up, and how much of it is used.
+/// Utilisation of a machine that is up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineUtilisation<Id> {
     /// The machine.
     pub id: Id,
     /// Index of its machine type.
-    pub kind: usize,
-    /// Part of its CPUs that tasks take, 0 to 1.
+    pub type_index: usize,
+    /// Fraction of its CPUs that tasks use, 0 to 1.
     pub utilisation: f64,
-    /// Power against others, here the machine's CPUs.
-    pub power: f64,
-    /// The shard it is in: of equals those of one shard go together, since each
-    /// change of a shard disturbs its owner.
+    /// Computing power relative to other machines; callers pass the number of CPUs.
+    pub computing_power: f64,
+    /// Shard of the machine. Among otherwise equal machines those of the same shard are drained
+    /// together, since each change of a shard disturbs its owner.
     pub shard: u64,
-    /// What is left of the paid period.
+    /// Time left in the current paid period.
     pub paid_left: Duration,
 }
 
-/// The open values of scaling in, from the operators' settings.
+/// Parameters of scaling in, from the operators' settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
-    /// Miss rate up to which machines are drained (α).
+    /// Maximum miss rate at which machines are drained (α).
     pub alpha: f64,
-    /// Type evenness from which the fleet counts as mixed.
+    /// Minimum evenness of machine types for the fleet to count as mixed.
     pub evenness: f64,
-    /// In a mixed fleet, machines used this much or more are kept.
+    /// Utilisation from which machines of a mixed fleet are kept.
     pub utilisation: f64,
 }
 
-/// η = H / H_max over the numbers of machines of each type; 0 for one type.
+/// Returns the evenness η = H / H_max (H: Shannon entropy) of the numbers of machines per type;
+/// 0 if there is only one type.
 pub fn evenness(counts: &[usize]) -> f64 {
     let total: usize = counts.iter().sum();
     if counts.len() < 2 || total == 0 {
         return 0.0;
     }
-    let h: f64 = counts
+    let entropy: f64 = counts
         .iter()
-        .filter(|n| **n > 0)
-        .map(|n| {
-            let p = *n as f64 / total as f64;
-            -p * p.ln()
+        .filter(|count| **count > 0)
+        .map(|count| {
+            let share = *count as f64 / total as f64;
+            -share * share.ln()
         })
         .sum();
-    h / (counts.len() as f64).ln()
+    entropy / (counts.len() as f64).ln()
 }
 
-/// The machine to drain, if any. `type_count` is the number of machine types.
+/// Returns the machine to drain, if any. `type_count` is the number of machine types.
 pub fn select_machine<'a, Id>(
     miss_rate: f64,
     tasks_waiting: usize,
     machines: &'a [MachineUtilisation<Id>],
     type_count: usize,
-    at: &Thresholds,
+    thresholds: &Thresholds,
 ) -> Option<&'a MachineUtilisation<Id>> {
-    if miss_rate > at.alpha || tasks_waiting > 0 {
+    if miss_rate > thresholds.alpha || tasks_waiting > 0 {
         return None;
     }
-    let least = machines.iter().min_by(|a, b| {
+    let least_used = machines.iter().min_by(|a, b| {
         a.utilisation
             .total_cmp(&b.utilisation)
-            .then(a.power.total_cmp(&b.power))
+            .then(a.computing_power.total_cmp(&b.computing_power))
             .then(a.shard.cmp(&b.shard))
             .then(a.paid_left.cmp(&b.paid_left))
     })?;
     let mut counts = vec![0; type_count];
     for machine in machines {
-        if let Some(count) = counts.get_mut(machine.kind) {
+        if let Some(count) = counts.get_mut(machine.type_index) {
             *count += 1;
         }
     }
-    let mixed = evenness(&counts) >= at.evenness;
-    (!mixed || least.utilisation < at.utilisation).then_some(least)
+    let mixed = evenness(&counts) >= thresholds.evenness;
+    (!mixed || least_used.utilisation < thresholds.utilisation).then_some(least_used)
 }
 
-/// How machines are paid for: a first period in full, then in shorter ones.
+/// Paid periods of a machine: a first one, then shorter renewals.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PaidPeriods {
-    /// The first period: the least time that a machine is paid for.
+    /// Length of the first period, the minimum time that a machine is paid for.
     pub first: Duration,
-    /// The periods after it.
-    pub then: Duration,
+    /// Length of each following period.
+    pub renewal: Duration,
 }
 
 impl PaidPeriods {
-    /// What is left of the period that is running at this age.
-    pub fn left(&self, age: Duration) -> Duration {
+    /// Returns the time left in the current paid period of a machine of this age.
+    pub fn time_left(&self, age: Duration) -> Duration {
         match self.first.checked_sub(age) {
             Some(left) if !left.is_zero() => left,
             _ => {
-                let then = self.then.as_millis().max(1);
-                let into = (age - self.first).as_millis() % then;
-                Duration::from_millis((then - into) as u64)
+                let renewal_ms = self.renewal.as_millis().max(1);
+                let elapsed_ms = (age - self.first).as_millis() % renewal_ms;
+                Duration::from_millis((renewal_ms - elapsed_ms) as u64)
             }
         }
     }
--- a/src/coordination/policy/scale_in/tests.rs
+++ b/src/coordination/policy/scale_in/tests.rs
@@ -2,20 +2,26 @@
 
 use super::*;
 
-const AT: Thresholds = Thresholds {
+const THRESHOLDS: Thresholds = Thresholds {
     alpha: 0.05,
     evenness: 0.4,
     utilisation: 0.5,
 };
 
-fn used(id: u32, kind: usize, utilisation: f64, power: f64, left: u64) -> MachineUtilisation<u32> {
+fn machine(
+    id: u32,
+    type_index: usize,
+    utilisation: f64,
+    computing_power: f64,
+    paid_left_s: u64,
+) -> MachineUtilisation<u32> {
     MachineUtilisation {
         id,
-        kind,
+        type_index,
         utilisation,
-        power,
+        computing_power,
         shard: 1,
-        paid_left: Duration::from_secs(left),
+        paid_left: Duration::from_secs(paid_left_s),
     }
 }
 
@@ -29,40 +35,40 @@
 }
 
 #[test]
-fn the_least_used_then_weakest_then_soonest_paid_up() {
+fn drains_the_least_used_then_least_powerful_then_soonest_expiring_machine() {
     let machines = [
-        used(1, 0, 0.2, 16.0, 5),
-        used(2, 0, 0.0, 16.0, 9),
-        used(3, 0, 0.0, 4.0, 30),
-        used(4, 0, 0.0, 4.0, 20),
+        machine(1, 0, 0.2, 16.0, 5),
+        machine(2, 0, 0.0, 16.0, 9),
+        machine(3, 0, 0.0, 4.0, 30),
+        machine(4, 0, 0.0, 4.0, 20),
     ];
     assert_eq!(
-        select_machine(0.05, 0, &machines, 1, &AT).map(|m| m.id),
+        select_machine(0.05, 0, &machines, 1, &THRESHOLDS).map(|m| m.id),
         Some(4)
     );
-    assert!(select_machine(0.051, 0, &machines, 1, &AT).is_none());
-    assert!(select_machine(0.0, 1, &machines, 1, &AT).is_none());
+    assert!(select_machine(0.051, 0, &machines, 1, &THRESHOLDS).is_none());
+    assert!(select_machine(0.0, 1, &machines, 1, &THRESHOLDS).is_none());
 }
 
 #[test]
-fn a_mixed_fleet_keeps_busy_machines_and_a_uniform_one_does_not() {
-    let mixed = [used(1, 0, 0.6, 4.0, 5), used(2, 1, 0.7, 4.0, 5)];
-    assert!(select_machine(0.0, 0, &mixed, 2, &AT).is_none());
-    let uniform = [used(1, 0, 0.6, 4.0, 5), used(2, 0, 0.7, 4.0, 5)];
+fn only_a_mixed_fleet_keeps_busy_machines() {
+    let mixed = [machine(1, 0, 0.6, 4.0, 5), machine(2, 1, 0.7, 4.0, 5)];
+    assert!(select_machine(0.0, 0, &mixed, 2, &THRESHOLDS).is_none());
+    let uniform = [machine(1, 0, 0.6, 4.0, 5), machine(2, 0, 0.7, 4.0, 5)];
     assert_eq!(
-        select_machine(0.0, 0, &uniform, 2, &AT).map(|m| m.id),
+        select_machine(0.0, 0, &uniform, 2, &THRESHOLDS).map(|m| m.id),
         Some(1)
     );
 }
 
 #[test]
-fn paid_periods_run_from_the_provision_request() {
+fn the_first_paid_period_is_followed_by_renewals() {
     let paid = PaidPeriods {
         first: Duration::from_secs(60),
-        then: Duration::from_secs(10),
+        renewal: Duration::from_secs(10),
     };
-    assert_eq!(paid.left(Duration::ZERO).as_secs(), 60);
-    assert_eq!(paid.left(Duration::from_secs(59)).as_secs(), 1);
-    assert_eq!(paid.left(Duration::from_secs(60)).as_secs(), 10);
-    assert_eq!(paid.left(Duration::from_secs(77)).as_secs(), 3);
+    assert_eq!(paid.time_left(Duration::ZERO).as_secs(), 60);
+    assert_eq!(paid.time_left(Duration::from_secs(59)).as_secs(), 1);
+    assert_eq!(paid.time_left(Duration::from_secs(60)).as_secs(), 10);
+    assert_eq!(paid.time_left(Duration::from_secs(77)).as_secs(), 3);
 }
--- a/src/coordination/policy/suitability.rs
+++ b/src/coordination/policy/suitability.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-/// A machine type as one task sees it.
+/// A machine type with the estimated time and cost of one task on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// Estimated execution time on this type.
@@ -12,8 +12,8 @@
     pub cost: f64,
 }
 
-/// (x_max - x) / (x_max - x_min), and 1 where all are alike: no difference
-/// speaks against any.
+/// Returns (x_max - x) / (x_max - x_min), or 1 if all values are equal, so that equal values do
+/// not count against any candidate.
 fn normalised(x: f64, min: f64, max: f64) -> f64 {
     if max - min <= f64::EPSILON {
         1.0
@@ -22,34 +22,38 @@
     }
 }
 
-fn span(values: impl Iterator<Item = f64>) -> (f64, f64) {
+fn min_max(values: impl Iterator<Item = f64>) -> (f64, f64) {
     values.fold((f64::INFINITY, f64::NEG_INFINITY), |(min, max), x| {
         (min.min(x), max.max(x))
     })
 }
 
-/// S_i = k·T_i + (1 - k)·C_i for each candidate.
+/// Returns the suitability S_i = k·T_i + (1 - k)·C_i of each candidate.
 pub fn suitabilities(candidates: &[Candidate], k: f64) -> Vec<f64> {
-    let (t_min, t_max) = span(candidates.iter().map(|c| c.time.as_secs_f64()));
-    let (c_min, c_max) = span(candidates.iter().map(|c| c.cost));
+    let (t_min, t_max) = min_max(
+        candidates
+            .iter()
+            .map(|candidate| candidate.time.as_secs_f64()),
+    );
+    let (c_min, c_max) = min_max(candidates.iter().map(|candidate| candidate.cost));
     candidates
         .iter()
-        .map(|c| {
-            k * normalised(c.time.as_secs_f64(), t_min, t_max)
-                + (1.0 - k) * normalised(c.cost, c_min, c_max)
+        .map(|candidate| {
+            k * normalised(candidate.time.as_secs_f64(), t_min, t_max)
+                + (1.0 - k) * normalised(candidate.cost, c_min, c_max)
         })
         .collect()
 }
 
-/// The best candidate; the first of equals.
+/// Returns the index of the most suitable candidate, the first one of equals.
 pub fn best(candidates: &[Candidate], k: f64) -> Option<usize> {
     let mut best: Option<(usize, f64)> = None;
-    for (i, s) in suitabilities(candidates, k).into_iter().enumerate() {
-        if best.is_none_or(|(_, b)| s > b + 1e-9) {
-            best = Some((i, s));
+    for (index, score) in suitabilities(candidates, k).into_iter().enumerate() {
+        if best.is_none_or(|(_, best_score)| score > best_score + 1e-9) {
+            best = Some((index, score));
         }
     }
-    best.map(|(i, _)| i)
+    best.map(|(index, _)| index)
 }
 
 #[cfg(test)]
--- a/src/coordination/zone_usage.rs
+++ b/src/coordination/zone_usage.rs
@@ -53,7 +53,7 @@
         for (record, entry) in &self.job.chunks {
             if entry.value.placed.len() > keys::CHUNK as usize / 2 {
                 let constraint = self.counted(spec, *record);
-                let zones = constraint.exceeded().cloned();
+                let zones = constraint.overfull_zones().cloned();
                 exceeded.extend(zones.map(|zone| (*record, zone)));
             }
         }
@@ -77,7 +77,7 @@
         confine_to_assigned_zone(&mut constraint, spec);
         for (other, zone) in &self.exceeded {
             if *other != record {
-                constraint.close(zone.clone());
+                constraint.exclude_zone(zone.clone());
             }
         }
         constraint
@@ -86,7 +86,7 @@
 
 fn confine_to_assigned_zone(constraint: &mut ZoneConstraint, spec: &JobSpec) {
     if let Some(assigned_zone) = &spec.assigned_zone {
-        constraint.confine(assigned_zone.clone());
+        constraint.confine_to(assigned_zone.clone());
     }
 }
 
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -101,7 +101,7 @@
     set_duration(
         "renting.paid_step_s",
         renting.paid_step_s,
-        &mut tuning.paid.then,
+        &mut tuning.paid.renewal,
     )
 }
 
