--- a/src/coordination/leader/fleet/market/demand.rs
+++ b/src/coordination/leader/fleet/market/demand.rs
@@ -176,10 +176,10 @@
         if !placement::is_eligible(spec, candidate) {
             continue;
         }
-        let fitting = spec.per_task.count_in(&candidate.room).min(left);
+        let fitting = spec.per_task.count_in(&candidate.free).min(left);
         let fitting = fitting.min(constraint.remaining_tasks(&candidate.zone));
         if fitting > 0 {
-            candidate.room -= spec.per_task.times(f64::from(fitting));
+            candidate.free -= spec.per_task.times(f64::from(fitting));
             constraint.add_tasks(&candidate.zone, fitting);
             left -= fitting;
         }
--- a/src/coordination/leader/routing/candidates.rs
+++ b/src/coordination/leader/routing/candidates.rs
@@ -27,7 +27,7 @@
         for candidate in &self.candidates {
             let owner = self.controllers[candidate.owner].clone();
             let sum = free.entry(owner).or_default();
-            *sum = sum.plus(&Quota::from(&candidate.room).at_least_zero());
+            *sum = sum.plus(&Quota::from(&candidate.free).at_least_zero());
         }
         free
     }
@@ -119,7 +119,7 @@
         free = free.at_most(&machine_type.size);
     }
     Some(CandidateMachine {
-        room: free,
+        free,
         speed: machine.speed,
         images: machine.images,
         ..CandidateMachine::empty(id.clone(), machine_type, &record.zone, record.spot)
--- a/src/coordination/leader/routing/gangs.rs
+++ b/src/coordination/leader/routing/gangs.rs
@@ -32,7 +32,7 @@
     fn admits(&self, spec: &JobSpec, candidate: &CandidateMachine) -> bool {
         self.owner.is_none_or(|owner| candidate.owner == owner)
             && self.zone.is_none_or(|zone| candidate.zone == *zone)
-            && spec.per_task.fits_in(&candidate.room)
+            && spec.per_task.fits_in(&candidate.free)
             && placement::is_eligible(spec, candidate)
     }
 }
--- a/src/coordination/leader/routing/mod.rs
+++ b/src/coordination/leader/routing/mod.rs
@@ -77,8 +77,8 @@
     pub expired_offers: &'a mut ExpiredOffersByJob,
     /// Crash-looping jobs, each with the end of the pause before its next attempt.
     pub failing: &'a BTreeMap<JobId, Instant>,
-    /// Maximum number of changes per transaction, which determines the [`ZoneScope`](crate::coordination::policy::zone_constraint::ZoneScope) of
-    /// zone-bound placements.
+    /// Maximum number of changes per transaction, which determines the scope of zone constraints
+    /// (`ZoneScope`).
     pub changes_per_transaction: usize,
     /// Waiting time after which a task without a deadline is overdue.
     pub start_target: Duration,
--- a/src/coordination/leader/routing/preemption.rs
+++ b/src/coordination/leader/routing/preemption.rs
@@ -223,7 +223,7 @@
             })
             .collect();
         Victim::sort(&mut victims);
-        let mut free = candidate.room;
+        let mut free = candidate.free;
         let mut chosen = Vec::new();
         let mut youngest = u64::MAX;
         for victim in victims {
--- a/src/coordination/leader/routing/reclaim.rs
+++ b/src/coordination/leader/routing/reclaim.rs
@@ -175,7 +175,7 @@
         if !placement::is_eligible(spec, candidate) || candidate.time_until_return.is_some() {
             return false;
         }
-        let mut free = candidate.room;
+        let mut free = candidate.free;
         let mut first_victim = machine.victims.len();
         while !spec.per_task.fits_in(&free) {
             let Some(victim) = first_victim
@@ -194,7 +194,7 @@
         }
         // The resources that were already free are reserved for the waiting task, too.
         free -= spec.per_task;
-        candidate.room = candidate.room.at_most(&free);
+        candidate.free = candidate.free.at_most(&free);
         let controller = self.free_capacity.controllers[candidate.owner].clone();
         let preempted = machine
             .victims
--- a/src/coordination/leader/routing/zone_bound.rs
+++ b/src/coordination/leader/routing/zone_bound.rs
@@ -70,7 +70,7 @@
         let mut capacity: BTreeMap<ZoneName, usize> = BTreeMap::new();
         for candidate in &self.free_capacity.candidates {
             if placement::is_eligible(&unconfined, candidate) {
-                let fit = spec.per_task.count_in(&candidate.room) as usize;
+                let fit = spec.per_task.count_in(&candidate.free) as usize;
                 *capacity.entry(candidate.zone.clone()).or_default() += fit;
             }
         }
--- a/src/coordination/owner/candidates.rs
+++ b/src/coordination/owner/candidates.rs
@@ -47,7 +47,7 @@
                     kind: record.kind.clone(),
                     zone: record.zone.clone(),
                     spot: record.spot,
-                    room,
+                    free: room,
                     size: machine_type.size,
                     fetch_gb_per_s: machine_type.fetch_gb_per_s,
                     speed: agent.speed,
--- a/src/coordination/policy/owner_choice.rs
+++ b/src/coordination/policy/owner_choice.rs
@@ -29,12 +29,12 @@
     let mut fits: BTreeMap<usize, OwnerFit> = BTreeMap::new();
     for candidate in candidates {
         if let Some(order) = completion_order(spec, candidate, run_time_factor) {
-            let tasks = spec.per_task.count_in(&candidate.room) as usize;
+            let tasks = spec.per_task.count_in(&candidate.free) as usize;
             machines
                 .entry(candidate.owner)
                 .or_default()
                 .push((order, tasks));
-            fits.entry(candidate.owner).or_default().free_cpus += candidate.room.cpus;
+            fits.entry(candidate.owner).or_default().free_cpus += candidate.free.cpus;
         }
     }
     for (owner, mut machines) in machines {
--- a/src/coordination/policy/placement.rs
+++ b/src/coordination/policy/placement.rs
@@ -23,7 +23,7 @@
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Free resources.
-    pub room: Resources,
+    pub free: Resources,
     /// Total resources.
     pub size: Resources,
     /// Image fetch rate in GB per second.
@@ -53,8 +53,8 @@
     }
 }
 
-/// Minimum tolerance within which completion times count as equal. It applies to services,
-/// which have no run time and for which every second until the start counts.
+/// Minimum tolerance within which completion times count as equal. It is the tolerance for
+/// services, which have no run time and for which every second until the start counts.
 const MIN_COMPLETION_TOLERANCE: Duration = Duration::from_millis(200);
 /// Tolerance within which completion times count as equal, relative to the submitted run time
 /// estimate, which is often wrong by half.
@@ -96,7 +96,7 @@
             kind: machine_type.name.clone(),
             zone: zone.clone(),
             spot,
-            room: machine_type.size,
+            free: machine_type.size,
             size: machine_type.size,
             fetch_gb_per_s: machine_type.fetch_gb_per_s,
             speed: 1.0,
@@ -107,7 +107,7 @@
 
     /// Takes the resources of one task of the job and adds its image to the cached images.
     pub fn place_task(&mut self, spec: &JobSpec) {
-        self.room -= spec.per_task;
+        self.free -= spec.per_task;
         if !self.images.contains(&spec.image) {
             Arc::make_mut(&mut self.images).push(spec.image.clone());
         }
@@ -139,7 +139,7 @@
     candidate: &CandidateMachine,
     run_time_factor: f64,
 ) -> Option<CompletionOrder> {
-    if !spec.per_task.fits_in(&candidate.room) || !is_eligible(spec, candidate) {
+    if !spec.per_task.fits_in(&candidate.free) || !is_eligible(spec, candidate) {
         return None;
     }
     let estimate = estimate(spec, candidate, run_time_factor);
@@ -150,7 +150,7 @@
     }
     let uses_on_demand = spec.spot && !candidate.spot;
     // Bit patterns of non-negative floats sort like the floats themselves.
-    let left_cpus_bits = (candidate.room.cpus - spec.per_task.cpus)
+    let left_cpus_bits = (candidate.free.cpus - spec.per_task.cpus)
         .max(0.0)
         .to_bits();
     if spec.kind == JobKind::Gang {
@@ -252,7 +252,7 @@
     admits: &mut impl FnMut(&CandidateMachine) -> bool,
 ) -> usize {
     let mut placed = 0;
-    while placed < max_tasks && spec.per_task.fits_in(&candidate.room) && admits(candidate) {
+    while placed < max_tasks && spec.per_task.fits_in(&candidate.free) && admits(candidate) {
         candidate.place_task(spec);
         placed += 1;
     }
--- a/src/coordination/policy/placement/tests.rs
+++ b/src/coordination/policy/placement/tests.rs
@@ -48,7 +48,7 @@
         kind: TypeName::new("type"),
         zone: ZoneName::new("zone"),
         spot,
-        room: size,
+        free: size,
         size,
         fetch_gb_per_s: 0.5,
         speed: 1.0,
@@ -120,7 +120,7 @@
             let mut candidate = candidate(&format!("vm-{n}"), cpus, rng.random_bool(0.4));
             candidate.owner = rng.random_range(0..3);
             candidate.zone = ZoneName::new(["a", "b"][candidate.owner % 2]);
-            candidate.room.cpus = f64::from(rng.random_range(0..=cpus as u32));
+            candidate.free.cpus = f64::from(rng.random_range(0..=cpus as u32));
             candidate.speed = rng.random_range(0.8..1.2);
             if rng.random_bool(0.3) {
                 candidate.images = Arc::new(vec![ImageName::new("img")]);
