--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -229,7 +229,7 @@
         for zone in zones {
             let initial = (candidates.clone(), team.used);
             let mut constraint = ZoneConstraint::of_job(offered.spec);
-            constraint.confine(zone);
+            constraint.confine_to(zone);
             let chosen =
                 self.choose_candidates(agents, offered, tasks, candidates, team, constraint);
             if chosen.len() == tasks.len() {
@@ -298,7 +298,7 @@
             if let Some(candidate) = candidate
                 && admits(&candidates[candidate])
             {
-                candidates[candidate].put(spec);
+                candidates[candidate].place_task(spec);
                 chosen.push(ChosenMachine { task, candidate });
             }
         }
--- a/src/coordination/zone_usage.rs
+++ b/src/coordination/zone_usage.rs
@@ -79,7 +79,7 @@
         confine_to_assigned_zone(&mut constraint, spec);
         for (other, zone) in &self.exceeded {
             if *other != record {
-                constraint.close(zone.clone());
+                constraint.exclude_zone(zone.clone());
             }
         }
         constraint
@@ -88,7 +88,7 @@
 
 fn confine_to_assigned_zone(constraint: &mut ZoneConstraint, spec: &JobSpec) {
     if let Some(assigned_zone) = &spec.assigned_zone {
-        constraint.confine(assigned_zone.clone());
+        constraint.confine_to(assigned_zone.clone());
     }
 }
 
