--- a/src/coordination/leader/fleet/agent_addresses.rs
+++ b/src/coordination/leader/fleet/agent_addresses.rs
@@ -1,4 +1,4 @@
-//! Writes down where agents listen.
+//! Records the addresses at which agents listen.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,20 +16,20 @@
     },
 };
 
-/// Machines' addresses are written together, this often.
+/// Minimum time between two writes of addresses, each of which covers several machines.
 const WRITE_INTERVAL: Duration = Duration::from_millis(2500);
 
 impl Leader {
-    /// Writes down where agents listen, which a new owner needs to look at a
-    /// machine that it has never heard. Many come up in the same seconds, so that
-    /// these are written together.
+    /// Writes the addresses of agents to the records of their machine groups. A new owner needs
+    /// the address to inspect a machine from which it has never received a heartbeat. Many agents
+    /// start within the same few seconds, so their addresses are written in batches.
     pub(super) async fn write_addresses(&self) {
         let transaction = {
             let cache = self.context.store.cache();
             let mut state = lock(&self.state);
             let is_recent = state
                 .fleet
-                .last_addresses
+                .last_address_write
                 .is_some_and(|at| at.elapsed() < WRITE_INTERVAL);
             if is_recent {
                 return;
@@ -39,21 +39,23 @@
             if changed.is_empty() {
                 return;
             }
-            state.fleet.last_addresses = Some(Instant::now());
+            state.fleet.last_address_write = Some(Instant::now());
             changed
                 .iter()
                 .fold(Transaction::default(), |transaction, (name, group)| {
                     write_group(transaction, &cache, name, group)
                 })
         };
-        // What is not written now is written with the next addresses.
+        // Ignoring a failure is safe: records that still lack an address are written again by a
+        // later pass.
         let _ = self
             .commit_as_leader(transaction, RequestPriority::Placement)
             .await;
     }
 }
 
-/// At most so many machine groups, with the addresses that their records lack.
+/// Returns the records of up to `max_groups` machine groups, completed with the addresses that
+/// the owners report and the records lack.
 fn groups_with_new_addresses<'a>(
     cache: &'a StateCache,
     state: &LeaderState,
--- a/src/coordination/leader/fleet/autoscaler.rs
+++ b/src/coordination/leader/fleet/autoscaler.rs
@@ -1,8 +1,8 @@
-//! Decides what to provision: by the miss-rate band in rounds, and by the remedial rule
-//! between them.
+//! Decides which machines to provision: by the miss-rate band in periodic rounds, and by the
+//! remedial rule between the rounds.
 //!
-//! Called in each pass of the fleet manager with the state locked. What it returns is written
-//! down as provision requests before anything is sent to the cloud.
+//! Called in each pass of the fleet manager while the leader's state is locked. The resulting
+//! plans are recorded as provision requests before anything is sent to the cloud.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,7 +11,9 @@
 
 use tokio::time::Instant;
 
-use super::market::{Demand, Market, booting_candidates, requested_candidates, used_machines};
+use super::provisioning_options::{
+    JobDemand, ProvisioningOptions, booting_candidates, requested_candidates, used_machines,
+};
 use crate::{
     coordination::{
         Tuning,
@@ -27,26 +29,28 @@
     storage::{MachineId, StateCache},
 };
 
-/// Machines provisioned with one request.
-const MACHINES_PER_REQUEST: u32 = 50;
-/// Requests that one pass writes down.
+/// Maximum number of machines in one provision request.
+const MAX_MACHINES_PER_REQUEST: u32 = 50;
+/// Maximum number of provision requests that one pass records.
 const MAX_REQUESTS_PER_PASS: usize = 24;
-/// Between two evaluations of the remedial rule.
+/// Time between two evaluations of the remedial rule.
 const REMEDIAL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The machines that the waiting tasks need.
 pub(super) struct MachineNeed<'a> {
-    /// Waiting tasks that found no room.
+    /// Waiting tasks for which no machine has room.
     pub(super) unplaced: &'a [Unplaced],
-    /// Machines of each pool that these would fill beyond those booting.
+    /// Number of machines of each pool that these tasks would fill in addition to booting and
+    /// requested machines.
     pub(super) by_pool: BTreeMap<Pool, f64>,
-    /// Machines booting or requested.
+    /// Number of machines that are booting or requested.
     pub(super) booting_count: u32,
 }
 
 impl Leader {
-    /// Evaluates the miss-rate band if its round is due, else the remedial rule if that is
-    /// due. Returns what is to be provisioned.
+    /// Evaluates the miss-rate band if a round of it is due, or else the remedial rule if that
+    /// is due. Returns the provision requests to make. If any machine is wanted, the scale-in of
+    /// all draining machines is cancelled.
     pub(super) fn evaluate_scaling(
         &self,
         cache: &StateCache,
@@ -70,80 +74,85 @@
             elected_at,
             ..
         } = state;
-        let refused = fleet.refused.clone();
+        let refused_targets = fleet.refused_targets.clone();
         let wall = (self.context.config.wall)();
-        let market = Market::new(cache, &refused, tuning, now, wall);
-        observe_miss_rate(miss_rate, &market, unplaced, tuning);
-        // A machine that has come up since the last routing pass still has room for tasks that
-        // were unplaced in it.
-        let was_up = |id: &MachineId| up.contains(id) && !booting_when_routed.contains(id);
-        let need = machine_need(&market, unplaced, now_ms, was_up);
+        let options = ProvisioningOptions::new(cache, &refused_targets, tuning, now, wall);
+        observe_miss_rate(miss_rate, &options, unplaced, tuning);
+        // The last routing pass could not use machines that were booting then. Those that have
+        // come up since still have room for the tasks that it left unplaced, and are therefore
+        // counted as booting.
+        let was_up_when_routed =
+            |id: &MachineId| up.contains(id) && !booting_when_routed.contains(id);
+        let need = machine_need(&options, unplaced, now_ms, was_up_when_routed);
         let is_round_due = fleet
-            .last_round
+            .last_band_evaluation
             .or(*elected_at)
             .is_none_or(|at| now.duration_since(at) >= tuning.round);
         let is_remedial_due = fleet
-            .last_remedial
+            .last_remedial_evaluation
             .is_none_or(|at| now.duration_since(at) >= REMEDIAL_INTERVAL);
         let mut wanted: Vec<WantedMachines> = Vec::new();
         if is_round_due {
-            fleet.last_round = Some(now);
+            fleet.last_band_evaluation = Some(now);
             let machines = used_machines(cache, tuning.paid, now_ms, |id| up.contains(id));
-            wanted = self.evaluate_band(&market, fleet, miss_rate, &need, machines);
+            wanted = self.evaluate_band(&options, fleet, miss_rate, &need, machines);
             tracing::info!(?routing_counts, "waiting tasks");
         } else if is_remedial_due {
-            fleet.last_remedial = Some(now);
-            let unfilled = std::mem::take(&mut fleet.unfilled);
-            wanted = evaluate_remedial(&market, need, unfilled, tuning);
+            fleet.last_remedial_evaluation = Some(now);
+            let unfilled = std::mem::take(&mut fleet.unfilled_machines);
+            wanted = evaluate_remedial(&options, need, unfilled, tuning);
         }
         if !wanted.is_empty() {
             fleet.draining_machines.clear();
         }
-        provision_plans(&market, wanted)
+        provision_plans(&options, wanted)
     }
 }
 
-/// Takes note of which tasks have started, ended and waited since the last pass.
+/// Adds the tasks that have started, ended or waited for room since the last pass to the
+/// miss-rate window.
 fn observe_miss_rate(
     miss_rate: &mut MissRateWindow,
-    market: &Market<'_>,
+    options: &ProvisioningOptions<'_>,
     unplaced: &[Unplaced],
     tuning: &Tuning,
 ) {
-    miss_rate.add_starvation(unplaced.iter().map(|waiting| &waiting.job), market.now());
+    miss_rate.add_starvation(unplaced.iter().map(|waiting| &waiting.job), options.now());
     miss_rate.observe(
-        market.cache,
-        market.now(),
-        market.wall(),
+        options.cache,
+        options.now(),
+        options.wall(),
         tuning.start_target,
         tuning.window,
         |spec| {
-            let suited = market.suited(Demand::of_spec(spec), spec.tasks, false);
-            suited.into_iter().next().map(|suited| suited.pool)
+            let suitable = options.suitable_pools(JobDemand::of_spec(spec), spec.tasks, false);
+            suitable.into_iter().next().map(|suitable| suitable.pool)
         },
     );
 }
 
+/// Determines how many machines the waiting tasks need beyond those booting or requested.
 fn machine_need<'a>(
-    market: &Market<'_>,
+    options: &ProvisioningOptions<'_>,
     unplaced: &'a [Unplaced],
     now_ms: u64,
-    was_up: impl Fn(&MachineId) -> bool,
+    was_up_when_routed: impl Fn(&MachineId) -> bool,
 ) -> MachineNeed<'a> {
-    let mut booting = booting_candidates(market.cache, now_ms, was_up);
-    booting.extend(requested_candidates(market.cache));
+    let mut booting = booting_candidates(options.cache, now_ms, was_up_when_routed);
+    booting.extend(requested_candidates(options.cache));
     let booting_count = booting.len() as u32;
     MachineNeed {
         unplaced,
-        by_pool: market.need(unplaced, &mut booting),
+        by_pool: options.machines_needed(unplaced, &mut booting),
         booting_count,
     }
 }
 
-/// The remedial rule (paper, section 5.4). `unfilled` machines were asked for and no place
-/// had them.
+/// Applies the remedial rule (paper, section 5.4). Returns the machines to provision, at least
+/// `unfilled` of them if the waiting tasks need as many: that many were recently refused by the
+/// cloud.
 fn evaluate_remedial(
-    market: &Market<'_>,
+    options: &ProvisioningOptions<'_>,
     need: MachineNeed<'_>,
     unfilled: u32,
     tuning: &Tuning,
@@ -153,24 +162,24 @@
         mut by_pool,
         booting_count,
     } = need;
-    // Exception to section 5.4, see docs/DESIGN.md: a job of many tasks
-    // counts as the machines that they fill.
-    let filled_machines: f64 = market.need(unplaced, &mut []).values().sum();
-    let mut left = remedial::scale_out(
+    // Exception to section 5.4, see docs/DESIGN.md: a job with many tasks counts as the number
+    // of machines that its tasks fill.
+    let filled_machines: f64 = options.machines_needed(unplaced, &mut []).values().sum();
+    let mut remaining = remedial::scale_out(
         unplaced.len().max(filled_machines.ceil() as usize),
         tuning.remedial_theta,
         tuning.beta,
         booting_count,
     )
     .max(unfilled);
-    // Exception to section 5.4, see docs/DESIGN.md: never more than the
-    // waiting tasks would fill.
+    // Exception to section 5.4, see docs/DESIGN.md: no more machines than the waiting tasks
+    // would fill.
     let mut wanted = Vec::new();
-    while left > 0
+    while remaining > 0
         && let Some((pool, machines)) = greatest_need(&by_pool)
     {
-        let count = (machines.ceil() as u32).min(left);
-        left -= count;
+        let count = (machines.ceil() as u32).min(remaining);
+        remaining -= count;
         by_pool.remove(&pool);
         tracing::info!(%pool, count, jobs = unplaced.len(),
             booting = booting_count, "remedial scale-out");
@@ -179,7 +188,7 @@
     wanted
 }
 
-/// The pool of which most machines are needed, with their number.
+/// Returns the pool with the greatest number of needed machines, and that number.
 fn greatest_need(by_pool: &BTreeMap<Pool, f64>) -> Option<(Pool, f64)> {
     by_pool
         .iter()
@@ -188,20 +197,24 @@
         .filter(|(_, machines)| *machines > 0.0)
 }
 
-/// Spreads what is wanted over zones and requests, as many as one pass writes down.
-fn provision_plans(market: &Market<'_>, wanted: Vec<WantedMachines>) -> Vec<ProvisionPlan> {
+/// Divides the wanted machines among zones and into at most [`MAX_REQUESTS_PER_PASS`] provision
+/// requests.
+fn provision_plans(
+    options: &ProvisioningOptions<'_>,
+    wanted: Vec<WantedMachines>,
+) -> Vec<ProvisionPlan> {
     let mut plans = Vec::new();
     for WantedMachines { pool, count } in wanted {
-        for share in market.split(&pool, count) {
-            let mut left = share.count;
-            while left > 0 && plans.len() < MAX_REQUESTS_PER_PASS {
-                let count = left.min(MACHINES_PER_REQUEST);
+        for share in options.split_by_zone(&pool, count) {
+            let mut remaining = share.count;
+            while remaining > 0 && plans.len() < MAX_REQUESTS_PER_PASS {
+                let count = remaining.min(MAX_MACHINES_PER_REQUEST);
                 plans.push(ProvisionPlan {
                     pool: pool.clone(),
                     zone: share.zone.clone(),
                     count,
                 });
-                left -= count;
+                remaining -= count;
             }
         }
     }
--- a/src/coordination/leader/fleet/catalog.rs
+++ b/src/coordination/leader/fleet/catalog.rs
@@ -1,4 +1,4 @@
-//! Reads the cloud's catalog of machine types, and writes it down when it has changed.
+//! Reads the cloud's catalog of machine types, and stores it when it has changed.
 
 use std::time::Duration;
 
@@ -13,19 +13,21 @@
     },
 };
 
-/// Between two readings of a catalog that is known.
+/// Time between two polls once a catalog is known.
 const POLL_INTERVAL: Duration = Duration::from_secs(30);
-/// Between two readings while none is known: nothing can be provisioned meanwhile.
-const FIRST_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two polls while no catalog is known; until then nothing can be provisioned.
+const INITIAL_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Leader {
-    /// Reads the catalog if that is due.
-    pub(super) async fn poll_catalog(&self, budget: &RateLimiter) {
+    /// Reads the catalog if a poll is due, and stores it if it has changed.
+    pub(super) async fn poll_catalog(&self, cloud_rate_limiter: &RateLimiter) {
         if !self.is_catalog_due() {
             return;
         }
-        lock(&self.state).fleet.last_catalog = Some(Instant::now());
-        budget.acquire(1.0, RequestPriority::Fencing).await;
+        lock(&self.state).fleet.last_catalog_poll = Some(Instant::now());
+        cloud_rate_limiter
+            .acquire(1.0, RequestPriority::Fencing)
+            .await;
         let types = match self.context.cloud.catalog().await {
             Ok(types) => types,
             Err(error) => {
@@ -45,7 +47,7 @@
         let transaction = Transaction::default()
             .require(keys::CATALOG.into(), revision)
             .set(keys::CATALOG.into(), &record);
-        // What is not written now is written after the next reading.
+        // Ignoring a failure is safe: the next poll writes the catalog again.
         let _ = self
             .commit_as_leader(transaction, RequestPriority::Fencing)
             .await;
@@ -56,9 +58,9 @@
         let interval = if is_known {
             POLL_INTERVAL
         } else {
-            FIRST_POLL_INTERVAL
+            INITIAL_POLL_INTERVAL
         };
-        let last_read = lock(&self.state).fleet.last_catalog;
+        let last_read = lock(&self.state).fleet.last_catalog_poll;
         last_read.is_none_or(|at| at.elapsed() >= interval)
     }
 }
--- a/src/coordination/leader/fleet/drain_selection.rs
+++ b/src/coordination/leader/fleet/drain_selection.rs
@@ -1,41 +1,45 @@
-//! Chooses the machines that are to drain, in a round of the band that provisions none
-//! (paper, section 5.3.2).
+//! Chooses machines to drain in a round of the miss-rate band that provisions none (paper,
+//! section 5.3.2).
 
 use std::collections::BTreeSet;
 
-use super::{FleetState, market::UsedMachine};
+use super::{FleetState, provisioning_options::UsedMachine};
 use crate::{
     coordination::{leader::Leader, policy::scale_in},
     storage::{MachineId, StateCache},
 };
 
-/// One of so many machines is chosen in a round.
+/// One in this many machines may be chosen in a round, less the machines that are still being
+/// emptied.
 const MACHINES_PER_DRAIN: usize = 16;
-/// One of so many machines that stand idle is chosen in a round.
+/// One in this many idle machines beyond the reserve may be chosen in a round, if that is more than
+/// [`MACHINES_PER_DRAIN`] allows.
 const IDLE_MACHINES_PER_DRAIN: usize = 3;
-/// One of so many machines may stand idle for the next jobs.
-const RESERVE_FRACTION: usize = 4;
-/// Machines for which replicas' room elsewhere is looked for in one round.
+/// One in this many machines may stay idle as a reserve for the next jobs.
+const MACHINES_PER_IDLE_RESERVE: usize = 4;
+/// Maximum number of machines in one round for which room for their replicas is searched on other
+/// machines.
 const MAX_RELOCATION_CHECKS: usize = 24;
 
-/// What a round of the band has found.
+/// The inputs to the choice of draining machines from a round of the miss-rate band.
 pub(super) struct DrainRound<'a> {
-    /// The replica.
+    /// The state cache.
     pub(super) cache: &'a StateCache,
-    /// The miss rate, of 1.
+    /// The miss rate, from 0 to 1.
     pub(super) miss_rate: f64,
-    /// Tasks that found no room.
+    /// Number of tasks for which no machine has room.
     pub(super) tasks_waiting: usize,
 }
 
-/// The machines that may be chosen, and those whose replicas must move first.
+/// The machines that may be chosen to drain.
 struct DrainCandidates {
     machines: Vec<scale_in::MachineUtilisation<MachineId>>,
-    with_services: BTreeSet<MachineId>,
+    /// Those that run service replicas, which must be moved before the machine is released.
+    running_services: BTreeSet<MachineId>,
 }
 
 impl Leader {
-    /// Chooses machines to drain, as many as the round allows.
+    /// Chooses machines to drain, up to the limit of the round.
     pub(super) fn select_draining(
         &self,
         round: &DrainRound<'_>,
@@ -52,10 +56,10 @@
                 break;
             };
             candidates.machines.retain(|other| other.id != selected.id);
-            // A replica runs until its job is cancelled, so that a machine
-            // with one never goes empty by itself: it is chosen only if its
-            // replicas have room elsewhere, to where they are moved.
-            if candidates.with_services.contains(&selected.id) {
+            // A replica runs until its job is cancelled, so a machine that runs replicas never
+            // becomes empty by itself. It is chosen only if its replicas can be moved to other
+            // machines.
+            if candidates.running_services.contains(&selected.id) {
                 relocation_checks += 1;
                 if !self.can_relocate_replicas(round.cache, &selected.id, &unavailable) {
                     continue;
@@ -69,7 +73,7 @@
         }
     }
 
-    /// The machine that the policy would choose next, if any.
+    /// Returns the machine that the scale-in policy chooses next, if any.
     fn select_for_scale_in(
         &self,
         round: &DrainRound<'_>,
@@ -96,23 +100,23 @@
     }
 }
 
-/// How many machines one round may choose.
+/// Returns how many machines one round may choose.
 ///
-/// Exception to section 5.3.2, see docs/DESIGN.md: one machine a round would
-/// take hours for a large fleet. Of those that stand idle beyond a reserve
-/// for the next jobs more are chosen, which takes nothing from anybody now.
+/// Exception to section 5.3.2, see docs/DESIGN.md: choosing one machine per round would take hours
+/// for a large fleet. More are chosen if many machines are idle beyond a reserve for the next
+/// jobs, which takes no capacity from running tasks.
 fn max_newly_draining(cache: &StateCache, fleet: &FleetState, machines: &[UsedMachine]) -> usize {
     let idle = machines
         .iter()
         .map(|machine| &machine.utilisation)
         .filter(|used| used.utilisation <= 0.0 && !fleet.draining_machines.contains(&used.id))
         .count();
-    let spare = idle.saturating_sub(machines.len() / RESERVE_FRACTION);
+    let spare = idle.saturating_sub(machines.len() / MACHINES_PER_IDLE_RESERVE);
     let max_draining = (machines.len() / MACHINES_PER_DRAIN)
         .max(spare / IDLE_MACHINES_PER_DRAIN)
         .max(1);
-    // A draining machine that is idle already only waits for its paid period's
-    // end, which need not keep others from being chosen.
+    // A draining machine that is already idle only waits for the end of its paid period, and
+    // does not count against the limit.
     let emptying = fleet
         .draining_machines
         .iter()
@@ -124,7 +128,7 @@
 fn drain_candidates(fleet: &FleetState, machines: Vec<UsedMachine>) -> DrainCandidates {
     let mut candidates = DrainCandidates {
         machines: Vec::new(),
-        with_services: BTreeSet::new(),
+        running_services: BTreeSet::new(),
     };
     for machine in machines {
         let id = &machine.utilisation.id;
@@ -132,7 +136,7 @@
             continue;
         }
         if machine.runs_service {
-            candidates.with_services.insert(id.clone());
+            candidates.running_services.insert(id.clone());
         }
         candidates.machines.push(machine.utilisation);
     }
--- a/src/coordination/leader/fleet/draining.rs
+++ b/src/coordination/leader/fleet/draining.rs
@@ -1,30 +1,30 @@
-//! The machines that are chosen for scale-in, until they are released.
+//! Tracks the machines that are chosen for scale-in until they are released.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::storage::{JobKind, MachineId, StateCache, state_cache::PlacedTask};
 
-/// Machines that are to be released, each at the end of its paid period.
+/// Machines chosen for scale-in, each to be released at the end of its paid period.
 ///
-/// A machine that was idle when it was chosen is not marked in its shard's record, which
-/// would cost a change of the shard. Its owner may therefore place tasks there that it was
-/// offered for another machine. If these are replicas the machine is in use again and drains
-/// no more: moving them would stop each of them once more.
+/// A machine that was idle when it was chosen is not marked as draining in its shard's record, to
+/// save a change of that record. Its owner may therefore still place tasks on it that were
+/// offered for another machine. If these include service replicas, the machine is in use again
+/// and stops draining, because moving the replicas elsewhere would stop each of them once more.
 #[derive(Clone, Debug, Default)]
 pub struct DrainingMachines {
     machines: BTreeMap<MachineId, DrainProgress>,
 }
 
-/// How far a draining machine has come.
+/// Whether a draining machine has been idle since it was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DrainProgress {
-    /// It has had tasks ever since it was chosen.
+    /// It has had tasks since it was chosen, or has not been checked yet.
     Emptying,
-    /// It has been idle since.
+    /// It has been idle at some time since it was chosen.
     HasBeenIdle,
 }
 
-/// Whether a placed task is known to be a replica of a service.
+/// Returns whether a placed task is known to be a replica of a service.
 pub(super) fn is_replica(placed: &PlacedTask) -> bool {
     placed
         .spec
@@ -33,44 +33,44 @@
 }
 
 impl DrainingMachines {
-    /// Chooses a machine.
+    /// Adds a machine that is chosen for scale-in.
     pub fn insert(&mut self, machine: MachineId) {
         self.machines.insert(machine, DrainProgress::Emptying);
     }
 
-    /// The machine is to stay, or is released.
+    /// Removes a machine that is to be kept or is released.
     pub fn remove(&mut self, machine: &MachineId) {
         self.machines.remove(machine);
     }
 
-    /// All are to stay.
+    /// Removes all machines, so that they are kept.
     pub fn clear(&mut self) {
         self.machines.clear();
     }
 
-    /// Whether the machine is draining.
+    /// Returns whether the machine is draining.
     pub fn contains(&self, machine: &MachineId) -> bool {
         self.machines.contains_key(machine)
     }
 
-    /// How many are draining.
+    /// Returns the number of draining machines.
     pub fn count(&self) -> usize {
         self.machines.len()
     }
 
-    /// Their names, in order.
+    /// Returns the IDs of the draining machines in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = &MachineId> {
         self.machines.keys()
     }
 
-    /// Their names, for a plan.
-    pub fn names(&self) -> BTreeSet<MachineId> {
+    /// Returns a copy of the IDs of the draining machines.
+    pub fn machine_ids(&self) -> BTreeSet<MachineId> {
         self.machines.keys().cloned().collect()
     }
 
-    /// Forgets machines that no record names any more, and those that were idle and have
-    /// replicas again.
-    pub fn observe(&mut self, cache: &StateCache) {
+    /// Updates the set from the state cache: removes machines that no longer have a record, and
+    /// machines on which service replicas were placed after they had been idle.
+    pub fn refresh(&mut self, cache: &StateCache) {
         self.machines.retain(|machine, progress| {
             if !cache.machines.contains_key(machine) {
                 return false;
@@ -82,7 +82,7 @@
             let is_in_use_again =
                 *progress == DrainProgress::HasBeenIdle && load.tasks.values().any(is_replica);
             if is_in_use_again {
-                tracing::info!(%machine, "scale-in given up: replicas placed there");
+                tracing::info!(%machine, "scale-in cancelled: service replicas were placed on the machine");
             }
             !is_in_use_again
         });
--- a/src/coordination/leader/fleet/draining/tests.rs
+++ b/src/coordination/leader/fleet/draining/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 use crate::storage::Revision;
 
-/// vm-1 and vm-2, both idle.
+/// Returns a state cache with the idle machines vm-1 and vm-2.
 fn idle_machines() -> StateCache {
     let mut cache = StateCache::default();
     cache.set(
@@ -17,8 +17,8 @@
     cache
 }
 
-/// A task of a job of this kind runs on vm-1.
-fn place_on_first(cache: &mut StateCache, kind: &str) {
+/// Places a task of a job of this kind on vm-1.
+fn place_on_vm_1(cache: &mut StateCache, kind: &str) {
     cache.set(
         "spec/job-1",
         json!({"class": "c", "team": "team", "kind": kind, "priority": "Normal",
@@ -41,42 +41,42 @@
 }
 
 #[test]
-fn an_idle_machine_that_gets_a_replica_drains_no_more() {
+fn an_idle_machine_that_gets_a_replica_stops_draining() {
     let mut cache = idle_machines();
     let mut draining = both_draining();
-    draining.observe(&cache);
-    place_on_first(&mut cache, "Service");
-    draining.observe(&cache);
+    draining.refresh(&cache);
+    place_on_vm_1(&mut cache, "Service");
+    draining.refresh(&cache);
     assert_eq!(
-        draining.names(),
+        draining.machine_ids(),
         BTreeSet::from([MachineId::new("vm-2")]),
-        "the other one goes on"
+        "the machine without a replica keeps draining"
     );
 }
 
 #[test]
-fn an_array_task_ends_by_itself_and_its_machine_drains_on() {
+fn a_machine_that_gets_an_array_task_keeps_draining() {
     let mut cache = idle_machines();
     let mut draining = both_draining();
-    draining.observe(&cache);
-    place_on_first(&mut cache, "Array");
-    draining.observe(&cache);
+    draining.refresh(&cache);
+    place_on_vm_1(&mut cache, "Array");
+    draining.refresh(&cache);
     assert!(draining.contains(&MachineId::new("vm-1")));
 }
 
 #[test]
-fn a_machine_with_replicas_when_it_was_chosen_goes_on_emptying() {
+fn a_machine_that_had_replicas_when_chosen_keeps_draining() {
     let mut cache = idle_machines();
-    place_on_first(&mut cache, "Service");
+    place_on_vm_1(&mut cache, "Service");
     let mut draining = both_draining();
-    draining.observe(&cache);
-    draining.observe(&cache);
+    draining.refresh(&cache);
+    draining.refresh(&cache);
     assert!(draining.contains(&MachineId::new("vm-1")));
 }
 
 #[test]
-fn a_machine_that_no_record_names_is_forgotten() {
+fn a_machine_without_a_record_is_removed() {
     let mut draining = both_draining();
-    draining.observe(&StateCache::default());
+    draining.refresh(&StateCache::default());
     assert_eq!(draining.count(), 0);
 }
--- a/src/coordination/leader/fleet/eviction.rs
+++ b/src/coordination/leader/fleet/eviction.rs
@@ -1,8 +1,8 @@
-//! Empties machines that are to be released: replicas move off draining machines, and
-//! quarantined machines that do not empty by themselves are cleared.
+//! Empties machines that are to be released: moves service replicas off draining machines, and
+//! preempts the tasks that remain on quarantined machines.
 //!
-//! The tasks' owners are asked to preempt them. What is not answered is asked for again in a
-//! later pass of the fleet manager, as long as it is wanted.
+//! The owners of the machines are asked to preempt the tasks. A request that is not answered is
+//! repeated by a later pass of the fleet manager for as long as it is needed.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -28,39 +28,46 @@
     },
 };
 
-/// Replicas of younger jobs are not moved.
+/// Minimum age of a job whose replicas are moved.
 const MIN_AGE_TO_MOVE: Duration = Duration::from_secs(45);
 
-/// Draining machines whose replicas' room is looked for in one pass.
-const MAX_STUCK_PER_PASS: usize = 3;
+/// A pass stops its search for replicas to move once it has found this many draining machines whose
+/// replicas cannot be moved.
+const MAX_BLOCKED_PER_PASS: usize = 3;
 
-/// A quarantined machine's tasks are left this long to end by themselves.
+/// Time after the release of a quarantined machine was decided during which its tasks may end
+/// before they are preempted.
 const QUARANTINE_EVICTION_DELAY: Duration = Duration::from_secs(15);
 
-/// Speed of a machine, and run time of a task, that are not known to differ from the usual.
-const USUAL: f64 = 1.0;
+/// Relative speed of a machine, and relative run time of a task, when neither is known.
+const NOMINAL_RATIO: f64 = 1.0;
 
-/// Tasks to preempt, by the owner of their machine.
+/// Tasks to preempt, grouped by the owner of their machine.
 type Preemptions = BTreeMap<ControllerName, Vec<TaskId>>;
 
-/// What is to be done about the replicas on draining machines.
+/// The decisions of one pass about the replicas on draining machines.
 #[derive(Default)]
 struct ReplicaMoves {
     preemptions: Preemptions,
-    /// Machines whose replicas have no room elsewhere any more.
-    stuck: Vec<MachineId>,
+    /// Machines whose replicas cannot be moved, which therefore stop draining.
+    blocked: Vec<MachineId>,
 }
 
 impl FleetState {
-    /// Machines that no replica is to be moved to.
+    /// Returns the machines to which no replica may be moved.
     pub(super) fn unavailable_machines(&self) -> BTreeSet<MachineId> {
         let draining = self.draining_machines.iter();
-        self.refusing.iter().chain(draining).cloned().collect()
+        self.unusable_machines
+            .iter()
+            .chain(draining)
+            .cloned()
+            .collect()
     }
 }
 
 impl Leader {
-    /// Quarantined machines that do not empty by themselves are cleared.
+    /// Preempts all tasks on quarantined machines that are still not empty
+    /// [`QUARANTINE_EVICTION_DELAY`] after their release was decided.
     pub(super) async fn evict_quarantined(&self) {
         let mut preemptions = Preemptions::new();
         {
@@ -82,7 +89,8 @@
         self.send_preemptions(preemptions).await;
     }
 
-    /// Replicas leave a draining machine once nothing else is on it.
+    /// Moves the replicas off a draining machine that runs nothing else, unless tasks wait for
+    /// room. Machines whose replicas cannot be moved stop draining.
     pub(super) async fn move_replicas(&self) {
         let preemptions = {
             let cache = self.context.store.cache();
@@ -91,7 +99,7 @@
                 return;
             }
             let moves = self.plan_replica_moves(&cache, &state.fleet);
-            for id in moves.stuck {
+            for id in moves.blocked {
                 state.fleet.draining_machines.remove(&id);
             }
             moves.preemptions
@@ -99,6 +107,7 @@
         self.send_preemptions(preemptions).await;
     }
 
+    /// Selects the replicas to preempt, of at most one machine.
     fn plan_replica_moves(&self, cache: &StateCache, fleet: &FleetState) -> ReplicaMoves {
         let unavailable = fleet.unavailable_machines();
         let mut moves = ReplicaMoves::default();
@@ -113,28 +122,31 @@
                 continue;
             }
             if !self.can_relocate_replicas(cache, id, &unavailable) {
-                moves.stuck.push(id.clone());
-                if moves.stuck.len() >= MAX_STUCK_PER_PASS {
+                moves.blocked.push(id.clone());
+                if moves.blocked.len() >= MAX_BLOCKED_PER_PASS {
                     break;
                 }
                 continue;
             }
             tracing::info!(machine = %id, replicas = load.tasks.len(), "moving replicas off a draining machine");
             preempt_all(&mut moves.preemptions, &entry.value, load);
-            // One at a time: the next finds the room that this one leaves.
+            // Only one machine per pass, so that the next is checked against the room that is left
+            // after this one's replicas have moved.
             break;
         }
         moves
     }
 
-    /// Whether the replicas on a machine would fit on the others.
+    /// Returns whether all replicas on a machine may be moved and fit on other machines.
     pub(super) fn can_relocate_replicas(
         &self,
         cache: &StateCache,
         machine: &MachineId,
         unavailable: &BTreeSet<MachineId>,
     ) -> bool {
-        let mut candidates = self.capacity_beside(cache, machine, unavailable).candidates;
+        let mut candidates = self
+            .free_capacity_elsewhere(cache, machine, unavailable)
+            .candidates;
         let tasks = cache
             .on_machine
             .get(machine)
@@ -150,7 +162,7 @@
             if !self.may_move_replica(spec) {
                 return false;
             }
-            match placement::choose(spec, &candidates, USUAL, |_| true) {
+            match placement::choose(spec, &candidates, NOMINAL_RATIO, |_| true) {
                 Some(index) => candidates[index].put(spec),
                 None => return false,
             }
@@ -158,8 +170,8 @@
         true
     }
 
-    /// What is free on the other machines that replicas may be moved to.
-    fn capacity_beside(
+    /// Returns the free capacity of all other machines to which replicas may be moved.
+    fn free_capacity_elsewhere(
         &self,
         cache: &StateCache,
         machine: &MachineId,
@@ -168,7 +180,7 @@
         let usable = |_: &ControllerName, id: &MachineId| {
             (id != machine && !unavailable.contains(id)).then(|| UsableMachine {
                 images: Arc::default(),
-                speed: USUAL,
+                speed: NOMINAL_RATIO,
                 freed: Resources::default(),
             })
         };
@@ -180,21 +192,24 @@
         )
     }
 
-    /// Whether a replica of the job may be stopped to run elsewhere: neither its zone nor the
-    /// machines of the job's other replicas matter, and the job is not young.
+    /// Returns whether a replica of the job may be stopped to run elsewhere: its placement does
+    /// not depend on a zone or on the job's other replicas, and the job has reached
+    /// [`MIN_AGE_TO_MOVE`].
     fn may_move_replica(&self, spec: &JobSpec) -> bool {
         let now = (self.context.config.wall)();
         let is_spread = spec.spread && spec.tasks > 1;
         !is_spread && !spec.one_zone && spec.age(now) >= MIN_AGE_TO_MOVE
     }
 
+    /// Asks the owners of the tasks' machines to preempt the tasks and the other members of their
+    /// gangs.
     async fn send_preemptions(&self, mut preemptions: Preemptions) {
         self.add_gang_members(&mut preemptions);
         for (controller, tasks) in preemptions {
             if controller == self.context.config.name {
                 self.owner.accept_preemptions(tasks);
             } else {
-                // Unanswered: asked for again as long as it is wanted.
+                // A request without an answer is repeated by a later pass if it is still needed.
                 let _ = self
                     .context
                     .peers
@@ -204,7 +219,8 @@
         }
     }
 
-    /// A gang saves only if all of it is told to stop within `gang_peer_s`.
+    /// Adds the other members of each gang of which a task is preempted, because a gang saves
+    /// its progress only if all of its members are told to stop within `gang_peer_s`.
     fn add_gang_members(&self, preemptions: &mut Preemptions) {
         let cache = self.context.store.cache();
         let preempted: Vec<TaskId> = preemptions.values().flatten().cloned().collect();
@@ -230,7 +246,7 @@
     }
 }
 
-/// Adds all tasks on a machine of the shard.
+/// Adds the preemption of all tasks on a machine of the shard.
 fn preempt_all(preemptions: &mut Preemptions, shard: &ShardRecord, load: &MachineLoad) {
     preemptions
         .entry(shard.controller.clone())
@@ -238,7 +254,7 @@
         .extend(load.tasks.keys().cloned());
 }
 
-/// Whether the shard's record says that the machine is draining.
+/// Returns whether the machine is marked as draining in the shard's record.
 fn is_marked_draining(shard: &ShardRecord, machine: &MachineId) -> bool {
     shard.machines.get(machine) == Some(&MachineUse::Draining)
 }
--- a/src/coordination/leader/fleet/failure_detector.rs
+++ b/src/coordination/leader/fleet/failure_detector.rs
@@ -1,9 +1,11 @@
-//! Finds machines that must be released or move to another owner for a reason of their own.
+//! Detects machines that must be released or moved to another owner because they, or the
+//! connections to them, have failed, and draining machines that are due for release.
 //!
 //! In each pass of the fleet manager every machine of every shard is inspected, by its owner's
 //! last status and by the heartbeats that reached other controllers (see
-//! [`machine_inspection`](super::machine_inspection)). What was found is then judged as a
-//! whole: one unresponsive machine hangs, many at once are rather cut off by a partition.
+//! [`machine_inspection`](super::machine_inspection)). The findings are then evaluated together: a
+//! single unresponsive machine has probably hung, while many at once are more likely cut off
+//! by a network partition.
 
 use std::sync::Arc;
 
@@ -19,34 +21,36 @@
     storage::{MachineId, StateCache, ZoneName},
 };
 
-/// Neighbours probed beside an unresponsive machine, to tell a hang from a network partition.
-const NEIGHBOURS: usize = 6;
+/// Maximum number of neighbours that are probed with an unresponsive machine, to distinguish a
+/// hang from a network partition.
+const MAX_NEIGHBOUR_PROBES: usize = 6;
 
-/// From so many unreachable machines of a zone on, what their owners say tells a
-/// hang from a network partition, without further probes.
-const PARTITION_EVIDENCE: usize = 2 * NEIGHBOURS;
+/// Number of unreachable machines in a zone from which on their owners' statuses suffice to
+/// distinguish a hang from a network partition, so that no neighbours are probed.
+const MIN_UNREACHABLE_AS_EVIDENCE: usize = 2 * MAX_NEIGHBOUR_PROBES;
 
-/// Up to so many unreachable machines are not many, whatever the size of the fleet.
-const MIN_MASS_OUTAGE: usize = 2;
-/// One of so many ordinary machines unreachable at once is a mass outage.
-const MASS_OUTAGE_FRACTION: usize = 4;
-/// One of so many machines without a command path at once is a mass outage.
-const COMMAND_PATH_OUTAGE_FRACTION: usize = 10;
+/// Up to this many machines lost at once are not a mass outage, whatever the size of the fleet.
+const MIN_MASS_OUTAGE_THRESHOLD: usize = 2;
+/// A mass outage is more than one in this many ordinary machines being unreachable at once.
+const MASS_OUTAGE_DIVISOR: usize = 4;
+/// A mass outage is also more than one in this many machines being without a command path at once.
+const COMMAND_PATH_OUTAGE_DIVISOR: usize = 10;
 
-/// What a zone's other machines tell of an unresponsive one.
+/// What is known about a zone's other machines when one of its machines is unresponsive.
 enum PartitionEvidence {
-    /// Most of the zone cannot be reached: rather a partition than a hang.
+    /// Most of the zone's machines are unreachable, which indicates a partition, not a hang.
     LikelyPartition,
-    /// Neighbours need not be asked.
-    Irrelevant,
-    /// Neighbours at these addresses tell which it is.
-    Ask(Vec<String>),
+    /// The machine is verified without probing neighbours.
+    NotNeeded,
+    /// The neighbours at these addresses are to be probed.
+    ProbeNeighbours(Vec<String>),
 }
 
 impl Leader {
-    /// Finds machines that must be released for a reason of their own, and the
-    /// draining ones whose time has come. Returns those that seem to be terminated, to be
-    /// verified by [`verify_unresponsive`](Self::verify_unresponsive).
+    /// Inspects all machines, schedules the release of those that have failed and of draining
+    /// ones that are due, and decides which shards and machines move to another owner. Returns
+    /// machines that seem to be terminated, to be verified by
+    /// [`verify_unresponsive`](Self::verify_unresponsive).
     pub(super) fn detect_failures(
         self: &Arc<Self>,
         cache: &StateCache,
@@ -60,20 +64,20 @@
         release_without_command_path(cache, &mut findings);
         let verifications = self.begin_verifications(cache, state, &findings, now);
         state.fleet.quarantined_since = findings.quarantined_since;
-        self.probe_indirectly(state, findings.to_probe, now);
+        self.probe_indirectly(state, findings.indirect_probe_targets, now);
         state.owner_unreachable = move_lost_shards(cache, state, findings.owner_unreachable, now);
-        state.fleet.refusing = findings.refusing;
-        for found in findings.releases {
-            if state.schedule_release(&found.machine, found.reason, now) {
-                tracing::info!(machine = %found.machine, reason = ?found.reason, "release scheduled");
+        state.fleet.unusable_machines = findings.unusable_machines;
+        for finding in findings.releases {
+            if state.schedule_release(&finding.machine, finding.reason, now) {
+                tracing::info!(machine = %finding.machine, reason = ?finding.reason, "release scheduled");
             }
-            state.fleet.draining_machines.remove(&found.machine);
+            state.fleet.draining_machines.remove(&finding.machine);
         }
-        state.fleet.draining_machines.observe(cache);
+        state.fleet.draining_machines.refresh(cache);
         verifications
     }
 
-    /// Chooses the unresponsive machines that all controllers are to probe now.
+    /// Selects the unresponsive machines that all controllers are to probe now.
     fn begin_verifications(
         &self,
         cache: &StateCache,
@@ -82,25 +86,25 @@
         now: Instant,
     ) -> Vec<Verification> {
         let is_mass_outage = is_mass_outage(cache, findings);
-        state.fleet.verifying.retain(|_, until| *until > now);
+        state.fleet.verifying_until.retain(|_, until| *until > now);
         let mut verifications = Vec::new();
         for unresponsive in &findings.unresponsive {
-            let is_lease_over = self.is_lease_over(unresponsive);
-            if (is_mass_outage && !unresponsive.spot && !is_lease_over)
+            let is_lease_expired = self.is_agent_lease_expired(unresponsive);
+            if (is_mass_outage && !unresponsive.spot && !is_lease_expired)
                 || !self.may_verify(state, &unresponsive.machine)
             {
                 continue;
             }
-            state.fleet.begin_verification(&unresponsive.machine, now);
-            let evidence = if unresponsive.spot || is_lease_over {
-                PartitionEvidence::Irrelevant
+            state.fleet.suspend_verification(&unresponsive.machine, now);
+            let evidence = if unresponsive.spot || is_lease_expired {
+                PartitionEvidence::NotNeeded
             } else {
                 partition_evidence(cache, state, findings, &unresponsive.machine)
             };
             let neighbours = match evidence {
                 PartitionEvidence::LikelyPartition => continue,
-                PartitionEvidence::Irrelevant => Vec::new(),
-                PartitionEvidence::Ask(neighbours) => neighbours,
+                PartitionEvidence::NotNeeded => Vec::new(),
+                PartitionEvidence::ProbeNeighbours(neighbours) => neighbours,
             };
             verifications.push(Verification {
                 machine: unresponsive.machine.clone(),
@@ -111,49 +115,56 @@
         verifications
     }
 
-    /// Whether an agent that has received no answer since its last heartbeat has lost its
-    /// lease, and has stopped its tasks.
-    fn is_lease_over(&self, unresponsive: &UnresponsiveMachine) -> bool {
+    /// Returns whether the machine's agent, if it has received no answer since its last
+    /// heartbeat, has lost its lease and therefore stopped its tasks.
+    fn is_agent_lease_expired(&self, unresponsive: &UnresponsiveMachine) -> bool {
         let config = &self.context.config;
         unresponsive.since_heartbeat > config.agent_lease + config.heartbeat_interval
     }
 
-    /// Whether a machine is neither being verified nor released, and a probe is to be had.
+    /// Returns whether the machine may be verified: it is neither being verified nor already
+    /// to be released as unresponsive, and the limit on concurrent probes is not reached.
     fn may_verify(&self, state: &LeaderState, machine: &MachineId) -> bool {
         let is_releasing = state
             .releasing
             .get(machine)
             .is_some_and(|release| release.reason() == ReleaseReason::Unresponsive);
         !is_releasing
-            && !state.fleet.verifying.contains_key(machine)
-            && state.fleet.verifying.len() < self.context.config.max_concurrent_probes()
+            && !state.fleet.verifying_until.contains_key(machine)
+            && state.fleet.verifying_until.len() < self.context.config.max_concurrent_probes()
     }
 }
 
-/// One unresponsive machine is a hang, and releasing it is the quick proof
-/// that its tasks are terminated. Many at once are rather a network partition, in which they
-/// go on working until their leases end; only spot machines are taken in
-/// numbers. They cross the threshold one after the other, so all that
-/// cannot be reached count.
+/// Returns whether many ordinary machines are unreachable at once, which indicates a network
+/// partition.
+///
+/// A single unresponsive machine has probably hung, and releasing it is the quickest way to prove
+/// that its tasks are terminated. Machines that are cut off by a partition keep running their tasks
+/// until their leases expire, and should not be released before.
+/// Spot machines are not counted, and are verified in any case, since the cloud may reclaim many
+/// of them at once. Machines reach the threshold for being unresponsive one after the other, so
+/// all unreachable machines are counted.
 fn is_mass_outage(cache: &StateCache, findings: &Findings<'_>) -> bool {
     let ordinary = cache.machines.values().filter(|record| !record.spot);
-    let threshold = MIN_MASS_OUTAGE.max(ordinary.count() / MASS_OUTAGE_FRACTION);
-    findings.unreachable_machines() > threshold
+    let threshold = MIN_MASS_OUTAGE_THRESHOLD.max(ordinary.count() / MASS_OUTAGE_DIVISOR);
+    findings.unreachable_count() > threshold
 }
 
-/// Machines whose agents hear nothing of us are released as well, unless there are many: then they
-/// are rather cut off by a partition.
+/// Adds the release of machines that no command reaches, unless there are many of them, in which
+/// case they are more likely cut off by a network partition.
 fn release_without_command_path(cache: &StateCache, findings: &mut Findings<'_>) {
     let lost = std::mem::take(&mut findings.command_path_lost);
-    let threshold = MIN_MASS_OUTAGE.max(cache.machines.len() / COMMAND_PATH_OUTAGE_FRACTION);
+    let threshold =
+        MIN_MASS_OUTAGE_THRESHOLD.max(cache.machines.len() / COMMAND_PATH_OUTAGE_DIVISOR);
     if lost.len() <= threshold {
         for machine in lost {
-            findings.release(&machine, ReleaseReason::CommandPathLost);
+            findings.add_release(&machine, ReleaseReason::CommandPathLost);
         }
     }
 }
 
-/// Whether the zone of an unresponsive ordinary machine seems to be cut off.
+/// Determines whether the zone of an unresponsive ordinary machine seems to be cut off by a
+/// partition, or which neighbours to probe to find out.
 fn partition_evidence(
     cache: &StateCache,
     state: &LeaderState,
@@ -161,19 +172,22 @@
     machine: &MachineId,
 ) -> PartitionEvidence {
     let zone = cache.machines.get(machine).map(|record| &record.zone);
-    let known = findings.zone(zone);
-    if known.unreachable < PARTITION_EVIDENCE {
-        return PartitionEvidence::Ask(neighbours(cache, state, machine, zone));
+    let known = findings.zone_reachability(zone);
+    if known.unreachable < MIN_UNREACHABLE_AS_EVIDENCE {
+        return PartitionEvidence::ProbeNeighbours(neighbour_addresses(
+            cache, state, machine, zone,
+        ));
     }
     if known.unreachable * 2 > known.ordinary {
         return PartitionEvidence::LikelyPartition;
     }
-    PartitionEvidence::Irrelevant
+    PartitionEvidence::NotNeeded
 }
 
-/// Addresses of some ordinary machines of the zone. Those already found unreachable are
-/// not among them: several may hang at once, which would look like a network partition.
-fn neighbours(
+/// Returns the addresses of some other ordinary machines of the zone. Machines that are being
+/// verified themselves are left out: several may hang at once, which would look like a network
+/// partition.
+fn neighbour_addresses(
     cache: &StateCache,
     state: &LeaderState,
     machine: &MachineId,
@@ -183,8 +197,8 @@
         .machines
         .iter()
         .filter(|(other, record)| *other != machine && !record.spot && Some(&record.zone) == zone)
-        .filter(|(other, _)| !state.fleet.verifying.contains_key(*other))
+        .filter(|(other, _)| !state.fleet.verifying_until.contains_key(*other))
         .filter_map(|(_, record)| record.address.clone())
-        .take(NEIGHBOURS)
+        .take(MAX_NEIGHBOUR_PROBES)
         .collect()
 }
--- a/src/coordination/leader/fleet/inventory.rs
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -1,14 +1,15 @@
-//! Reconciles the records with the cloud's list of machines.
+//! Reconciles the recorded machines with the cloud's list of machines.
 //!
 //! The list lags behind: it may still show machines that were released, and not yet show
-//! those that were provisioned. Machines that it shows for long enough while no record names
-//! them are adopted; those that it shows as failed are released.
+//! those that were provisioned. Machines that are listed for long enough without having a
+//! record are adopted: a record is written for them. Recorded machines that are listed as failed
+//! are released.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use tokio::time::Instant;
 
-use super::market::ProvisionTarget;
+use super::provisioning_options::ProvisionTarget;
 use crate::{
     coordination::{
         clients::{ListedMachine, MachineStage},
@@ -26,34 +27,40 @@
     },
 };
 
-/// Unknown machines of one type and zone adopted at a time.
-const ADOPTED_AT_ONCE: usize = 50;
+/// Maximum number of unknown machines of one type and zone that are adopted after one poll of the
+/// list.
+const MAX_ADOPTED_PER_GROUP: usize = 50;
 /// Prefix of the names of groups of adopted machines.
 const ADOPTED_ID_PREFIX: &str = "x";
-/// Released machines are remembered for so long: copies of heartbeats come well over a lease late.
+/// Time for which released machines are remembered: duplicated heartbeats can arrive much more
+/// than a lease duration late.
 const RELEASED_TTL: Duration = Duration::from_secs(600);
-/// The least time between two readings of the list.
+/// Minimum time between two polls of the list.
 const MIN_POLL_INTERVAL: Duration = Duration::from_secs(5);
-/// The list may lag twice its time: it may still show machines
-/// that an earlier leader released.
-const MAX_LAG_FACTOR: f64 = 2.5;
+/// A machine without a record is adopted once it has been listed for longer than this many times
+/// the configured list lag. The list may be up to twice the lag behind, and may therefore still
+/// show machines that were released by an earlier leader.
+const ADOPTION_LAG_FACTOR: f64 = 2.5;
 
-/// A machine that no record names.
+/// A machine that has no record.
 struct UnknownMachine {
     id: MachineId,
     target: ProvisionTarget,
 }
 
 impl Leader {
-    /// Reads the list of machines if that is due, and reconciles it in a task of its own.
-    pub(super) fn poll_inventory(self: &Arc<Self>, budget: &Arc<RateLimiter>) {
+    /// Starts an asynchronous task that reads the list of machines and reconciles it, if a poll
+    /// is due.
+    pub(super) fn poll_inventory(self: &Arc<Self>, cloud_rate_limiter: &Arc<RateLimiter>) {
         if !self.begin_inventory_poll() {
             return;
         }
         let leader = self.clone();
-        let budget = budget.clone();
+        let cloud_rate_limiter = cloud_rate_limiter.clone();
         tokio::spawn(async move {
-            budget.acquire(1.0, RequestPriority::Background).await;
+            cloud_rate_limiter
+                .acquire(1.0, RequestPriority::Background)
+                .await;
             match leader.context.cloud.list_machines().await {
                 Ok(list) => leader.reconcile_inventory(list).await,
                 Err(error) => tracing::debug!(%error, "the machine list cannot be read"),
@@ -61,24 +68,26 @@
         });
     }
 
-    /// Whether the list is to be read now.
+    /// Returns whether a poll is due, and if so records that it begins now.
     fn begin_inventory_poll(&self) -> bool {
         let mut state = lock(&self.state);
-        // It is behind by the lag anyway, and each page costs time.
+        // Polling more often gains little, since the list is behind by the lag anyway, and
+        // each page takes time to read.
         let interval = (self.context.config.list_lag / 2).max(MIN_POLL_INTERVAL);
         let is_recent = state
             .fleet
-            .last_inventory
+            .last_inventory_poll
             .is_some_and(|at| at.elapsed() < interval);
         if is_recent {
             return false;
         }
-        state.fleet.last_inventory = Some(Instant::now());
+        state.fleet.last_inventory_poll = Some(Instant::now());
         true
     }
 
-    /// Machines that the cloud lists, or whose agents send heartbeats, but that are not
-    /// in the cache: provisioned by a request that was executed late, perhaps.
+    /// Releases recorded machines that are listed as failed, and adopts machines that are
+    /// listed, or send heartbeats, without having a record. Such machines can result from a
+    /// provision request that the cloud executed late.
     async fn reconcile_inventory(&self, list: Vec<ListedMachine>) {
         let groups = {
             let cache = self.context.store.cache();
@@ -87,9 +96,9 @@
             state
                 .fleet
                 .forget_released(self.context.config.machines_tracked, now);
-            release_failed(&cache, &mut state, &list, now);
-            let adopt_after = self.context.config.list_lag.mul_f64(MAX_LAG_FACTOR);
-            let mut unknown = note_unknown(&cache, &mut state.fleet, list, adopt_after, now);
+            release_failed_machines(&cache, &mut state, &list, now);
+            let adopt_after = self.context.config.list_lag.mul_f64(ADOPTION_LAG_FACTOR);
+            let mut unknown = track_unknown(&cache, &mut state.fleet, list, adopt_after, now);
             unknown.extend(unknown_with_heartbeat(&cache, &state));
             group_machines(unknown, self.context.config.now_ms())
         };
@@ -98,6 +107,7 @@
         }
     }
 
+    /// Writes a record for a group of unknown machines.
     async fn adopt(&self, group: MachineGroupRecord) {
         tracing::info!(machines = ?group.machines.keys(), "adopting unknown machines");
         let name = lock(&self.state)
@@ -107,15 +117,15 @@
         let transaction = Transaction::default()
             .require(key.clone(), Revision(0))
             .set(key, &group);
-        // Machines that are not adopted now are still listed next time.
+        // Ignoring a failure is safe: machines without a record are found again by later polls.
         let _ = self
             .commit_as_leader(transaction, RequestPriority::Background)
             .await;
     }
 }
 
-/// Releases machines of ours that the cloud lists as failed.
-fn release_failed(
+/// Schedules the release of recorded machines that the cloud lists as failed.
+fn release_failed_machines(
     cache: &StateCache,
     state: &mut LeaderState,
     list: &[ListedMachine],
@@ -126,14 +136,14 @@
             && machine.stage == MachineStage::Failed
             && state.schedule_release(&machine.id, ReleaseReason::Failed, now)
         {
-            tracing::info!(machine = %machine.id, "listed as failed");
+            tracing::info!(machine = %machine.id, "release scheduled: the cloud lists the machine as failed");
         }
     }
 }
 
-/// Notes since when the list shows machines that no record names. Returns those that it has
-/// shown for longer than it may lag.
-fn note_unknown(
+/// Keeps track of since when the cloud has listed machines that have no record. Returns those
+/// that it has listed for longer than `adopt_after`.
+fn track_unknown(
     cache: &StateCache,
     fleet: &mut FleetState,
     list: Vec<ListedMachine>,
@@ -143,10 +153,10 @@
     let mut adopt = Vec::new();
     let mut unknown_since = BTreeMap::new();
     for machine in list {
-        if cache.machines.contains_key(&machine.id) || fleet.released.contains_key(&machine.id) {
+        if cache.machines.contains_key(&machine.id) || fleet.released_at.contains_key(&machine.id) {
             continue;
         }
-        let since = fleet.unknown.get(&machine.id).copied().unwrap_or(now);
+        let since = fleet.unknown_since.get(&machine.id).copied().unwrap_or(now);
         if now.duration_since(since) > adopt_after {
             adopt.push(UnknownMachine {
                 id: machine.id,
@@ -160,13 +170,14 @@
             unknown_since.insert(machine.id, since);
         }
     }
-    fleet.unknown = unknown_since;
+    fleet.unknown_since = unknown_since;
     adopt
 }
 
-/// Unknown machines that some controller hears and the cloud lists: a heartbeat alone may be
-/// a copy of one from a machine that was released long ago. None while a provision request is
-/// unanswered, as they may have come of it.
+/// Returns machines without a record that the cloud lists and that send heartbeats to some
+/// controller. A heartbeat alone is not enough, because it may be a delayed duplicate from a
+/// machine that was released long ago. Returns nothing while a provision request is unanswered,
+/// because the machines may result from that request.
 fn unknown_with_heartbeat(cache: &StateCache, state: &LeaderState) -> Vec<UnknownMachine> {
     if !cache.provision_requests.is_empty() {
         return Vec::new();
@@ -178,8 +189,8 @@
         .flat_map(|peer| peer.indirect_heartbeats.values())
         .filter(|heartbeat| {
             !cache.machines.contains_key(&heartbeat.machine)
-                && !state.fleet.released.contains_key(&heartbeat.machine)
-                && state.fleet.unknown.contains_key(&heartbeat.machine)
+                && !state.fleet.released_at.contains_key(&heartbeat.machine)
+                && state.fleet.unknown_since.contains_key(&heartbeat.machine)
         })
         .map(|heartbeat| UnknownMachine {
             id: heartbeat.machine.clone(),
@@ -192,7 +203,8 @@
         .collect()
 }
 
-/// Records of machine groups, each of machines of one type and zone.
+/// Returns records of machine groups, each with machines of one type and zone that are all
+/// spot or all ordinary.
 fn group_machines(machines: Vec<UnknownMachine>, now_ms: u64) -> Vec<MachineGroupRecord> {
     let mut groups: BTreeMap<ProvisionTarget, MachineGroupRecord> = BTreeMap::new();
     for UnknownMachine { id, target } in machines {
@@ -205,7 +217,7 @@
                 provisioned_ms: now_ms,
                 machines: BTreeMap::new(),
             });
-        if group.machines.len() < ADOPTED_AT_ONCE {
+        if group.machines.len() < MAX_ADOPTED_PER_GROUP {
             group.machines.insert(id, None);
         }
     }
@@ -213,18 +225,18 @@
 }
 
 impl FleetState {
-    /// Forgets machines that were released long ago, and beyond `max_machines` the oldest.
+    /// Forgets machines that were released long ago, and the oldest ones beyond `max_machines`.
     fn forget_released(&mut self, max_machines: usize, now: Instant) {
-        self.released
+        self.released_at
             .retain(|_, at| now.duration_since(*at) < RELEASED_TTL);
-        let excess = self.released.len().saturating_sub(max_machines);
+        let excess = self.released_at.len().saturating_sub(max_machines);
         if excess == 0 {
             return;
         }
-        tracing::info!(excess, "too many released machines to remember all");
-        let mut times: Vec<Instant> = self.released.values().copied().collect();
+        tracing::info!(excess, "too many released machines; forgetting the oldest");
+        let mut times: Vec<Instant> = self.released_at.values().copied().collect();
         times.sort_unstable();
         let oldest_remembered = times[excess];
-        self.released.retain(|_, at| *at >= oldest_remembered);
+        self.released_at.retain(|_, at| *at >= oldest_remembered);
     }
 }
--- a/src/coordination/leader/fleet/machine_inspection.rs
+++ b/src/coordination/leader/fleet/machine_inspection.rs
@@ -1,7 +1,8 @@
-//! What the owners' statuses, and heartbeats that reached others, say of each machine.
+//! Inspects each machine by its owner's last status and by the heartbeats that reached other
+//! controllers.
 //!
-//! A function of the configuration, the replica and the leader's state: nothing is changed or
-//! sent here. The failure detector acts on the [`Findings`].
+//! The inspection depends only on the configuration, the state cache and the leader's state. It
+//! changes nothing and sends nothing. The failure detector acts on the resulting [`Findings`].
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,26 +20,27 @@
     storage::{ControllerName, MachineId, StateCache, ZoneName, records::MachineRecord},
 };
 
-/// A machine is quarantined for this long before it goes: what failed on it is tried
-/// elsewhere meanwhile, which shows whether the jobs are to blame.
+/// Time for which a machine is quarantined before its release is scheduled. The jobs that failed
+/// on it are retried on other machines meanwhile, which shows whether the jobs are at fault.
 const QUARANTINE_PERIOD: Duration = Duration::from_secs(8);
 
-/// A draining machine that is idle goes back when less than this is left of its paid period.
+/// A draining machine that is idle is released when less than this is left of its paid period.
 const SCALE_IN_MARGIN: Duration = Duration::from_secs(3);
 
-/// A machine whose agent has not been heard after this many times its type's boot time, and
-/// the margin, does not come up.
+/// A machine is released if its agent has sent no heartbeat within this many times the boot time
+/// of its type plus [`BOOT_TIMEOUT_MARGIN`].
 const BOOT_TIMEOUT_FACTOR: f64 = 2.5;
+/// Constant part of the boot timeout, see [`BOOT_TIMEOUT_FACTOR`].
 const BOOT_TIMEOUT_MARGIN: Duration = Duration::from_secs(15);
-/// Boot time of a machine type that the catalog does not list any more.
+/// Boot time assumed for a machine type that the catalog no longer lists.
 const DEFAULT_BOOT_TIME: Duration = Duration::from_secs(60);
 
-/// From this part of the threshold of unresponsive machines on, a controller that hears a
-/// machine in its owner's place is asked whether it reaches it.
+/// Fraction of [`Config::unresponsive_after`] without a heartbeat at a machine's owner after which
+/// another controller that receives its heartbeats is asked to probe it.
 const INDIRECT_PROBE_FRACTION: f64 = 0.7;
 
 /// A machine that is to be released.
-pub(super) struct FoundRelease {
+pub(super) struct ReleaseFinding {
     /// The machine.
     pub(super) machine: MachineId,
     /// Why it is to be released.
@@ -51,58 +53,60 @@
     pub(super) machine: MachineId,
     /// Where its agent listens.
     pub(super) address: String,
-    /// Since its last heartbeat.
+    /// Time since its last heartbeat.
     pub(super) since_heartbeat: Duration,
     /// Whether it is a spot machine.
     pub(super) spot: bool,
 }
 
-/// The ordinary machines of a zone.
+/// Counts of the ordinary (non-spot) machines of a zone.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ZoneReachability {
-    /// All of them that are in shards.
+    /// Number of machines that are in shards.
     pub(super) ordinary: usize,
-    /// Those that nobody reaches.
+    /// Number of these that no controller reaches.
     pub(super) unreachable: usize,
 }
 
-/// What an inspection of all machines has found.
+/// The result of an inspection of all machines.
 #[derive(Default)]
 pub(super) struct Findings<'a> {
-    /// Machines to be released, in the order in which they were found; the first reason counts.
-    pub(super) releases: Vec<FoundRelease>,
-    /// Machines whose heartbeats arrive while no command reaches them.
+    /// Machines to be released, in the order in which they were found. If a machine occurs more
+    /// than once, the first reason applies.
+    pub(super) releases: Vec<ReleaseFinding>,
+    /// Machines whose heartbeats arrive but that no command reaches.
     pub(super) command_path_lost: Vec<MachineId>,
-    /// Machines that may be terminated.
+    /// Machines that seem to be terminated, to be verified.
     pub(super) unresponsive: Vec<UnresponsiveMachine>,
-    /// Machines heard by others than their owner, whom these are to probe.
-    pub(super) to_probe: Vec<IndirectProbeTarget>,
-    /// Machines that their owner has lost, each with the controller that reaches it.
+    /// Machines whose heartbeats reach another controller in place of their owner, to be probed
+    /// by that controller.
+    pub(super) indirect_probe_targets: Vec<IndirectProbeTarget>,
+    /// Machines that their owner cannot reach, each with a controller that reaches it.
     pub(super) owner_unreachable: BTreeMap<MachineId, ControllerName>,
-    /// Machines that no task is to be routed to.
-    pub(super) refusing: BTreeSet<MachineId>,
-    /// Machines on which several jobs have failed, since when.
+    /// Machines that can take no tasks now.
+    pub(super) unusable_machines: BTreeSet<MachineId>,
+    /// Machines on which several jobs have failed, with the time when this was first seen.
     pub(super) quarantined_since: BTreeMap<MachineId, Instant>,
-    /// What was found in each zone.
+    /// Reachability of the ordinary machines of each zone.
     zones: BTreeMap<&'a ZoneName, ZoneReachability>,
 }
 
 impl Findings<'_> {
-    /// Notes that a machine is to be released.
-    pub(super) fn release(&mut self, machine: &MachineId, reason: ReleaseReason) {
-        self.releases.push(FoundRelease {
+    /// Adds a machine that is to be released.
+    pub(super) fn add_release(&mut self, machine: &MachineId, reason: ReleaseReason) {
+        self.releases.push(ReleaseFinding {
             machine: machine.clone(),
             reason,
         });
     }
 
-    /// Ordinary machines that nobody reaches, in all zones.
-    pub(super) fn unreachable_machines(&self) -> usize {
+    /// Returns the number of ordinary machines in all zones that no controller reaches.
+    pub(super) fn unreachable_count(&self) -> usize {
         self.zones.values().map(|zone| zone.unreachable).sum()
     }
 
-    /// What was found in a zone.
-    pub(super) fn zone(&self, zone: Option<&ZoneName>) -> ZoneReachability {
+    /// Returns the reachability of a zone's ordinary machines.
+    pub(super) fn zone_reachability(&self, zone: Option<&ZoneName>) -> ZoneReachability {
         zone.and_then(|zone| self.zones.get(zone))
             .copied()
             .unwrap_or_default()
@@ -139,7 +143,7 @@
     inspection.findings
 }
 
-/// A machine with what the records say of it.
+/// A machine under inspection, with its record and its shard's owner.
 #[derive(Clone, Copy)]
 struct InspectedMachine<'a> {
     id: &'a MachineId,
@@ -147,27 +151,27 @@
     owner: &'a ControllerName,
 }
 
-/// Who hears and reaches a machine that is up.
+/// The contact between the controllers and a machine that is up.
 enum Contact {
-    /// Its owner, or nobody for too short a time to act on.
+    /// Its owner receives its heartbeats, or contact was lost too recently to act on.
     Normal,
-    /// Hardly its owner, but another controller.
+    /// Its heartbeats reach another controller, and have not reached its owner for some time.
     Indirect(IndirectContact),
-    /// Nobody hears it, and its owner's calls fail.
+    /// No controller receives its heartbeats, and its owner's calls to it fail.
     Unreachable,
 }
 
-/// What the probes of a controller that hears a machine in its owner's place have shown.
+/// The result of the indirect probes of a machine.
 enum IndirectVerdict {
-    /// Nothing yet.
+    /// The probes have not led to a decision yet.
     Undecided,
-    /// That controller reaches it.
+    /// The controller that receives its heartbeats reaches it, but its owner does not.
     OwnerUnreachable,
-    /// Nobody has reached it for a while.
+    /// No controller has reached it for longer than [`Config::command_path_timeout`].
     CommandPathLost,
 }
 
-/// An inspection under way.
+/// The inputs and intermediate findings of an inspection.
 struct Inspection<'a, 's> {
     config: &'s Config,
     cache: &'a StateCache,
@@ -179,6 +183,7 @@
 }
 
 impl<'a> Inspection<'a, '_> {
+    /// Adds the findings about one machine.
     fn inspect(&mut self, machine: InspectedMachine<'a>) {
         if !machine.record.spot {
             self.zone_of(machine).ordinary += 1;
@@ -192,7 +197,8 @@
             self.inspect_condition(machine, &status);
         }
         if self.is_scale_in_due(machine) {
-            self.findings.release(machine.id, ReleaseReason::ScaledIn);
+            self.findings
+                .add_release(machine.id, ReleaseReason::ScaledIn);
         }
     }
 
@@ -200,12 +206,12 @@
         self.findings.zones.entry(&machine.record.zone).or_default()
     }
 
-    /// Since the machine was provisioned.
+    /// Returns the time since the machine was provisioned.
     fn age(&self, record: &MachineRecord) -> Duration {
         Duration::from_millis(self.now_ms.saturating_sub(record.provisioned_ms))
     }
 
-    /// A machine whose agent has not been heard yet.
+    /// Inspects a machine whose agent has not sent a heartbeat yet.
     fn inspect_booting(&mut self, machine: InspectedMachine<'a>) {
         let boot = self
             .cache
@@ -214,25 +220,25 @@
         let timeout = boot.mul_f64(BOOT_TIMEOUT_FACTOR) + BOOT_TIMEOUT_MARGIN;
         if self.age(machine.record) > timeout {
             self.findings
-                .release(machine.id, ReleaseReason::BootTimeout);
+                .add_release(machine.id, ReleaseReason::BootTimeout);
         }
-        self.findings.refusing.insert(machine.id.clone());
+        self.findings.unusable_machines.insert(machine.id.clone());
     }
 
-    /// Whether the machine can be reached, and by whom.
+    /// Determines whether the machine can be reached, and by which controller.
     fn inspect_contact(&mut self, machine: InspectedMachine<'a>, status: &OwnedMachineStatus<'_>) {
         match self.contact(machine, status) {
             Contact::Normal => {}
-            Contact::Indirect(contact) => self.note_indirect_contact(machine, contact),
-            Contact::Unreachable => self.note_unreachable(machine, status),
+            Contact::Indirect(contact) => self.record_indirect_contact(machine, contact),
+            Contact::Unreachable => self.record_unreachable(machine, status),
         }
     }
 
     fn contact(&self, machine: InspectedMachine<'a>, status: &OwnedMachineStatus<'_>) -> Contact {
-        // Only one that its owner has not heard lately is looked
-        // for elsewhere: that is work for each machine.
-        let is_late = status.since_heartbeat > self.config.heartbeat_interval;
-        let indirect_contact = is_late
+        // The other controllers' statuses are searched only for machines whose owner has not
+        // received a heartbeat recently, to save the cost of a search for each machine.
+        let is_heartbeat_late = status.since_heartbeat > self.config.heartbeat_interval;
+        let indirect_contact = is_heartbeat_late
             .then(|| self.state.indirectly_heard_by(machine.owner, machine.id))
             .flatten()
             .filter(|contact| contact.age < self.config.indirect_heartbeat_max_age());
@@ -244,7 +250,7 @@
         }
     }
 
-    fn note_indirect_contact(&mut self, machine: InspectedMachine<'a>, contact: IndirectContact) {
+    fn record_indirect_contact(&mut self, machine: InspectedMachine<'a>, contact: IndirectContact) {
         match self.judge_indirect_contact(machine.id, &contact) {
             IndirectVerdict::Undecided => {}
             IndirectVerdict::OwnerUnreachable => {
@@ -257,11 +263,13 @@
             }
         }
         if let Some(address) = &machine.record.address {
-            self.findings.to_probe.push(IndirectProbeTarget {
-                machine: machine.id.clone(),
-                address: address.clone(),
-                controller: contact.controller,
-            });
+            self.findings
+                .indirect_probe_targets
+                .push(IndirectProbeTarget {
+                    machine: machine.id.clone(),
+                    address: address.clone(),
+                    controller: contact.controller,
+                });
         }
     }
 
@@ -277,15 +285,21 @@
             Some(controller) if *controller == contact.controller => {
                 IndirectVerdict::OwnerUnreachable
             }
-            // Its heartbeats get out, but nobody gets in.
-            None if self.now.duration_since(probe.since) > self.config.command_path_timeout() => {
+            // Heartbeats from the machine arrive, but no controller can reach it.
+            None if self.now.duration_since(probe.first_due)
+                > self.config.command_path_timeout() =>
+            {
                 IndirectVerdict::CommandPathLost
             }
             _ => IndirectVerdict::Undecided,
         }
     }
 
-    fn note_unreachable(&mut self, machine: InspectedMachine<'a>, status: &OwnedMachineStatus<'_>) {
+    fn record_unreachable(
+        &mut self,
+        machine: InspectedMachine<'a>,
+        status: &OwnedMachineStatus<'_>,
+    ) {
         if !machine.record.spot {
             self.zone_of(machine).unreachable += 1;
         }
@@ -301,7 +315,7 @@
         }
     }
 
-    /// What the owner itself says against the machine.
+    /// Inspects the problems that the owner reports about the machine.
     fn inspect_condition(
         &mut self,
         machine: InspectedMachine<'a>,
@@ -314,7 +328,7 @@
             || owned.command_path_lost
             || status.since_heartbeat > self.unresponsive_after
         {
-            self.findings.refusing.insert(machine.id.clone());
+            self.findings.unusable_machines.insert(machine.id.clone());
         }
         if owned.quarantined {
             self.inspect_quarantined(machine.id);
@@ -325,17 +339,18 @@
     }
 
     fn inspect_quarantined(&mut self, machine: &MachineId) {
-        let known = self.state.fleet.quarantined_since.get(machine);
-        let since = known.copied().unwrap_or(self.now);
+        let known_since = self.state.fleet.quarantined_since.get(machine);
+        let since = known_since.copied().unwrap_or(self.now);
         self.findings
             .quarantined_since
             .insert(machine.clone(), since);
         if self.now.duration_since(since) > QUARANTINE_PERIOD {
-            self.findings.release(machine, ReleaseReason::Quarantined);
+            self.findings
+                .add_release(machine, ReleaseReason::Quarantined);
         }
     }
 
-    /// Whether a draining machine is idle and at the end of its paid period.
+    /// Returns whether the machine is draining, idle and near the end of its paid period.
     fn is_scale_in_due(&self, machine: InspectedMachine<'a>) -> bool {
         let paid_left = self.config.tuning.paid.left(self.age(machine.record));
         self.state.fleet.draining_machines.contains(machine.id)
--- a/src/coordination/leader/fleet/miss_rate_band.rs
+++ b/src/coordination/leader/fleet/miss_rate_band.rs
@@ -1,5 +1,5 @@
-//! One round of the miss-rate band (paper, section 5.3): above it machines are provisioned,
-//! below it some are chosen to drain.
+//! Evaluates one round of the miss-rate band (paper, section 5.3): machines are provisioned if the
+//! miss rate is above the band, and some are chosen to drain if it is below.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
     FleetState,
     autoscaler::MachineNeed,
     drain_selection::DrainRound,
-    market::{Market, UsedMachine},
+    provisioning_options::{ProvisioningOptions, UsedMachine},
 };
 use crate::{
     coordination::{
@@ -23,65 +23,67 @@
     storage::StateCache,
 };
 
-/// The waiting tasks, by the pools that suit them.
+/// The waiting tasks, grouped by the pools that suit them best.
 #[derive(Default)]
 struct WaitingTasks {
+    /// Number of waiting tasks that suit each pool.
     by_pool: BTreeMap<Pool, f64>,
     overdue: Vec<OverdueTasks>,
+    /// Number of all waiting tasks, including those that suit no available pool.
     total: u32,
 }
 
 impl WaitingTasks {
-    fn new(market: &Market<'_>, unplaced: &[Unplaced]) -> Self {
+    fn new(options: &ProvisioningOptions<'_>, unplaced: &[Unplaced]) -> Self {
         let mut waiting = Self::default();
-        for item in unplaced {
-            if market.cache.jobs.contains_key(&item.job) {
-                waiting.add(market, item);
+        for unplaced_tasks in unplaced {
+            if options.cache.jobs.contains_key(&unplaced_tasks.job) {
+                waiting.add(options, unplaced_tasks);
             }
         }
         waiting
     }
 
-    fn add(&mut self, market: &Market<'_>, item: &Unplaced) {
-        self.total += item.tasks;
-        let mut unsuited = item.tasks;
-        for Suited { pool, tasks } in market.suited_waiting(item) {
-            unsuited -= tasks;
+    fn add(&mut self, options: &ProvisioningOptions<'_>, unplaced: &Unplaced) {
+        self.total += unplaced.tasks;
+        let mut tasks_without_pool = unplaced.tasks;
+        for Suited { pool, tasks } in options.suitable_pools_for_waiting(unplaced) {
+            tasks_without_pool -= tasks;
             *self.by_pool.entry(pool.clone()).or_default() += f64::from(tasks);
-            if item.overdue {
+            if unplaced.overdue {
                 self.overdue.push(OverdueTasks {
                     pool: Some(pool),
                     tasks,
                 });
             }
         }
-        if item.overdue && unsuited > 0 {
+        if unplaced.overdue && tasks_without_pool > 0 {
             self.overdue.push(OverdueTasks {
                 pool: None,
-                tasks: unsuited,
+                tasks: tasks_without_pool,
             });
         }
     }
 }
 
 impl Leader {
-    /// Evaluates the band. Returns what is to be provisioned; if that is nothing, machines
-    /// may be chosen to drain.
+    /// Evaluates the band. Returns the machines to provision. If there are none, machines may be
+    /// chosen to drain.
     pub(super) fn evaluate_band(
         &self,
-        market: &Market<'_>,
+        options: &ProvisioningOptions<'_>,
         fleet: &mut FleetState,
         miss_rate: &MissRateWindow,
         need: &MachineNeed<'_>,
         machines: Vec<UsedMachine>,
     ) -> Vec<WantedMachines> {
         let tuning = &self.context.config.tuning;
-        let waiting = WaitingTasks::new(market, need.unplaced);
+        let waiting = WaitingTasks::new(options, need.unplaced);
         let misses = miss_rate.misses(&waiting.overdue);
         let pools = pools_in_demand(&waiting, &misses);
         let loads: Vec<band::TypeLoad> = pools
             .iter()
-            .map(|pool| type_load(market.cache, pool, &waiting, &misses, need, &machines))
+            .map(|pool| type_load(options.cache, pool, &waiting, &misses, need, &machines))
             .collect();
         let arrivals = miss_rate.arrival_rate(tuning.window);
         let counts = band::scale_out(misses.rate, arrivals, &loads, &band_thresholds(tuning));
@@ -94,11 +96,11 @@
             utilisation = mean_utilisation(&machines),
             draining = fleet.draining_machines.count(),
             requested = total,
-            "band"
+            "miss-rate band evaluated"
         );
         if total == 0 {
             let round = DrainRound {
-                cache: market.cache,
+                cache: options.cache,
                 miss_rate: misses.rate,
                 tasks_waiting: waiting.total as usize,
             };
@@ -122,14 +124,14 @@
     }
 }
 
-/// Pools that suit waiting tasks, or tasks that missed their target.
+/// Returns the pools that suit waiting tasks or tasks that recently missed their target.
 fn pools_in_demand(waiting: &WaitingTasks, misses: &MissRate) -> Vec<Pool> {
     let mut pools: BTreeSet<Pool> = waiting.by_pool.keys().cloned().collect();
     pools.extend(misses.shares.keys().cloned());
     pools.into_iter().collect()
 }
 
-/// What a pool looks like in this round.
+/// Returns the inputs of the band policy for one pool.
 fn type_load(
     cache: &StateCache,
     pool: &Pool,
@@ -159,7 +161,7 @@
     }
 }
 
-/// The mean over all machines, weighted by their power.
+/// Returns the mean utilisation of all machines, weighted by their power.
 fn mean_utilisation(machines: &[UsedMachine]) -> f64 {
     let machines = || machines.iter().map(|machine| &machine.utilisation);
     let used: f64 = machines().map(|used| used.utilisation * used.power).sum();
--- a/src/coordination/leader/fleet/mod.rs
+++ b/src/coordination/leader/fleet/mod.rs
@@ -1,9 +1,8 @@
-//! Scaling out, repairing and scaling in machines: the policy's rounds, and the
-//! calls to the cloud that follow from them.
+//! The leader's fleet manager: provisions, drains, repairs and releases machines.
 //!
-//! One loop decides under the state's lock what to provision, drain, release and move, and
-//! commits it; calls to the cloud and probes run in tasks of their own. All calls to the
-//! cloud share one rate limit.
+//! One loop decides which machines to provision, drain, release or move while it holds the
+//! lock on the leader's state, and commits the decisions. Most calls to the cloud and all probes
+//! of machines run in separate asynchronous tasks. All calls to the cloud share one rate limiter.
 
 mod agent_addresses;
 mod autoscaler;
@@ -14,10 +13,10 @@
 mod failure_detector;
 mod inventory;
 mod machine_inspection;
-mod market;
 mod miss_rate_band;
 mod probes;
 mod provisioning;
+mod provisioning_options;
 mod release;
 mod state;
 
@@ -35,18 +34,20 @@
     storage::rate_limiter::RateLimiter,
 };
 
-/// Between two passes of the fleet manager.
+/// Time between two passes of the fleet manager.
 const PASS_INTERVAL: Duration = Duration::from_millis(400);
-/// The part of the cloud's rate limit that the leader's calls may use.
+/// Fraction of the cloud's rate limit that the leader's calls may use.
 const CLOUD_RATE_FRACTION: f64 = 0.8;
-/// The least number of calls to the cloud per second.
-const MIN_CLOUD_RATE: f64 = 0.5;
+/// Lower bound on the leader's rate of calls to the cloud, in calls per second.
+const MIN_CLOUD_CALLS_PER_SECOND: f64 = 0.5;
 
 impl Leader {
-    /// Duty: the leader's slower loop.
+    /// Runs a pass of the fleet manager every [`PASS_INTERVAL`]. A pass is skipped unless this
+    /// process is the leader, its state cache is loaded, the state service is reachable and
+    /// the outcome of every commit is known.
     pub(in crate::coordination) async fn run_fleet_manager(self: &Arc<Self>) {
-        let budget = Arc::new(RateLimiter::new(
-            (self.context.config.cloud_rps * CLOUD_RATE_FRACTION).max(MIN_CLOUD_RATE),
+        let cloud_rate_limiter = Arc::new(RateLimiter::new(
+            (self.context.config.cloud_rps * CLOUD_RATE_FRACTION).max(MIN_CLOUD_CALLS_PER_SECOND),
         ));
         while self.context.pause(PASS_INTERVAL).await {
             if !self.context.store.is_loaded()
@@ -56,19 +57,19 @@
             {
                 continue;
             }
-            self.poll_catalog(&budget).await;
+            self.poll_catalog(&cloud_rate_limiter).await;
             self.evaluate_fleet().await;
-            self.send_provision_requests(&budget);
+            self.send_provision_requests(&cloud_rate_limiter);
             self.evict_quarantined().await;
             self.move_replicas().await;
-            self.send_releases(&budget);
+            self.send_releases(&cloud_rate_limiter);
             self.write_addresses().await;
-            self.poll_inventory(&budget);
+            self.poll_inventory(&cloud_rate_limiter);
         }
     }
 
-    /// Decides what to provision, drain, release and move, and writes the provision requests
-    /// down.
+    /// Decides which machines to provision, drain, release and move, starts the probes of
+    /// unresponsive machines, and records the provision requests.
     async fn evaluate_fleet(self: &Arc<Self>) {
         let (provision_plans, verifications) = {
             let cache = self.context.store.cache();
--- a/src/coordination/leader/fleet/probes.rs
+++ b/src/coordination/leader/fleet/probes.rs
@@ -1,8 +1,10 @@
-//! Probes of machines: by all controllers, of one that seems to be terminated, and by a
-//! controller that hears a machine while its owner does not.
+//! Probes of machines that have lost contact with their owner.
 //!
-//! Probes run in tasks of their own, without the state's lock; their results are noted in
-//! [`FleetState`] and judged in the failure detector's next pass.
+//! A machine that seems to be terminated is probed by all controllers (a verification). A machine
+//! whose heartbeats reach another controller but not its owner is probed by that controller (an
+//! indirect probe). Probes run in separate asynchronous tasks, without holding the lock on the
+//! leader's state. A verification acts on its result itself. The results of indirect probes are
+//! stored in [`FleetState`] and evaluated in the failure detector's next pass.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,13 +20,15 @@
     storage::{ControllerName, MachineId},
 };
 
-/// An unresponsive machine that another controller reaches is left alone this long.
-const VERIFIED_TTL: Duration = Duration::from_secs(3);
+/// Time for which no further verification of a machine is started after one has begun, or has
+/// found that the machine need not be released.
+const VERIFICATION_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Between two indirect probes of the same machine, and how many begin in one pass.
+/// Time between two indirect probes of the same machine.
 const INDIRECT_PROBE_INTERVAL: Duration = Duration::from_secs(2);
+/// Maximum number of indirect probes that one pass starts.
 const MAX_INDIRECT_PROBES_PER_PASS: usize = 64;
-/// Probes are forgotten after this time without another.
+/// The results of a machine's indirect probes are discarded this long after the last of them.
 const INDIRECT_PROBE_TTL: Duration = Duration::from_secs(12);
 
 /// A machine that seems to be terminated, to be probed by every controller.
@@ -33,43 +37,45 @@
     pub(super) machine: MachineId,
     /// Where its agent listens.
     pub(super) address: String,
-    /// Addresses of machines of its zone, which tell a hang from a network partition.
+    /// Addresses of the agents of other machines in its zone, probed to distinguish a hang from
+    /// a network partition.
     pub(super) neighbours: Vec<String>,
 }
 
-/// A machine that another controller hears while its owner does not.
+/// A machine whose heartbeats reach another controller but not its owner.
 pub(super) struct IndirectProbeTarget {
     /// The machine.
     pub(super) machine: MachineId,
     /// Where its agent listens.
     pub(super) address: String,
-    /// The controller that hears it.
+    /// The controller that receives its heartbeats, and is to probe it.
     pub(super) controller: ControllerName,
 }
 
-/// Probes of a machine by controllers that hear it, while its owner does not.
+/// State of the indirect probes of one machine.
 #[derive(Clone, Debug)]
 pub(super) struct IndirectProbe {
-    /// Who reached it.
+    /// The controller that last reached it; `None` if no probe has succeeded.
     pub(super) reached_by: Option<ControllerName>,
-    /// When the first of these probes began.
-    pub(super) since: Instant,
-    /// When the last of these probes began.
+    /// When the first of these probes became due.
+    pub(super) first_due: Instant,
+    /// When the last of these probes was sent.
     last_sent: Instant,
 }
 
 impl FleetState {
-    /// Notes that all controllers probe a machine, or have lately found it up.
-    pub(super) fn begin_verification(&mut self, machine: &MachineId, now: Instant) {
-        self.verifying.insert(machine.clone(), now + VERIFIED_TTL);
+    /// Prevents a further verification of the machine for [`VERIFICATION_INTERVAL`].
+    pub(super) fn suspend_verification(&mut self, machine: &MachineId, now: Instant) {
+        self.verifying_until
+            .insert(machine.clone(), now + VERIFICATION_INTERVAL);
     }
 }
 
 impl Leader {
-    /// Every controller probes a machine that is unresponsive to its owner: only
-    /// one that nobody reaches is released. If most of its neighbours do not
-    /// answer either, that is a network partition which the others have not shown yet, since
-    /// heartbeats come at different times.
+    /// Probes an unresponsive machine from every controller, and schedules its release if none
+    /// reaches it. It is not released if most of its neighbours do not answer either: this
+    /// indicates a network partition that the neighbours' heartbeats do not show yet, since
+    /// agents send them at different times.
     pub(super) async fn verify_unresponsive(&self, verification: Verification) {
         let Verification {
             machine,
@@ -100,19 +106,20 @@
         let mut state = lock(&self.state);
         if own_probe.is_ok() || reached_by_peer.contains(&true) || is_partition {
             tracing::debug!(%machine, is_partition, "unresponsive to its owner, but not terminated");
-            state.fleet.begin_verification(&machine, now);
+            state.fleet.suspend_verification(&machine, now);
             return;
         }
-        state.fleet.verifying.remove(&machine);
+        state.fleet.verifying_until.remove(&machine);
         let reason = ReleaseReason::Unresponsive;
         tracing::info!(%machine, ?reason, "release scheduled");
-        // In place of any other reason: it need not be emptied first.
+        // Replaces a release that is pending for another reason: this one does not wait until
+        // the machine is empty.
         state
             .releasing
             .insert(machine, PendingRelease::new(reason, now));
     }
 
-    /// Whether a peer reaches the agent at this address; an unanswered request is a no.
+    /// Returns whether a peer reaches the agent at this address; false if the peer does not answer.
     async fn probe_through_peer(&self, peer: &ControllerName, address: String) -> bool {
         matches!(
             self.context
@@ -123,9 +130,10 @@
         )
     }
 
-    /// Asks controllers that hear a machine, which its owner does not, whether
-    /// they reach it too. Its heartbeats may arrive while nothing reaches it: moved to
-    /// whom it sends heartbeats, it would go round all controllers and answer to none.
+    /// Asks the controllers that receive a machine's heartbeats in place of its owner to probe
+    /// it. Heartbeats may arrive from a machine that no controller can reach. Without the probe,
+    /// such a machine would be moved to whichever controller receives its heartbeats, and so be
+    /// passed among all controllers without being able to receive commands from any of them.
     pub(super) fn probe_indirectly(
         self: &Arc<Self>,
         state: &mut LeaderState,
@@ -140,7 +148,7 @@
                 .entry(target.machine.clone())
                 .or_insert(IndirectProbe {
                     reached_by: None,
-                    since: now,
+                    first_due: now,
                     last_sent: now - INDIRECT_PROBE_INTERVAL,
                 });
             if now.duration_since(probe.last_sent) < INDIRECT_PROBE_INTERVAL
--- a/src/coordination/leader/fleet/provisioning.rs
+++ b/src/coordination/leader/fleet/provisioning.rs
@@ -1,14 +1,14 @@
-//! Writes down provision requests, sends them and writes down what came of them.
+//! Records provision requests, sends them to the cloud and records the results.
 //!
-//! A request is written before it is sent, under a name that is never used again. It is sent
-//! under that name until it is answered, which the cloud answers with the same machines each
-//! time; so a request outlives the leader that wrote it.
+//! A request is recorded before it is sent, under a name that is never used again, and is sent
+//! under that name until the cloud answers it. The cloud returns the same machines each time that
+//! it receives the same name, so a later leader can finish the requests of an earlier one.
 
 use std::sync::Arc;
 
 use tokio::time::Instant;
 
-use super::market::{CapacityRefusal, ProvisionTarget};
+use super::provisioning_options::{CapacityRefusal, ProvisionTarget};
 use crate::{
     coordination::{
         clients::{CloudError, ProvisionRequest},
@@ -22,35 +22,35 @@
     },
 };
 
-/// Provision calls under way at a time; the cloud's limit paces them.
-const MAX_PROVISION_CALLS: usize = 12;
-/// Provision requests written in one commit.
-const PROVISION_REQUESTS_PER_COMMIT: usize = 8;
+/// Maximum number of provision requests that one pass starts to send; the rate limiter of the
+/// cloud delays them further.
+const MAX_PROVISION_CALLS_PER_PASS: usize = 12;
+/// Maximum number of provision requests written in one commit.
+const MAX_PROVISION_REQUESTS_PER_COMMIT: usize = 8;
 /// Prefix of the names of provision requests.
 const PROVISION_ID_PREFIX: &str = "r";
-/// Pause before a request that failed is sent again, in milliseconds.
-const MIN_RETRY_PAUSE_MS: u64 = 1500;
-const MAX_RETRY_PAUSE_MS: u64 = 3000;
+/// Bounds of the random delay before a failed request is sent again, in milliseconds.
+const MIN_RETRY_DELAY_MS: u64 = 1500;
+const MAX_RETRY_DELAY_MS: u64 = 3000;
 
-/// A provision request that is written down, with its name.
+/// A recorded provision request with its name.
 struct NamedRequest {
     name: ProvisionId,
     record: ProvisionRecord,
 }
 
 impl Leader {
-    /// Writes requests down before they are sent, several in one commit. Stops at the first
-    /// commit that fails.
+    /// Records provision requests, several in one commit. Stops at the first commit that fails.
     pub(super) async fn record_provision_requests(&self, plans: &[ProvisionPlan]) {
         let max_requests = self
             .context
             .config
             .state
             .txn_ops
-            .min(PROVISION_REQUESTS_PER_COMMIT);
-        for part in plans.chunks(max_requests) {
+            .min(MAX_PROVISION_REQUESTS_PER_COMMIT);
+        for batch in plans.chunks(max_requests) {
             let mut transaction = Transaction::default();
-            for plan in part {
+            for plan in batch {
                 let name = lock(&self.state)
                     .fleet
                     .next_provision_id(PROVISION_ID_PREFIX, self.context.config.incarnation);
@@ -75,47 +75,54 @@
         }
     }
 
-    /// Sends the provision requests that are written down, each under its own name until it
-    /// is answered; also those that an earlier leader left.
-    pub(super) fn send_provision_requests(self: &Arc<Self>, budget: &Arc<RateLimiter>) {
+    /// Sends the recorded provision requests that are due, including those of earlier leaders.
+    /// Each is sent under its own name until it is answered.
+    pub(super) fn send_provision_requests(self: &Arc<Self>, cloud_rate_limiter: &Arc<RateLimiter>) {
         for request in self.take_due_requests() {
             let leader = self.clone();
-            let budget = budget.clone();
+            let cloud_rate_limiter = cloud_rate_limiter.clone();
             tokio::spawn(async move {
-                budget.acquire(1.0, RequestPriority::Fencing).await;
+                cloud_rate_limiter
+                    .acquire(1.0, RequestPriority::Fencing)
+                    .await;
                 leader.provision(&request).await;
-                lock(&leader.state).fleet.in_flight.remove(&request.name);
+                lock(&leader.state)
+                    .fleet
+                    .requests_in_flight
+                    .remove(&request.name);
             });
         }
     }
 
+    /// Returns the requests that are due to be sent, and marks them as in flight.
     fn take_due_requests(&self) -> Vec<NamedRequest> {
         let cache = self.context.store.cache();
         let mut state = lock(&self.state);
         let now = Instant::now();
         let fleet = &mut state.fleet;
         fleet
-            .next_try
+            .next_attempt_at
             .retain(|name, _| cache.provision_requests.contains_key(name));
         let is_due = |name: &ProvisionId| {
-            !fleet.in_flight.contains(name) && fleet.next_try.get(name).is_none_or(|at| *at <= now)
+            !fleet.requests_in_flight.contains(name)
+                && fleet.next_attempt_at.get(name).is_none_or(|at| *at <= now)
         };
         let due: Vec<NamedRequest> = cache
             .provision_requests
             .iter()
             .filter(|(name, _)| is_due(name))
-            .take(MAX_PROVISION_CALLS)
+            .take(MAX_PROVISION_CALLS_PER_PASS)
             .map(|(name, entry)| NamedRequest {
                 name: name.clone(),
                 record: entry.value.clone(),
             })
             .collect();
         let names = due.iter().map(|request| request.name.clone());
-        fleet.in_flight.extend(names);
+        fleet.requests_in_flight.extend(names);
         due
     }
 
-    /// Sends one request to the cloud, and writes down its answer.
+    /// Sends one request to the cloud and records its answer, or schedules a retry.
     async fn provision(&self, request: &NamedRequest) {
         let NamedRequest { name, record } = request;
         let wanted = ProvisionRequest {
@@ -137,21 +144,22 @@
             Err(CloudError::NoCapacity) => {
                 tracing::info!(%name, kind = %record.kind, zone = %record.zone,
                     spot = record.spot, "no capacity");
-                self.note_refusal(record, record.count);
+                self.record_refusal(record, record.count);
                 self.finish_request(name, revision, None).await;
             }
             Err(error) => {
                 tracing::info!(%name, %error, "provision request to be retried");
-                let pause = jitter::millis(MIN_RETRY_PAUSE_MS, MAX_RETRY_PAUSE_MS);
+                let delay = jitter::millis(MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS);
                 lock(&self.state)
                     .fleet
-                    .next_try
-                    .insert(name.clone(), Instant::now() + pause);
+                    .next_attempt_at
+                    .insert(name.clone(), Instant::now() + delay);
             }
         }
     }
 
-    /// The cloud has provisioned machines, perhaps fewer than were asked for.
+    /// Records the machines that the cloud provisioned for a request, possibly fewer than it asked
+    /// for.
     async fn record_provisioned(
         &self,
         request: &NamedRequest,
@@ -162,10 +170,10 @@
         tracing::info!(%name, kind = %record.kind, zone = %record.zone,
             spot = record.spot, asked = record.count, got = machines.len(), "machines provisioned");
         if machines.len() < record.count as usize {
-            self.note_refusal(record, record.count - machines.len() as u32);
+            self.record_refusal(record, record.count - machines.len() as u32);
         } else {
             let target = ProvisionTarget::from(record);
-            lock(&self.state).fleet.refused.remove(&target);
+            lock(&self.state).fleet.refused_targets.remove(&target);
         }
         let group = (!machines.is_empty()).then(|| MachineGroupRecord {
             kind: record.kind.clone(),
@@ -174,24 +182,25 @@
             provisioned_ms: record.at_ms,
             machines: machines.into_iter().map(|id| (id, None)).collect(),
         });
-        // Unanswered, the request is repeated under its name, which the
-        // cloud answers with the same machines.
+        // If this commit fails, the request is sent again under its name, and the cloud answers
+        // with the same machines.
         self.finish_request(name, revision, group).await;
     }
 
-    /// The cloud lacks so many machines of those that a request asked for.
-    fn note_refusal(&self, record: &ProvisionRecord, missing: u32) {
+    /// Records that the cloud refused `missing` of the machines that a request asked for.
+    fn record_refusal(&self, record: &ProvisionRecord, missing: u32) {
         let target = ProvisionTarget::from(record);
         let mut state = lock(&self.state);
         let fleet = &mut state.fleet;
-        let refusal = CapacityRefusal::after(fleet.refused.get(&target), Instant::now());
-        fleet.refused.insert(target, refusal);
-        fleet.unfilled = fleet.unfilled.max(missing);
-        // The next best place is asked at once.
-        fleet.last_remedial = None;
+        let refusal = CapacityRefusal::after(fleet.refused_targets.get(&target), Instant::now());
+        fleet.refused_targets.insert(target, refusal);
+        fleet.unfilled_machines = fleet.unfilled_machines.max(missing);
+        // Makes the remedial rule due at once, so that it requests the machines from the next best
+        // target.
+        fleet.last_remedial_evaluation = None;
     }
 
-    /// Removes an answered request, and records the machines that came of it.
+    /// Removes an answered request and records the resulting machines, if any.
     async fn finish_request(
         &self,
         name: &ProvisionId,
@@ -207,7 +216,7 @@
                 .require(key.clone(), Revision(0))
                 .set(key, &group);
         }
-        // A commit that fails leaves the request as it was, to be sent again.
+        // Ignoring a failure is safe: the request is still recorded, and is sent again.
         let _ = self
             .commit_as_leader(transaction, RequestPriority::Placement)
             .await;
--- a/src/coordination/leader/fleet/market/capacity_refusal.rs
+++ b/src/coordination/leader/fleet/provisioning_options/capacity_refusal.rs
@@ -1,4 +1,4 @@
-//! Capacity that the cloud has refused, and when it may be asked for again.
+//! Capacity that the cloud has refused, and when it may be requested again.
 
 use std::time::Duration;
 
@@ -9,12 +9,14 @@
     storage::{TypeName, ZoneName, records::ProvisionRecord},
 };
 
-const REFUSAL_PAUSE: Duration = Duration::from_secs(10);
-const MAX_REFUSAL_PAUSE: Duration = Duration::from_secs(40);
-/// Refusals in a row after which the pause is not doubled any more.
+/// Backoff after the first refusal; doubled for each further refusal in a row.
+const INITIAL_REFUSAL_BACKOFF: Duration = Duration::from_secs(10);
+/// Upper bound on the backoff.
+const MAX_REFUSAL_BACKOFF: Duration = Duration::from_secs(40);
+/// Number of refusals in a row after which the backoff is no longer doubled.
 const MAX_REFUSAL_STREAK: u32 = 3;
 
-/// Where and what kind of machine.
+/// A machine type, spot or ordinary, in one zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProvisionTarget {
     /// The cloud's machine type.
@@ -26,7 +28,7 @@
 }
 
 impl ProvisionTarget {
-    /// A pool's machines in this zone.
+    /// Returns the target for a pool's machines in this zone.
     pub(super) fn of_pool(pool: &Pool, zone: &ZoneName) -> Self {
         Self {
             kind: pool.kind.clone(),
@@ -46,33 +48,33 @@
     }
 }
 
-/// Capacity that was refused is not asked for again for a while, which doubles
-/// with each refusal in a row.
+/// A refusal of capacity by the cloud. The capacity is not requested again until the backoff,
+/// which doubles with each refusal in a row, has expired.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityRefusal {
     until: Instant,
-    /// Refusals in a row before this one.
+    /// Number of refusals in a row before this one, up to [`MAX_REFUSAL_STREAK`].
     streak: u32,
 }
 
 impl CapacityRefusal {
-    /// A refusal that follows on the known one, if any.
+    /// Creates a refusal at `now` that follows `previous`, if there is one.
     pub(in crate::coordination::leader::fleet) fn after(
-        known: Option<&CapacityRefusal>,
+        previous: Option<&CapacityRefusal>,
         now: Instant,
     ) -> Self {
-        let streak = known
-            .map_or(0, |known| known.streak + 1)
+        let streak = previous
+            .map_or(0, |previous| previous.streak + 1)
             .min(MAX_REFUSAL_STREAK);
-        let pause = REFUSAL_PAUSE * (1 << streak);
+        let backoff = INITIAL_REFUSAL_BACKOFF * (1 << streak);
         CapacityRefusal {
-            until: now + pause.min(MAX_REFUSAL_PAUSE),
+            until: now + backoff.min(MAX_REFUSAL_BACKOFF),
             streak,
         }
     }
 
-    /// Whether the capacity may be asked for again.
-    pub(super) fn is_over(&self, now: Instant) -> bool {
+    /// Returns whether the backoff has expired, so that the capacity may be requested again.
+    pub(super) fn has_expired(&self, now: Instant) -> bool {
         self.until <= now
     }
 }
--- a/src/coordination/leader/fleet/market/machines.rs
+++ b/src/coordination/leader/fleet/provisioning_options/machines.rs
@@ -1,4 +1,4 @@
-//! The machines of the fleet as the policy sees them: booting, requested, and in use.
+//! Lists the machines that are inputs to the scaling policy: booting, requested and in use.
 
 use std::time::Duration;
 
@@ -7,21 +7,23 @@
     storage::{MachineId, MachineType, StateCache, ZoneName},
 };
 
-/// Boots usually take up to one and a half times what the catalog says.
+/// A booting machine is expected to come up for this many times its type's boot time. Boots usually
+/// take up to one and a half times the boot time in the catalog.
 const MAX_BOOT_FACTOR: f64 = 1.6;
-/// The least number of CPUs by which a machine's use is divided.
+/// Lower bound on a machine's number of CPUs, to avoid a division by zero.
 const MIN_CPUS: f64 = 0.001;
 
 /// A machine that is up.
 #[derive(Clone, Debug)]
 pub(in crate::coordination::leader::fleet) struct UsedMachine {
-    /// The machine with its utilisation.
+    /// The machine and its utilisation.
     pub(in crate::coordination::leader::fleet) utilisation: scale_in::MachineUtilisation<MachineId>,
-    /// Whether a replica of a service is on it.
+    /// Whether a service replica is on it.
     pub(in crate::coordination::leader::fleet) runs_service: bool,
 }
 
-/// A machine that nothing is on, and whose name is not known yet.
+/// Returns a placement candidate for a machine without tasks, whose name is not known or not
+/// needed.
 fn empty_candidate(
     machine_type: &MachineType,
     zone: &ZoneName,
@@ -30,9 +32,9 @@
     placement::CandidateMachine::empty(MachineId::new(""), machine_type, zone, spot)
 }
 
-/// Provisioned machines whose agents have not been heard of yet. One that takes far
-/// longer than usual is no longer counted on: a few take several times as long,
-/// or never come up, and what waits for them would wait as long.
+/// Returns the provisioned machines whose agents have not sent a heartbeat yet. Machines that take
+/// far longer than usual are left out: a few take several times as long or never come up, and
+/// tasks that count on them would wait as long.
 pub(in crate::coordination::leader::fleet) fn booting_candidates(
     cache: &StateCache,
     now_ms: u64,
@@ -51,7 +53,7 @@
         .collect()
 }
 
-/// Machines of provision requests that are on their way.
+/// Returns the machines of the provision requests that are not answered yet.
 pub(in crate::coordination::leader::fleet) fn requested_candidates(
     cache: &StateCache,
 ) -> Vec<placement::CandidateMachine> {
@@ -67,7 +69,8 @@
     candidates
 }
 
-/// Machines that are up, with their utilisation, and whether a service is on them.
+/// Returns the machines that are up, each with its utilisation and whether it runs a service
+/// replica.
 pub(in crate::coordination::leader::fleet) fn used_machines(
     cache: &StateCache,
     paid_periods: scale_in::PaidPeriods,
--- a/src/coordination/leader/fleet/market/mod.rs
+++ b/src/coordination/leader/fleet/provisioning_options/mod.rs
@@ -1,7 +1,7 @@
-//! What can be provisioned, where, and how much of it is needed.
+//! Determines which machines can be provisioned, in which zones, and how many are needed.
 //!
-//! A view of the replica and of what the cloud has lately refused, made anew for each
-//! evaluation of the autoscaler. It changes nothing.
+//! [`ProvisioningOptions`] is a read-only view of the state cache and of the cloud's recent
+//! refusals, created anew for each evaluation of the autoscaler.
 
 mod capacity_refusal;
 mod demand;
@@ -20,29 +20,29 @@
 };
 pub use self::{
     capacity_refusal::{CapacityRefusal, ProvisionTarget},
-    demand::Demand,
+    demand::JobDemand,
 };
 use crate::{
     coordination::{Tuning, leader::pool::Pool},
     storage::{MachineType, StateCache, ZoneName},
 };
 
-/// What scaling out looks at.
+/// The inputs to decisions about scaling out, at one point in time.
 #[derive(Debug)]
-pub struct Market<'a> {
-    /// The replica, with the catalog and the machines.
+pub struct ProvisioningOptions<'a> {
+    /// The state cache, with the catalog and the machines.
     pub cache: &'a StateCache,
-    refused: &'a BTreeMap<ProvisionTarget, CapacityRefusal>,
+    refused_targets: &'a BTreeMap<ProvisionTarget, CapacityRefusal>,
     now: Instant,
     /// The weight of cost against time (paper, section 5.2).
     suitability_k: f64,
-    /// The time of day, by which jobs age.
+    /// The wall-clock time, from which the age of jobs is calculated.
     wall: SystemTime,
-    /// The least time that a machine is paid for.
+    /// The minimum period for which a machine is paid.
     first_paid_period: Duration,
-    /// Machines in each zone, counted once: a probe at all of them for each waiting job
-    /// took most of a pass in fleets of thousands.
-    machines_in: BTreeMap<&'a ZoneName, usize>,
+    /// Number of machines in each zone, counted once: counting them for each waiting job took
+    /// most of a pass in fleets of thousands of machines.
+    machines_by_zone: BTreeMap<&'a ZoneName, usize>,
 }
 
 /// Machines of a pool to be provisioned in one zone.
@@ -54,45 +54,45 @@
     pub(super) count: u32,
 }
 
-impl<'a> Market<'a> {
-    /// The market as it is now.
+impl<'a> ProvisioningOptions<'a> {
+    /// Creates a view of the state at `now`, with the same moment as wall-clock time in `wall`.
     pub fn new(
         cache: &'a StateCache,
-        refused: &'a BTreeMap<ProvisionTarget, CapacityRefusal>,
+        refused_targets: &'a BTreeMap<ProvisionTarget, CapacityRefusal>,
         tuning: &Tuning,
         now: Instant,
         wall: SystemTime,
     ) -> Self {
-        let mut machines_in: BTreeMap<&ZoneName, usize> = BTreeMap::new();
+        let mut machines_by_zone: BTreeMap<&ZoneName, usize> = BTreeMap::new();
         for machine in cache.machines.values() {
-            *machines_in.entry(&machine.zone).or_default() += 1;
+            *machines_by_zone.entry(&machine.zone).or_default() += 1;
         }
         Self {
             cache,
-            refused,
+            refused_targets,
             now,
             suitability_k: tuning.suitability_k,
             wall,
             first_paid_period: tuning.paid.first,
-            machines_in,
+            machines_by_zone,
         }
     }
 
-    /// When the market was looked at.
+    /// Returns the time at which the view was created.
     pub(super) fn now(&self) -> Instant {
         self.now
     }
 
-    /// The time of day then.
+    /// Returns the wall-clock time at which the view was created.
     pub(super) fn wall(&self) -> SystemTime {
         self.wall
     }
 
-    fn machines_in(&self, zone: &ZoneName) -> usize {
-        self.machines_in.get(zone).copied().unwrap_or(0)
+    fn machine_count(&self, zone: &ZoneName) -> usize {
+        self.machines_by_zone.get(zone).copied().unwrap_or(0)
     }
 
-    /// All machine types of the catalog.
+    /// Returns all machine types of the catalog.
     fn machine_types(&self) -> impl Iterator<Item = &'a MachineType> {
         self.cache
             .catalog
@@ -100,16 +100,17 @@
             .flat_map(|entry| &entry.value.types)
     }
 
-    /// Whether the cloud has not refused it lately.
+    /// Returns whether the target may be requested, as the cloud has not recently refused it.
     fn is_available(&self, target: &ProvisionTarget) -> bool {
-        self.refused
+        self.refused_targets
             .get(target)
-            .is_none_or(|refusal| refusal.is_over(self.now))
+            .is_none_or(|refusal| refusal.has_expired(self.now))
     }
 
-    /// Spreads a provision request over the zones that have not refused, so that they come
-    /// to have equally many machines.
-    pub(super) fn split(&self, pool: &Pool, count: u32) -> Vec<ZoneShare> {
+    /// Divides machines to be provisioned among zones so that these end up with numbers of
+    /// machines as equal as possible. Zones in which the cloud has recently refused the pool's
+    /// machines get none. All machines go to the pool's own zone if it has one.
+    pub(super) fn split_by_zone(&self, pool: &Pool, count: u32) -> Vec<ZoneShare> {
         if let Some(zone) = &pool.zone {
             return vec![ZoneShare {
                 zone: zone.clone(),
@@ -131,7 +132,7 @@
         for _ in 0..count {
             let smallest = shares
                 .iter_mut()
-                .min_by_key(|share| self.machines_in(&share.zone) as u32 + share.count);
+                .min_by_key(|share| self.machine_count(&share.zone) as u32 + share.count);
             if let Some(smallest) = smallest {
                 smallest.count += 1;
             }
--- a/src/coordination/leader/fleet/market/suitability_search.rs
+++ b/src/coordination/leader/fleet/provisioning_options/suitability_search.rs
@@ -1,8 +1,8 @@
-//! Which pools suit the tasks of a job best (paper, section 5.2).
+//! Finds the pools that suit the tasks of a job best (paper, section 5.2).
 
 use std::time::Duration;
 
-use super::{Demand, Market, ProvisionTarget};
+use super::{JobDemand, ProvisionTarget, ProvisioningOptions};
 use crate::{
     coordination::{
         leader::pool::{Pool, Suited},
@@ -11,7 +11,7 @@
     storage::{JobSpec, MachineType, ZoneName},
 };
 
-/// The least rate at which images are taken to be fetched.
+/// Lower bound on the rate at which images are assumed to be fetched.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
 /// A machine type in one zone, spot or ordinary, on which tasks of a job may run.
@@ -20,46 +20,57 @@
     target: ProvisionTarget,
 }
 
-impl<'a> Market<'a> {
-    /// The pools that suit waiting tasks of a job best (paper, section 5.2). Those of a
-    /// job that is bound to zones go to several, as far as its constraint admits them.
-    pub fn suited(&self, mut demand: Demand, tasks: u32, only_available: bool) -> Vec<Suited> {
+impl<'a> ProvisioningOptions<'a> {
+    /// Returns the pools that suit waiting tasks of a job best (paper, section 5.2), with the
+    /// number of tasks for each. The tasks of a job that is bound to zones may be divided among
+    /// pools in several zones, as far as its zone constraint admits them. Considers only targets
+    /// that the cloud has not recently refused if `only_available` is set.
+    pub fn suitable_pools(
+        &self,
+        mut demand: JobDemand,
+        tasks: u32,
+        only_available: bool,
+    ) -> Vec<Suited> {
         let spec = demand.spec.clone();
         let by_zone = spec.is_zone_bound() || spec.zone.is_some();
-        let mut suited = Vec::new();
-        let mut left = tasks.max(1);
-        while left > 0 {
+        let mut suitable = Vec::new();
+        let mut remaining = tasks.max(1);
+        while remaining > 0 {
             let targets = self.possible_targets(&demand, only_available);
-            let Some(mut pool) = self.best_pool(&spec, left, targets, by_zone) else {
+            let Some(mut pool) = self.best_pool(&spec, remaining, targets, by_zone) else {
                 break;
             };
             let tasks = match pool.zone.as_ref().filter(|_| by_zone) {
                 Some(zone) => {
-                    let tasks = left.min(demand.constraint.room(zone));
+                    let tasks = remaining.min(demand.constraint.room(zone));
                     demand.constraint.add_tasks(zone, tasks);
                     tasks
                 }
                 None => {
                     pool.zone = None;
-                    left
+                    remaining
                 }
             };
-            left -= tasks;
-            suited.push(Suited { pool, tasks });
+            remaining -= tasks;
+            suitable.push(Suited { pool, tasks });
         }
-        suited
+        suitable
     }
 
-    /// Where machines for one more of the job's tasks may be, the zones with fewest
-    /// machines first.
-    fn possible_targets(&self, demand: &Demand, only_available: bool) -> Vec<PossibleTarget<'a>> {
+    /// Returns the targets that may run one more of the job's tasks, ordered by machine type and
+    /// then by the number of machines in the zone, fewest first.
+    fn possible_targets(
+        &self,
+        demand: &JobDemand,
+        only_available: bool,
+    ) -> Vec<PossibleTarget<'a>> {
         let spec = &demand.spec;
         let mut targets = Vec::new();
         let types = self
             .machine_types()
             .filter(|kind| spec.per_task.fits_in(&kind.size) && spec.allows_type(&kind.name));
         for kind in types {
-            for zone in self.zones_by_size(kind) {
+            for zone in self.zones_by_machine_count(kind) {
                 for spot in [true, false] {
                     let target = ProvisionTarget {
                         kind: kind.name.clone(),
@@ -75,15 +86,16 @@
         targets
     }
 
-    /// The zones of a machine type, those with fewest machines first.
-    fn zones_by_size(&self, kind: &'a MachineType) -> Vec<&'a ZoneName> {
+    /// Returns the zones of a machine type, those with the fewest machines first.
+    fn zones_by_machine_count(&self, kind: &'a MachineType) -> Vec<&'a ZoneName> {
         let mut zones: Vec<&ZoneName> = kind.zones.iter().collect();
-        zones.sort_by_key(|zone| self.machines_in(zone));
+        zones.sort_by_key(|zone| self.machine_count(zone));
         zones
     }
 
-    /// The most suitable of these targets for tasks of the job. Cost is what a task
-    /// would have to pay for: a machine that is half empty is paid for in full.
+    /// Returns the pool of the most suitable of these targets for tasks of the job. The cost of a
+    /// task includes the unused part of its machine, which is paid for as well. Unless `by_zone`
+    /// is set, only the first zone of each machine type is considered.
     fn best_pool(
         &self,
         spec: &JobSpec,
@@ -114,8 +126,8 @@
     }
 }
 
-impl Demand {
-    /// Whether one more of the job's tasks may run on such a machine.
+impl JobDemand {
+    /// Returns whether one more of the job's tasks may run on a machine of the target.
     fn admits(&self, target: &ProvisionTarget) -> bool {
         (!target.spot || self.spec.spot)
             && (target.spot || !self.spot_only)
@@ -124,7 +136,7 @@
     }
 }
 
-/// Time and cost of the tasks on new machines of this type.
+/// Returns the time and the cost per task of running the tasks on new machines of this type.
 fn candidate(spec: &JobSpec, tasks: u32, kind: &MachineType, spot: bool) -> suitability::Candidate {
     let tasks_per_machine = spec.per_task.count_in(&kind.size).max(1);
     let fetch_seconds = spec.image_gb / kind.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
--- a/src/coordination/leader/fleet/release.rs
+++ b/src/coordination/leader/fleet/release.rs
@@ -1,7 +1,7 @@
-//! Releases machines to the cloud, and writes down that they are terminated.
+//! Releases machines to the cloud and removes their records.
 //!
-//! The cloud's answer proves that a machine runs no more. Only then its record goes, after
-//! which its tasks count as lost.
+//! The cloud's answer proves that a machine no longer runs. Only then is its record removed, since
+//! the tasks on a machine without a record count as lost.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -16,25 +16,25 @@
     },
 };
 
-/// Names in one call of the cloud.
+/// Maximum number of machines in one release call to the cloud.
 const MAX_MACHINES_PER_RELEASE: usize = 100;
 
-/// Pause before a release that failed is sent again, in milliseconds.
-const MIN_RETRY_PAUSE_MS: u64 = 800;
-const MAX_RETRY_PAUSE_MS: u64 = 1600;
+/// Bounds of the random delay before a failed release is sent again, in milliseconds.
+const MIN_RETRY_DELAY_MS: u64 = 800;
+const MAX_RETRY_DELAY_MS: u64 = 1600;
 
-/// Why a machine goes back.
+/// Why a machine is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseReason {
-    /// Not needed: idle, and its paid period is nearly over.
+    /// It is not needed: it is idle, and its paid period is nearly over.
     ScaledIn,
-    /// Several jobs failed on it.
+    /// Several jobs have failed on it.
     Quarantined,
-    /// Neither sends heartbeats nor answers: releasing it proves its tasks terminated.
+    /// It neither sends heartbeats nor answers. Releasing it proves that its tasks are terminated.
     Unresponsive,
-    /// It does not come up.
+    /// Its agent has sent no heartbeat within the boot timeout.
     BootTimeout,
-    /// The cloud says that it has stopped.
+    /// The cloud lists it as failed.
     Failed,
     /// Its heartbeats arrive, but no command reaches it.
     CommandPathLost,
@@ -45,12 +45,12 @@
 pub struct PendingRelease {
     reason: ReleaseReason,
     since: Instant,
-    /// A call of the cloud for it is under way.
+    /// Whether a release call to the cloud for it is in progress.
     in_flight: bool,
 }
 
 impl PendingRelease {
-    /// A release that is to be sent to the cloud.
+    /// Creates a release that is yet to be sent to the cloud.
     pub fn new(reason: ReleaseReason, since: Instant) -> Self {
         Self {
             reason,
@@ -59,17 +59,17 @@
         }
     }
 
-    /// Why it is released.
+    /// Returns why the machine is released.
     pub fn reason(&self) -> ReleaseReason {
         self.reason
     }
 
-    /// When its release was decided.
+    /// Returns when the release was decided.
     pub fn since(&self) -> Instant {
         self.since
     }
 
-    /// Whether it is emptied before it goes.
+    /// Returns whether the machine is drained before it is released.
     pub fn drains_first(&self) -> bool {
         matches!(
             self.reason,
@@ -77,15 +77,16 @@
         )
     }
 
-    /// Whether it may be sent to the cloud now.
+    /// Returns whether the release may be sent to the cloud now.
     fn is_due(&self, cache: &StateCache, machine: &MachineId) -> bool {
-        !self.in_flight && (!self.drains_first() || is_empty_for_good(cache, machine))
+        !self.in_flight && (!self.drains_first() || is_cordoned_and_empty(cache, machine))
     }
 }
 
-/// Whether nothing is on a machine, nor can be placed on it: cordoned by a commit that the
-/// cache has passed.
-fn is_empty_for_good(cache: &StateCache, machine: &MachineId) -> bool {
+/// Returns whether no task is on a machine and none can be placed on it any more. The cache must
+/// have reached the revision of the commit that cordoned the machine, so that it also shows the
+/// placements that were written before.
+fn is_cordoned_and_empty(cache: &StateCache, machine: &MachineId) -> bool {
     let is_cordoned = cache.shard_of(machine).is_some_and(|(_, entry)| {
         entry.revision <= cache.revision
             && entry.value.machines.get(machine) == Some(&MachineUse::Cordoned)
@@ -94,20 +95,23 @@
 }
 
 impl Leader {
-    /// Sends the releases that are due in one call, without waiting for its answer.
-    pub(super) fn send_releases(self: &Arc<Self>, budget: &Arc<RateLimiter>) {
+    /// Sends the releases that are due to the cloud in one call, without waiting for its answer.
+    pub(super) fn send_releases(self: &Arc<Self>, cloud_rate_limiter: &Arc<RateLimiter>) {
         let due = self.take_due_releases();
         if due.is_empty() {
             return;
         }
         let leader = self.clone();
-        let budget = budget.clone();
+        let cloud_rate_limiter = cloud_rate_limiter.clone();
         tokio::spawn(async move {
-            budget.acquire(1.0, RequestPriority::Fencing).await;
+            cloud_rate_limiter
+                .acquire(1.0, RequestPriority::Fencing)
+                .await;
             leader.release(due).await;
         });
     }
 
+    /// Returns the machines whose release is due, and marks these releases as in flight.
     fn take_due_releases(&self) -> Vec<MachineId> {
         let cache = self.context.store.cache();
         let mut state = lock(&self.state);
@@ -126,13 +130,15 @@
         due
     }
 
+    /// Releases machines to the cloud and removes their records. If the cloud's call fails, waits
+    /// for the retry delay before the releases become due again.
     async fn release(&self, machines: Vec<MachineId>) {
         match self.context.cloud.release(&machines).await {
             Ok(()) => self.record_terminated(&machines).await,
             Err(error) => {
                 tracing::info!(%error, machines = machines.len(), "release to be retried");
-                let pause = jitter::millis(MIN_RETRY_PAUSE_MS, MAX_RETRY_PAUSE_MS);
-                self.context.pause(pause).await;
+                let delay = jitter::millis(MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS);
+                self.context.pause(delay).await;
             }
         }
         let mut state = lock(&self.state);
@@ -143,19 +149,20 @@
         }
     }
 
-    /// The cloud has confirmed the release: the machines and all on them are terminated.
+    /// Removes the records of machines whose release the cloud has confirmed: they and all
+    /// tasks on them are terminated.
     async fn record_terminated(&self, machines: &[MachineId]) {
         let max_groups = (self.context.config.state.txn_ops / 2).max(1);
         let transactions = {
             let cache = self.context.store.cache();
-            removals(&cache, machines, max_groups)
+            removal_transactions(&cache, machines, max_groups)
         };
         {
             let mut state = lock(&self.state);
             let now = Instant::now();
             state
                 .fleet
-                .released
+                .released_at
                 .extend(machines.iter().map(|id| (id.clone(), now)));
         }
         for transaction in transactions {
@@ -163,8 +170,8 @@
                 .commit_as_leader(transaction, RequestPriority::Placement)
                 .await;
             if committed.is_err() {
-                // They are released again, which changes nothing, until the
-                // records say so.
+                // The machines whose records remain are released again, which has no further
+                // effect at the cloud, until their records are removed.
                 self.context.store.read_barrier().await;
             }
         }
@@ -173,8 +180,13 @@
     }
 }
 
-/// Transactions that take machines out of their groups, each of at most so many groups.
-fn removals(cache: &StateCache, machines: &[MachineId], max_groups: usize) -> Vec<Transaction> {
+/// Returns transactions that remove machines from the records of their groups. Each changes at most
+/// `max_groups` groups.
+fn removal_transactions(
+    cache: &StateCache,
+    machines: &[MachineId],
+    max_groups: usize,
+) -> Vec<Transaction> {
     let mut groups: BTreeMap<&ProvisionId, MachineGroupRecord> = BTreeMap::new();
     for id in machines {
         if let Some(record) = cache.machines.get(id)
@@ -190,8 +202,9 @@
     let groups: Vec<(&ProvisionId, MachineGroupRecord)> = groups.into_iter().collect();
     groups
         .chunks(max_groups)
-        .map(|part| {
-            part.iter()
+        .map(|batch| {
+            batch
+                .iter()
                 .fold(Transaction::default(), |transaction, (name, group)| {
                     write_group(transaction, cache, name, group)
                 })
@@ -199,8 +212,8 @@
         .collect()
 }
 
-/// Adds the change of a machine group's record, on condition that it is still that of the
-/// cache. A group without machines goes.
+/// Adds a write of a machine group's record to the transaction, on condition that the record is
+/// still at the cache's revision. The record of a group without machines is removed.
 pub(super) fn write_group(
     transaction: Transaction,
     cache: &StateCache,
--- a/src/coordination/leader/shard_leasing.rs
+++ b/src/coordination/leader/shard_leasing.rs
@@ -92,7 +92,7 @@
     fn shard_plan_inputs(&self, cache: &StateCache, controllers_transfer: bool) -> ShardPlanInputs {
         let mut state = lock(&self.state);
         forget_finished_moves(cache, &mut state);
-        state.fleet.draining_machines.observe(cache);
+        state.fleet.draining_machines.refresh(cache);
         ShardPlanInputs {
             moving: state
                 .moving
@@ -100,7 +100,7 @@
                 .map(|(id, shard_move)| (*id, shard_move.to.clone()))
                 .collect(),
             releasing: state.machines_to_empty(),
-            draining_machines: state.fleet.draining_machines.names(),
+            draining_machines: state.fleet.draining_machines.machine_ids(),
             owner_unreachable: state.owner_unreachable.clone(),
             avoided_owners: state.fleet.avoided_owners.keys().cloned().collect(),
             deficit: std::mem::take(&mut state.deficit),
