--- a/src/coordination/leader/fleet/autoscaler.rs
+++ b/src/coordination/leader/fleet/autoscaler.rs
@@ -94,7 +94,7 @@
         let mut wanted: Vec<WantedMachines> = Vec::new();
         if is_round_due {
             fleet.last_band_evaluation = Some(now);
-            let machines = used_machines(cache, tuning.paid, now_ms, |id| up.contains(id));
+            let machines = used_machines(cache, tuning.paid_periods, now_ms, |id| up.contains(id));
             wanted = self.evaluate_band(&options, fleet, miss_rate, &need, machines);
             tracing::info!(?routing_counts, "waiting tasks");
         } else if is_remedial_due {
--- a/src/coordination/leader/fleet/eviction.rs
+++ b/src/coordination/leader/fleet/eviction.rs
@@ -162,8 +162,8 @@
             if !self.may_move_replica(spec) {
                 return false;
             }
-            match placement::choose(spec, &candidates, NOMINAL_RATIO, |_| true) {
-                Some(index) => candidates[index].put(spec),
+            match placement::best_candidate(spec, &candidates, NOMINAL_RATIO, |_| true) {
+                Some(index) => candidates[index].place_task(spec),
                 None => return false,
             }
         }
--- a/src/coordination/leader/fleet/inventory.rs
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -73,7 +73,7 @@
         let mut state = lock(&self.state);
         // Polling more often gains little, since the list is behind by the lag anyway, and
         // each page takes time to read.
-        let interval = (self.context.config.list_lag / 2).max(MIN_POLL_INTERVAL);
+        let interval = (self.context.config.max_inventory_lag / 2).max(MIN_POLL_INTERVAL);
         let is_recent = state
             .fleet
             .last_inventory_poll
@@ -95,9 +95,13 @@
             let now = Instant::now();
             state
                 .fleet
-                .forget_released(self.context.config.machines_tracked, now);
+                .forget_released(self.context.config.max_tracked_machines, now);
             release_failed_machines(&cache, &mut state, &list, now);
-            let adopt_after = self.context.config.list_lag.mul_f64(ADOPTION_LAG_FACTOR);
+            let adopt_after = self
+                .context
+                .config
+                .max_inventory_lag
+                .mul_f64(ADOPTION_LAG_FACTOR);
             let mut unknown = track_unknown(&cache, &mut state.fleet, list, adopt_after, now);
             unknown.extend(unknown_with_heartbeat(&cache, &state));
             group_machines(unknown, self.context.config.now_ms())
--- a/src/coordination/leader/fleet/machine_inspection.rs
+++ b/src/coordination/leader/fleet/machine_inspection.rs
@@ -356,7 +356,7 @@
             .config
             .tuning
             .paid_periods
-            .left(self.age(machine.record));
+            .time_left(self.age(machine.record));
         self.state.fleet.draining_machines.contains(machine.id)
             && !self.cache.on_machine.contains_key(machine.id)
             && paid_left < SCALE_IN_MARGIN
--- a/src/coordination/leader/fleet/provisioning_options/demand.rs
+++ b/src/coordination/leader/fleet/provisioning_options/demand.rs
@@ -63,7 +63,7 @@
     fn demand(&self, waiting: &Unplaced) -> Option<JobDemand> {
         let job = self.cache.jobs.get(&waiting.job)?;
         let spec = job.spec()?;
-        let constraint = zone_usage::of_job(self.cache, job);
+        let constraint = zone_usage::job_constraint(self.cache, job);
         let may_wait_for_spot = job.present() > 0 || spec.age(self.wall) < SPOT_ONLY_PERIOD;
         let spot_only = spec.is_idle_work() && spec.spot && may_wait_for_spot;
         if spec.assigned_zone.is_none() || job.present() > 0 {
@@ -183,13 +183,13 @@
         if remaining == 0 {
             break;
         }
-        if !placement::allowed(spec, candidate) {
+        if !placement::is_eligible(spec, candidate) {
             continue;
         }
-        let fitting = spec.per_task.count_in(&candidate.room).min(remaining);
-        let fitting = fitting.min(constraint.room(&candidate.zone));
+        let fitting = spec.per_task.count_in(&candidate.free).min(remaining);
+        let fitting = fitting.min(constraint.remaining_tasks(&candidate.zone));
         if fitting > 0 {
-            candidate.room -= spec.per_task.times(f64::from(fitting));
+            candidate.free -= spec.per_task.times(f64::from(fitting));
             constraint.add_tasks(&candidate.zone, fitting);
             remaining -= fitting;
         }
--- a/src/coordination/leader/fleet/provisioning_options/mod.rs
+++ b/src/coordination/leader/fleet/provisioning_options/mod.rs
@@ -73,7 +73,7 @@
             now,
             suitability_k: tuning.suitability_k,
             wall,
-            first_paid_period: tuning.paid.first,
+            first_paid_period: tuning.paid_periods.first,
             machines_by_zone,
         }
     }
--- a/src/coordination/leader/fleet/provisioning_options/suitability_search.rs
+++ b/src/coordination/leader/fleet/provisioning_options/suitability_search.rs
@@ -42,7 +42,7 @@
             };
             let tasks = match pool.zone.as_ref().filter(|_| by_zone) {
                 Some(zone) => {
-                    let tasks = remaining.min(demand.constraint.room(zone));
+                    let tasks = remaining.min(demand.constraint.remaining_tasks(zone));
                     demand.constraint.add_tasks(zone, tasks);
                     tasks
                 }
--- a/src/coordination/leader/routing/zone_bound.rs
+++ b/src/coordination/leader/routing/zone_bound.rs
@@ -43,7 +43,9 @@
             zone,
         };
         let Some(assigned_zone) = &spec.assigned_zone else {
-            let current = zone_usage::of_job(self.cache, job).current_zone().cloned();
+            let current = zone_usage::job_constraint(self.cache, job)
+                .current_zone()
+                .cloned();
             if let Some(zone) = current.or(zone_with_capacity.cloned()) {
                 result.zone_assignments.push(assignment(Some(zone)));
             }
--- a/src/coordination/owner/candidates.rs
+++ b/src/coordination/owner/candidates.rs
@@ -52,8 +52,8 @@
                     fetch_gb_per_s: machine_type.fetch_gb_per_s,
                     speed: agent.speed,
                     images: agent.images(),
-                    leaves_in: (*usage == MachineUse::Draining)
-                        .then(|| self.context.config.tuning.paid_periods.left(age)),
+                    time_until_return: (*usage == MachineUse::Draining)
+                        .then(|| self.context.config.tuning.paid_periods.time_left(age)),
                 })
             })
             .collect()
--- a/src/coordination/owner/commits.rs
+++ b/src/coordination/owner/commits.rs
@@ -160,7 +160,7 @@
             return vec![first];
         }
         let (fenced, is_idle_work) = (first.change.fenced, first.change.is_idle_work);
-        let changes_per_transaction = self.context.config.state.txn_ops;
+        let changes_per_transaction = self.context.config.state_limits.txn_ops;
         let max_ops = changes_per_transaction.min(if is_idle_work {
             IDLE_RECORDS_PER_COMMIT
         } else {
--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -145,7 +145,7 @@
         let mut chosen = Vec::with_capacity(tasks.len());
         for (tasks, constraint) in zone_usage::constrained_parts(cache, job, scope, tasks) {
             let candidates = &mut free.candidates;
-            let part = if is_gang && spec.one_zone && constraint.is_open() {
+            let part = if is_gang && spec.one_zone && constraint.has_no_zone() {
                 self.choose_zone(&state.agents, offered, tasks, candidates, &mut team)
             } else {
                 self.choose_candidates(
@@ -292,7 +292,7 @@
         let mut chosen = Vec::with_capacity(tasks.len());
         for task in placed_before {
             let task_id = TaskId::new(id.clone(), task);
-            let candidate = placement::choose(spec, candidates, factor, |candidate| {
+            let candidate = placement::best_candidate(spec, candidates, factor, |candidate| {
                 !lists_task(agents, candidate, &task_id) && allows_job(agents, candidate, id, now)
             });
             if let Some(candidate) = candidate
@@ -302,7 +302,7 @@
                 chosen.push(ChosenMachine { task, candidate });
             }
         }
-        let filled = placement::fill(spec, candidates, factor, never_placed.len(), admits);
+        let filled = placement::place_tasks(spec, candidates, factor, never_placed.len(), admits);
         let filled = never_placed.into_iter().zip(filled);
         chosen.extend(filled.map(|(task, candidate)| ChosenMachine { task, candidate }));
         chosen
--- a/src/coordination/zone_usage.rs
+++ b/src/coordination/zone_usage.rs
@@ -55,7 +55,7 @@
         for (record, entry) in &self.job.chunks {
             if entry.value.placed.len() > keys::CHUNK as usize / 2 {
                 let constraint = self.current_constraint(spec, *record);
-                let zones = constraint.exceeded().cloned();
+                let zones = constraint.overfull_zones().cloned();
                 exceeded.extend(zones.map(|zone| (*record, zone)));
             }
         }
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -105,7 +105,7 @@
     set_duration(
         "renting.paid_step_s",
         renting.paid_step_s,
-        &mut tuning.paid_periods.then,
+        &mut tuning.paid_periods.renewal,
     )
 }
 
