--- a/src/coordination/leader/cleanup.rs
+++ b/src/coordination/leader/cleanup.rs
@@ -1,14 +1,14 @@
-//! Removes the records of jobs that are over, and placements of tasks whose machines are
+//! Removes the records of finished jobs, and placements of tasks whose machines are
 //! terminated.
 //!
-//! Called once in each of the leader's passes, as far as the key-value store's limit of
-//! changes has room for it. Every change is conditional on the records that it was decided by.
+//! Runs once in each of the leader's passes, as far as the state service's rate limit
+//! allows. Every change is conditional on the records that it is based on.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use tokio::time::Instant;
 
-use super::{Leader, shard_leasing::OPS_PER_COMMIT};
+use super::{Leader, shard_leasing::MAX_OPS_PER_COMMIT};
 use crate::{
     coordination::context::lock,
     storage::{
@@ -17,28 +17,29 @@
     },
 };
 
-/// Tasks that went with their machine and found no other place for this long are
-/// written down as waiting.
+/// Tasks whose machine is terminated and that are not placed elsewhere within this time are
+/// recorded as waiting.
 const LOST_TASK_TIMEOUT: Duration = Duration::from_secs(10);
-/// Transactions of a pass of cleaning up.
+/// Maximum number of cleanup transactions in a pass.
 const MAX_CLEANUP_TRANSACTIONS: usize = 24;
-/// How many of them may be of jobs that are over.
+/// Maximum number of these that remove records of finished jobs.
 const MAX_JOB_TRANSACTIONS: usize = MAX_CLEANUP_TRANSACTIONS / 2;
-/// Records of a job beside its run records: its spec and its cleanup mark or outcome.
-const JOB_RECORDS: usize = 2;
-/// Conditions in a commit, for each change that it may make.
+/// Number of records that end a job besides its run records: its spec and its cleanup mark or
+/// outcome.
+const NON_RUN_RECORDS_PER_JOB: usize = 2;
+/// Maximum number of conditions in a commit, per operation that a commit may have.
 const CONDITIONS_PER_OPERATION: usize = 3;
 
-/// Names a run record: the job, and which chunk of its tasks.
+/// Identifies a run record by its job and the chunk of the job's tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct RunRecordName<'a> {
+struct RunRecordId<'a> {
     job: &'a JobId,
     chunk: u32,
 }
 
 impl Leader {
-    /// Removes what is left of jobs that are over, placements of tasks whose
-    /// machines are terminated, and ends jobs of many records.
+    /// Ends jobs whose tasks are all done, and removes the records of finished jobs and
+    /// placements of tasks whose machines are terminated.
     pub(super) async fn clean_up(&self) {
         let transactions = self.plan_cleanup();
         let has_more = transactions.len() >= MAX_JOB_TRANSACTIONS;
@@ -48,6 +49,7 @@
         }
     }
 
+    /// Returns the transactions of this pass.
     fn plan_cleanup(&self) -> Vec<Transaction> {
         let cache = self.context.store.cache();
         let caught_up = cache
@@ -67,18 +69,18 @@
         }
         if caught_up {
             let mut state = lock(&self.state);
-            let lost = lost_tasks(&cache, &mut state.lost_since, Instant::now());
+            let lost = lost_tasks(&cache, &mut state.terminated_since, Instant::now());
             unplace_lost_tasks(&cache, lost, &mut transactions);
         }
         transactions
     }
 
-    /// Commits them, several at once as far as they have room in one commit. Stops at the
-    /// first failure, and when the limit of changes is reached.
+    /// Commits the transactions, merging them as far as the limits of one commit allow. Stops
+    /// at the first failure, and when the rate limit is reached.
     async fn commit_cleanup(&self, transactions: Vec<Transaction>) {
         let max_operations = self.context.config.state.txn_ops;
         let has_room = |batch: &Transaction, next: &Transaction| {
-            batch.ops.len() + next.ops.len() <= max_operations.min(OPS_PER_COMMIT)
+            batch.ops.len() + next.ops.len() <= max_operations.min(MAX_OPS_PER_COMMIT)
                 && batch.conditions.len() + next.conditions.len()
                     < CONDITIONS_PER_OPERATION * max_operations
         };
@@ -101,7 +103,7 @@
     }
 }
 
-/// The next step in removing a job's records, if one is due.
+/// Returns the next step in ending a job or removing its records, if one is due.
 fn job_cleanup(
     cache: &StateCache,
     id: &JobId,
@@ -112,17 +114,18 @@
     let Some(cleanup_since) = job.cleanup_since else {
         return job.all_done().then(|| end_job(id, job, max_operations));
     };
-    // Its outcome was written with the cleanup mark, so that nothing is
-    // placed after that; what was placed before it the cache holds
-    // only once it has passed that revision.
+    // The job's outcome was written together with the cleanup mark, so that no task is placed
+    // after it. Placements from before the mark are all in the cache only once the cache has
+    // reached the mark's revision.
     let is_unplaced = job.placed == 0 || (caught_up && job.present() == 0);
     (cleanup_since <= cache.revision && is_unplaced)
         .then(|| remove_job_records(id, job, max_operations))
 }
 
-/// Removes the records of a job whose outcome is written, over several passes if they are many.
+/// Removes the records of a job whose outcome is written, over several passes if they exceed
+/// one commit.
 fn remove_job_records(id: &JobId, job: &Job, max_operations: usize) -> Transaction {
-    let max_chunks = max_operations - JOB_RECORDS;
+    let max_chunks = max_operations - NON_RUN_RECORDS_PER_JOB;
     let mut transaction = Transaction::default();
     for chunk in job.chunks.keys().take(max_chunks) {
         transaction = transaction.remove(keys::run(id, *chunk));
@@ -133,8 +136,8 @@
     transaction
 }
 
-/// Writes the outcome of a job that has run to its end, and removes its records if one
-/// commit can; else marks them for removal.
+/// Writes the outcome of a job whose tasks are all done, and removes its records if they fit
+/// into one commit; otherwise marks them for removal.
 fn end_job(id: &JobId, job: &Job, max_operations: usize) -> Transaction {
     let outcome = OutcomeRecord {
         outcome: JobOutcome::Done,
@@ -143,7 +146,7 @@
     let mut transaction = Transaction::default()
         .require(keys::outcome(id), Revision(0))
         .set(keys::outcome(id), &outcome);
-    if job.chunks.len() + JOB_RECORDS > max_operations {
+    if job.chunks.len() + NON_RUN_RECORDS_PER_JOB > max_operations {
         return transaction.set(keys::cleanup(id), &1);
     }
     for chunk in job.chunks.keys() {
@@ -152,25 +155,26 @@
     transaction.remove(keys::spec(id))
 }
 
-/// Tasks whose machines have been terminated for a while, by run record. Notes since when
-/// each such machine is.
+/// Returns, by run record, the tasks whose machines have been terminated for
+/// [`LOST_TASK_TIMEOUT`] or longer. Records in `terminated_since` when each such machine was
+/// first found terminated.
 fn lost_tasks<'a>(
     cache: &'a StateCache,
-    lost_since: &mut BTreeMap<MachineId, Instant>,
+    terminated_since: &mut BTreeMap<MachineId, Instant>,
     now: Instant,
-) -> BTreeMap<RunRecordName<'a>, Vec<u32>> {
-    lost_since.retain(|machine, _| cache.on_machine.contains_key(machine));
-    let mut lost: BTreeMap<RunRecordName<'_>, Vec<u32>> = BTreeMap::new();
+) -> BTreeMap<RunRecordId<'a>, Vec<u32>> {
+    terminated_since.retain(|machine, _| cache.on_machine.contains_key(machine));
+    let mut lost: BTreeMap<RunRecordId<'_>, Vec<u32>> = BTreeMap::new();
     for (machine, load) in &cache.on_machine {
         if cache.machines.contains_key(machine) {
             continue;
         }
-        let since = *lost_since.entry(machine.clone()).or_insert(now);
+        let since = *terminated_since.entry(machine.clone()).or_insert(now);
         if now.duration_since(since) < LOST_TASK_TIMEOUT {
             continue;
         }
         for task in load.tasks.keys() {
-            let record = RunRecordName {
+            let record = RunRecordId {
                 job: &task.job,
                 chunk: task.index / keys::CHUNK,
             };
@@ -180,24 +184,24 @@
     lost
 }
 
-/// Frees placements of tasks whose machines are terminated: their records went after their
-/// release was answered, so that all that was on them is terminated. Such tasks wait
-/// at once, and their next placement replaces the old one; what has found none
-/// for a while uses quota for nothing and is freed here.
+/// Removes placements of tasks whose machines are terminated. A machine's record is removed
+/// only after the release of the machine was answered, so that nothing runs on it any more.
+/// Such a task counts as waiting at once, and its next placement replaces the old one. While
+/// it finds no other place, its old placement uses quota to no purpose, so it is removed here.
 fn unplace_lost_tasks(
     cache: &StateCache,
-    lost: BTreeMap<RunRecordName<'_>, Vec<u32>>,
+    lost: BTreeMap<RunRecordId<'_>, Vec<u32>>,
     transactions: &mut Vec<Transaction>,
 ) {
-    for (RunRecordName { job: id, chunk }, tasks) in lost {
+    for (RunRecordId { job: id, chunk }, tasks) in lost {
         if transactions.len() >= MAX_CLEANUP_TRANSACTIONS {
             return;
         }
         let Some(job) = cache.jobs.get(id) else {
             continue;
         };
-        // Of a job that is over the whole record goes, perhaps in this very
-        // pass; no transaction may change a key twice.
+        // The run records of a finished job are removed as a whole, possibly in this pass, and
+        // no transaction may change a key twice.
         let Some(entry) = job
             .chunks
             .get(&chunk)
@@ -205,7 +209,7 @@
         else {
             continue;
         };
-        tracing::debug!(job = %id, ?tasks, "tasks lost with their machines");
+        tracing::debug!(job = %id, ?tasks, "removing placements of tasks on terminated machines");
         let mut record = entry.value.clone();
         for task in tasks {
             record.unplace(task);
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -1,8 +1,8 @@
-//! Commits of the leader, fenced by its claim to leadership.
+//! Commits of the leader, fenced by its leadership claim.
 //!
-//! Every change that the leader writes is conditional on the revision of its claim, so that
-//! it is void once another process leads. A commit whose outcome is unknown may still take
-//! effect: until it is resolved, the leader decides nothing.
+//! Every commit of the leader is conditional on the revision of its claim, so that it fails
+//! once another process leads. A commit whose outcome is unknown may still take effect; until
+//! it is resolved, the leader makes no further decisions.
 
 use super::Leader;
 use crate::{
@@ -14,7 +14,7 @@
 };
 
 impl Leader {
-    /// Commits as the leader: void once another leads.
+    /// Commits a transaction on condition that this process is still the leader.
     pub(in crate::coordination) async fn commit_as_leader(
         &self,
         transaction: Transaction,
@@ -34,8 +34,9 @@
         result
     }
 
-    /// Writes our record anew: commits of ours that may still be on their way
-    /// are conditional on the old one. Returns whether none is in doubt any more.
+    /// Rewrites the leader record, so that commits of this process that are still in flight
+    /// fail: they are conditional on its old revision. Returns whether no commit is in doubt
+    /// any more.
     pub(super) async fn resolve_commit_in_doubt(&self) -> bool {
         let Some(lease) = lock(&self.state).lease else {
             return false;
--- a/src/coordination/leader/common_version.rs
+++ b/src/coordination/leader/common_version.rs
@@ -1,4 +1,4 @@
-//! The protocol version that all controllers can read, as the leader writes it down.
+//! Records the protocol version that all controllers support.
 
 use super::Leader;
 use crate::{
@@ -9,8 +9,8 @@
 };
 
 impl Leader {
-    /// Raises the common protocol version as soon as each controller has said that it
-    /// supports a higher one. It never falls.
+    /// Raises the recorded common protocol version once every controller has reported that it
+    /// supports a higher one. The version is never lowered.
     pub(super) async fn raise_common_version(&self) {
         let common = {
             let cache = self.context.store.cache();
@@ -40,7 +40,7 @@
         if written.is_ok() {
             tracing::info!(
                 protocol_version = common.0,
-                "protocol version common to all controllers"
+                "common protocol version raised"
             );
         }
     }
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -43,9 +43,9 @@
         let estimator = lock(&self.context.estimator);
         let mut state = lock(&self.state);
         let failing = state.failing_jobs();
-        state.note_booting(&cache);
+        state.record_booting_machines(&cache);
         let free_capacity = self.free_capacity(&cache, &state);
-        state.free = free_capacity.free_quota();
+        state.free_quota = free_capacity.free_quota();
         let state = &mut *state;
         let mut routed = routing::RoutingPass {
             cache: &cache,
--- a/src/coordination/leader/fleet/machine_inspection.rs
+++ b/src/coordination/leader/fleet/machine_inspection.rs
@@ -233,7 +233,7 @@
         // for elsewhere: that is work for each machine.
         let is_late = status.since_heartbeat > self.config.heartbeat_interval;
         let indirect_contact = is_late
-            .then(|| self.state.indirectly_heard_by(machine.owner, machine.id))
+            .then(|| self.state.indirect_contact(machine.owner, machine.id))
             .flatten()
             .filter(|contact| contact.age < self.config.indirect_heartbeat_max_age());
         let probe_after = self.unresponsive_after.mul_f64(INDIRECT_PROBE_FRACTION);
--- a/src/coordination/leader/fleet/market/demand.rs
+++ b/src/coordination/leader/fleet/market/demand.rs
@@ -10,7 +10,7 @@
 use crate::{
     coordination::{
         leader::{
-            pool::{Pool, Suited},
+            pool::{Pool, SuitedTasks},
             routing::Unplaced,
         },
         policy::{placement, zone_constraint::ZoneConstraint},
@@ -84,7 +84,7 @@
     }
 
     /// The pools for those of a job's waiting tasks that the available places take.
-    pub fn suited_waiting(&self, waiting: &Unplaced) -> Vec<Suited> {
+    pub fn suited_waiting(&self, waiting: &Unplaced) -> Vec<SuitedTasks> {
         let Some(demand) = self.demand(waiting) else {
             return Vec::new();
         };
@@ -108,7 +108,7 @@
             if left == 0 {
                 continue;
             }
-            for Suited { pool, tasks } in self.suited(demand, left, true) {
+            for SuitedTasks { pool, tasks } in self.suited(demand, left, true) {
                 let Some(kind) = self.cache.machine_type(&pool.kind) else {
                     continue;
                 };
--- a/src/coordination/leader/fleet/market/suitability_search.rs
+++ b/src/coordination/leader/fleet/market/suitability_search.rs
@@ -5,7 +5,7 @@
 use super::{Demand, Market, ProvisionTarget};
 use crate::{
     coordination::{
-        leader::pool::{Pool, Suited},
+        leader::pool::{Pool, SuitedTasks},
         policy::suitability,
     },
     storage::{JobSpec, MachineType, ZoneName},
@@ -23,7 +23,7 @@
 impl<'a> Market<'a> {
     /// The pools that suit waiting tasks of a job best (paper, section 5.2). Those of a
     /// job that is bound to zones go to several, as far as its constraint admits them.
-    pub fn suited(&self, mut demand: Demand, tasks: u32, only_available: bool) -> Vec<Suited> {
+    pub fn suited(&self, mut demand: Demand, tasks: u32, only_available: bool) -> Vec<SuitedTasks> {
         let spec = demand.spec.clone();
         let by_zone = spec.is_zone_bound() || spec.zone.is_some();
         let mut suited = Vec::new();
@@ -45,7 +45,7 @@
                 }
             };
             left -= tasks;
-            suited.push(Suited { pool, tasks });
+            suited.push(SuitedTasks { pool, tasks });
         }
         suited
     }
--- a/src/coordination/leader/fleet/miss_rate_band.rs
+++ b/src/coordination/leader/fleet/miss_rate_band.rs
@@ -15,7 +15,7 @@
         leader::{
             Leader,
             miss_rate::{MissRate, MissRateWindow, OverdueTasks},
-            pool::{Pool, Suited, WantedMachines},
+            pool::{Pool, SuitedTasks, WantedMachines},
             routing::Unplaced,
         },
         policy::band,
@@ -45,7 +45,7 @@
     fn add(&mut self, market: &Market<'_>, item: &Unplaced) {
         self.total += item.tasks;
         let mut unsuited = item.tasks;
-        for Suited { pool, tasks } in market.suited_waiting(item) {
+        for SuitedTasks { pool, tasks } in market.suited_waiting(item) {
             unsuited -= tasks;
             *self.by_pool.entry(pool.clone()).or_default() += f64::from(tasks);
             if item.overdue {
@@ -77,7 +77,7 @@
     ) -> Vec<WantedMachines> {
         let tuning = &self.context.config.tuning;
         let waiting = WaitingTasks::new(market, need.unplaced);
-        let misses = miss_rate.misses(&waiting.overdue);
+        let misses = miss_rate.current_rate(&waiting.overdue);
         let pools = pools_in_demand(&waiting, &misses);
         let loads: Vec<band::TypeLoad> = pools
             .iter()
--- a/src/coordination/leader/miss_rate.rs
+++ b/src/coordination/leader/miss_rate.rs
@@ -1,9 +1,9 @@
-//! The recent share of tasks that missed their deadline or start target, and
-//! the arrival rate: what the band is judged by (paper, section 5.3).
+//! Measures the recent share of tasks that missed their deadline or start target, and the
+//! arrival rate. Scaling decisions are based on both (paper, section 5.3).
 //!
-//! The window is kept in the leader's state and observed in each pass of the fleet manager.
-//! It is not stored: a new leader begins with an empty one, and counts nothing that happened
-//! before its first observation.
+//! The window is part of the leader's state and is updated in each pass of the fleet manager.
+//! It is not stored: a new leader starts with an empty window and counts nothing that
+//! happened before its first observation.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -16,16 +16,16 @@
 use super::pool::Pool;
 use crate::storage::{JobId, JobSpec, StateCache, state_cache::Job};
 
-/// Samples in a window; older ones go first. Each observation makes at most two for a
-/// pool and one of arrivals, so that a minute of three observations a second and forty pools
-/// fits.
+/// Maximum number of samples in a window; the oldest are dropped first. Each observation adds
+/// at most two samples per pool and one of arrivals, so that one minute of three observations
+/// per second with forty pools fits.
 const MAX_SAMPLES: usize = 16_384;
 
-/// A job that waited for room no longer than this would have been as late with
-/// any number of machines.
+/// A job that waited for room no longer than this would have missed its deadline with any
+/// number of machines, so that it is not counted as a miss.
 const MIN_STARVATION: Duration = Duration::from_secs(1);
 
-/// How far a job's tasks have come.
+/// Number of a job's tasks that have started and that are done.
 #[derive(Debug, Default, Clone, Copy)]
 struct Progress {
     started: u32,
@@ -40,9 +40,9 @@
         }
     }
 
-    /// What is to be remembered after `before`: a task that is started anew is not counted
-    /// again.
-    fn following(self, before: Self) -> Self {
+    /// Returns the progress to store after an observation that followed `before`. The number
+    /// of started tasks never falls, so that a restarted task is not counted again.
+    fn without_restarts(self, before: Self) -> Self {
         Self {
             started: self.started.max(before.started),
             done: self.done,
@@ -50,17 +50,17 @@
     }
 }
 
-/// Tasks that have met or missed their target.
+/// Tasks of one pool that met or missed their target in one observation.
 #[derive(Debug)]
-struct MissSample {
+struct TargetSample {
     at: Instant,
-    /// The pool that suits them.
+    /// The pool that suits the tasks.
     pool: Option<Pool>,
     tasks: u32,
     missed: bool,
 }
 
-/// Tasks of jobs that are new.
+/// Tasks of jobs that were new in one observation.
 #[derive(Debug)]
 struct ArrivalSample {
     at: Instant,
@@ -68,48 +68,49 @@
 }
 
 /// Tasks of one job that have met or missed their target since the last observation.
-struct JudgedTasks {
+struct EvaluatedTasks {
     tasks: u32,
     missed: bool,
 }
 
-/// Waiting tasks that are beyond their target already.
+/// Waiting tasks that have already exceeded their target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OverdueTasks {
-    /// The pool that suits them; none: no available place does.
+    /// The pool that suits the tasks, or none if no available place suits them.
     pub pool: Option<Pool>,
-    /// How many tasks.
+    /// Number of tasks.
     pub tasks: u32,
 }
 
-/// What has happened to tasks over a window of time.
+/// Met and missed targets and arrivals of tasks over a sliding window of time.
 #[derive(Debug, Default)]
 pub struct MissRateWindow {
-    /// How far each job had come at the last observation.
+    /// Each job's progress at the last observation.
     progress: BTreeMap<JobId, Progress>,
-    judged: VecDeque<MissSample>,
+    evaluated: VecDeque<TargetSample>,
     arrivals: VecDeque<ArrivalSample>,
-    /// Something has been observed, so that a job not known yet is new.
-    is_primed: bool,
-    /// How long each job's tasks have waited for room.
+    /// Whether there was an observation, so that a job without progress is new.
+    has_baseline: bool,
+    /// Total time for which each job's tasks have waited for room.
     starved_for: BTreeMap<JobId, Duration>,
-    /// When time of waiting was added last.
+    /// When `starved_for` was last updated.
     starvation_added_at: Option<Instant>,
 }
 
 /// The miss rate of a window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MissRate {
-    /// The share of tasks that missed their target, of 1.
+    /// The share of tasks that missed their target, from 0 to 1.
     pub rate: f64,
-    /// Each pool's share of the misses.
+    /// Each pool's share of the missed tasks, from 0 to 1.
     pub shares: BTreeMap<Pool, f64>,
 }
 
 impl MissRateWindow {
-    /// Adds to the time that jobs have waited for room. Time spent waiting for a
-    /// team's limit is not in it: no machine would shorten that, and counting it
-    /// kept the miss rate up and idle machines provisioned.
+    /// Adds the time since the last call to the time that the given jobs have waited for room.
+    /// Time spent waiting because of a team's limit must not be included: additional machines
+    /// would not shorten it, and counting it kept the miss rate high and idle machines
+    /// provisioned.
     pub fn add_starvation<'a>(&mut self, waiting: impl Iterator<Item = &'a JobId>, now: Instant) {
         let last = self.starvation_added_at.replace(now);
         let elapsed = last.map_or(Duration::ZERO, |at| now.duration_since(at));
@@ -122,8 +123,8 @@
         self.starved_for.get(job).copied().unwrap_or_default()
     }
 
-    /// Takes note of what has happened since the last call. `suited` names the
-    /// pool that suits a job.
+    /// Adds samples of the targets met or missed and the jobs that arrived since the last call,
+    /// and drops samples older than `window`. `pool_for` returns the pool that suits a job.
     pub fn observe(
         &mut self,
         cache: &StateCache,
@@ -131,59 +132,61 @@
         wall: SystemTime,
         start_target: Duration,
         window: Duration,
-        suited: impl Fn(&Arc<JobSpec>) -> Option<Pool>,
+        pool_for: impl Fn(&Arc<JobSpec>) -> Option<Pool>,
     ) {
-        let mut judged: BTreeMap<(Option<Pool>, bool), u32> = BTreeMap::new();
+        let mut evaluated: BTreeMap<(Option<Pool>, bool), u32> = BTreeMap::new();
         let mut arrived = 0;
         let mut progress = BTreeMap::new();
         for (id, job) in &cache.jobs {
             let Some(spec) = job.spec() else { continue };
             let current = Progress::of(job);
-            if self.is_primed && !self.progress.contains_key(id) {
+            if self.has_baseline && !self.progress.contains_key(id) {
                 arrived += spec.tasks;
             }
             let before = self.progress_before(id, current);
-            let JudgedTasks { tasks, missed } =
-                self.judge(id, spec, before, current, wall, start_target);
+            let EvaluatedTasks { tasks, missed } =
+                self.evaluate_targets(id, spec, before, current, wall, start_target);
             if tasks > 0 {
-                *judged.entry((suited(spec), missed)).or_default() += tasks;
+                *evaluated.entry((pool_for(spec), missed)).or_default() += tasks;
             }
-            progress.insert(id.clone(), current.following(before));
+            progress.insert(id.clone(), current.without_restarts(before));
         }
         self.starved_for.retain(|id, _| progress.contains_key(id));
         self.progress = progress;
-        self.is_primed = true;
-        let samples = judged
+        self.has_baseline = true;
+        let samples = evaluated
             .into_iter()
-            .map(|((pool, missed), tasks)| MissSample {
+            .map(|((pool, missed), tasks)| TargetSample {
                 at: now,
                 pool,
                 tasks,
                 missed,
             });
-        self.judged.extend(samples);
+        self.evaluated.extend(samples);
         if arrived > 0 {
             self.arrivals.push_back(ArrivalSample {
                 at: now,
                 tasks: arrived,
             });
         }
-        self.forget_old(now, window);
+        self.drop_old_samples(now, window);
     }
 
-    /// How far a job had come at the last observation.
+    /// Returns a job's progress at the last observation.
     fn progress_before(&self, id: &JobId, current: Progress) -> Progress {
         match self.progress.get(id) {
             Some(progress) => *progress,
-            None if self.is_primed => Progress::default(),
-            // Found at our start; who knows when it happened.
+            None if self.has_baseline => Progress::default(),
+            // The job is older than the first observation, so that it is unknown when its
+            // tasks started or ended: they are not counted.
             None => current,
         }
     }
 
-    /// Which of a job's tasks have met or missed their target since `before`: with a
-    /// deadline those that have ended, else those that have started.
-    fn judge(
+    /// Returns how many of a job's tasks have met or missed their target since `before`. For a
+    /// job with a deadline these are the tasks that have ended, otherwise those that have
+    /// started.
+    fn evaluate_targets(
         &self,
         id: &JobId,
         spec: &JobSpec,
@@ -191,26 +194,29 @@
         current: Progress,
         wall: SystemTime,
         start_target: Duration,
-    ) -> JudgedTasks {
+    ) -> EvaluatedTasks {
         match spec.deadline {
-            Some(deadline) => JudgedTasks {
+            Some(deadline) => EvaluatedTasks {
                 tasks: current.done.saturating_sub(before.done),
                 missed: spec.age(wall) > deadline && self.starved_for(id) > MIN_STARVATION,
             },
-            None => JudgedTasks {
+            None => EvaluatedTasks {
                 tasks: current.started.saturating_sub(before.started),
                 missed: self.starved_for(id) > start_target && !spec.is_idle_work(),
             },
         }
     }
 
-    /// Drops samples that are older than the window, and the oldest if they are too many.
-    fn forget_old(&mut self, now: Instant, window: Duration) {
+    /// Drops samples that are older than the window, and the oldest beyond [`MAX_SAMPLES`].
+    fn drop_old_samples(&mut self, now: Instant, window: Duration) {
         let is_old = |at: Instant| now - at > window;
-        while self.judged.len() > MAX_SAMPLES
-            || self.judged.front().is_some_and(|sample| is_old(sample.at))
+        while self.evaluated.len() > MAX_SAMPLES
+            || self
+                .evaluated
+                .front()
+                .is_some_and(|sample| is_old(sample.at))
         {
-            self.judged.pop_front();
+            self.evaluated.pop_front();
         }
         while self.arrivals.len() > MAX_SAMPLES
             || self
@@ -222,20 +228,19 @@
         }
     }
 
-    /// Tasks per minute.
+    /// Returns the number of tasks that arrived per minute of the window.
     pub fn arrival_rate(&self, window: Duration) -> f64 {
         let tasks: u32 = self.arrivals.iter().map(|sample| sample.tasks).sum();
         f64::from(tasks) * 60.0 / window.as_secs_f64().max(1.0)
     }
 
-    /// The miss rate, with tasks that wait beyond their target counted as
-    /// missed already.
-    pub fn misses(&self, overdue: &[OverdueTasks]) -> MissRate {
+    /// Returns the miss rate, counting waiting tasks that have exceeded their target as missed.
+    pub fn current_rate(&self, overdue: &[OverdueTasks]) -> MissRate {
         let mut all = 0;
         let mut missed = 0;
         let mut shares: BTreeMap<Pool, f64> = BTreeMap::new();
         let recent = self
-            .judged
+            .evaluated
             .iter()
             .map(|sample| (&sample.pool, sample.tasks, sample.missed));
         let waiting = overdue
--- a/src/coordination/leader/miss_rate/tests.rs
+++ b/src/coordination/leader/miss_rate/tests.rs
@@ -11,7 +11,7 @@
         zone: None,
     };
     let miss_rate = MissRateWindow {
-        judged: VecDeque::from([MissSample {
+        evaluated: VecDeque::from([TargetSample {
             at: Instant::now(),
             pool: Some(pool.clone()),
             tasks: 9,
@@ -19,8 +19,8 @@
         }]),
         ..MissRateWindow::default()
     };
-    assert_eq!(miss_rate.misses(&[]).rate, 0.0);
-    let misses = miss_rate.misses(&[OverdueTasks {
+    assert_eq!(miss_rate.current_rate(&[]).rate, 0.0);
+    let misses = miss_rate.current_rate(&[OverdueTasks {
         pool: Some(pool.clone()),
         tasks: 1,
     }]);
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,9 +1,10 @@
-//! The leader's work: shards and budgets, routing, scaling out and scaling in.
+//! The leader: leases shards, divides quota, routes tasks and scales the fleet.
 //!
-//! At most one controller leads. All that it decides is void once another one does, since its
-//! commits are conditional on its claim ([`commit`]). Two loops run on every controller and
-//! wait while it does not lead: the quick one here leases shards, cleans up and routes
-//! waiting tasks; the slower one in [`fleet`] scales, repairs and releases machines.
+//! At most one controller is the leader. Its commits are conditional on its leadership claim
+//! ([`commit`]), so that none takes effect once another controller leads. Two loops run on
+//! every controller and are idle while it is not the leader: the fast one in this module
+//! leases shards, removes obsolete records and routes waiting tasks; the slower one in
+//! [`fleet`] scales, repairs and releases machines.
 
 mod cleanup;
 mod commit;
@@ -39,28 +40,29 @@
     storage::{client::LeaseId, rate_limiter::RequestPriority},
 };
 
-/// Between two passes of the leader's quick loop.
+/// Minimum pause between two passes of the leader's fast loop.
 const MIN_PASS_INTERVAL: Duration = Duration::from_millis(25);
+/// Maximum pause between two passes, however long a pass takes.
 const MAX_PASS_INTERVAL: Duration = Duration::from_millis(200);
 /// A pass begins after this time even if nothing has changed.
 const IDLE_PASS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The duty that leads the cluster, while this process is its leader.
+/// Runs the leader's fast loop while this process is the leader.
 pub(super) struct Leader {
-    /// What all duties share.
+    /// State shared by all loops of this controller.
     context: Arc<Context>,
-    /// The shard owner of this very process, which needs no message.
+    /// The shard owner of this process, which is called directly instead of by a message.
     owner: Arc<ShardOwner>,
-    /// The quota exchange of this very process.
+    /// The quota exchange of this process, which is called directly instead of by a message.
     quota: Arc<QuotaExchange>,
-    /// What the peers have said of themselves.
+    /// Liveness and protocol versions that the peers have reported.
     liveness: Arc<PeerLiveness>,
     /// Locked after the replica, and never across an await.
     state: Mutex<LeaderState>,
 }
 
 impl Leader {
-    /// Not elected yet.
+    /// Creates a leader that has not been elected yet.
     pub(super) fn new(
         context: Arc<Context>,
         owner: Arc<ShardOwner>,
@@ -76,22 +78,23 @@
         }
     }
 
-    /// This process was elected; its claim is attached to this lease.
+    /// Resets the state after an election; `lease` is the lease of the leadership claim.
     pub(super) fn reset(&self, lease: LeaseId) {
         lock(&self.state).reset(lease);
     }
 
-    /// The lease of a process that leads, however it learned of its election.
+    /// Records the lease of the leadership claim if this process found itself to be the leader
+    /// without a call of [`Self::reset`]; see [`LeaderState::adopt_lease`].
     pub(super) fn adopt_lease(&self, lease: LeaseId) {
         lock(&self.state).adopt_lease(lease);
     }
 
-    /// Keeps a controller's full status.
+    /// Stores a controller's full status.
     pub(super) fn record_status(&self, status: StatusMessage, received_at: Instant) {
         lock(&self.state).record_status(status, received_at);
     }
 
-    /// Duty: the leader's quick loop. On a controller that does not lead it waits.
+    /// Runs the leader's fast loop, which is idle while this controller is not the leader.
     pub(super) async fn run(self: &Arc<Self>) {
         let context = &self.context;
         let mut changes = context.store.changes();
@@ -106,7 +109,8 @@
             {
                 self.run_leader_pass().await;
             }
-            // A controller that is short of processor time makes fewer passes.
+            // Pauses for as long as the pass took, so that a controller with little processor
+            // time makes fewer passes.
             let pause = started
                 .elapsed()
                 .clamp(MIN_PASS_INTERVAL, MAX_PASS_INTERVAL);
@@ -118,8 +122,8 @@
         if lock(&self.state).has_commit_in_doubt && !self.resolve_commit_in_doubt().await {
             return;
         }
-        // Routing never waits for the state service's limit of changes: what has to
-        // be written waits for a pass in which it may be.
+        // Routing never waits for the state service's rate limit: writes that exceed it are
+        // left for a later pass.
         if self.may_commit_now(RequestPriority::Fencing) {
             self.raise_common_version().await;
             self.lease_shards().await;
@@ -130,7 +134,7 @@
         self.route().await;
     }
 
-    /// Whether the key-value store's limit of changes has room for a commit at once.
+    /// Whether the state service's rate limit admits a commit of this priority now.
     fn may_commit_now(&self, priority: RequestPriority) -> bool {
         self.context.store.commit_wait(priority).is_none()
     }
--- a/src/coordination/leader/pool.rs
+++ b/src/coordination/leader/pool.rs
@@ -1,23 +1,23 @@
-//! What the policy counts as one machine type.
+//! Pools: groups of machines that the scaling policy treats as one machine type.
 
 use std::fmt;
 
 use crate::storage::{TypeName, ZoneName, records::MachineRecord};
 
-/// Machines that are alike to the tasks that wait for them: of one type, spot or
-/// ordinary, and for tasks that are bound to zones in one zone.
+/// Machines that are equivalent for waiting tasks: of one type, either spot or ordinary, and
+/// in one zone if the tasks are bound to zones.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pool {
     /// The cloud's machine type.
     pub kind: TypeName,
-    /// Whether its machines are spot machines.
+    /// Whether the machines are spot machines.
     pub spot: bool,
-    /// The zone that its tasks need. None: they may be in any.
+    /// The zone that the tasks need, or none if any zone will do.
     pub zone: Option<ZoneName>,
 }
 
 impl Pool {
-    /// Whether a machine belongs to it.
+    /// Whether a machine belongs to the pool.
     pub fn contains(&self, machine: &MachineRecord) -> bool {
         machine.kind == self.kind
             && machine.spot == self.spot
@@ -36,31 +36,31 @@
     }
 }
 
-/// Machines of a pool that the policy wants.
+/// Additional machines of a pool that the policy wants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WantedMachines {
-    /// What to provision.
+    /// The pool.
     pub pool: Pool,
-    /// How many machines.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// A provision request of machines of a pool that the policy wants.
+/// A planned provision request for machines of a pool in one zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProvisionPlan {
-    /// What to provision.
+    /// The pool.
     pub pool: Pool,
-    /// Where to provision it.
+    /// The zone in which to provision the machines.
     pub zone: ZoneName,
-    /// How many machines.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// Waiting tasks that suit one pool.
+/// Waiting tasks for which one pool is suitable.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Suited {
+pub struct SuitedTasks {
     /// The pool.
     pub pool: Pool,
-    /// How many tasks.
+    /// Number of tasks.
     pub tasks: u32,
 }
--- a/src/coordination/leader/quota_targets.rs
+++ b/src/coordination/leader/quota_targets.rs
@@ -1,7 +1,7 @@
-//! Sends the controllers what their budgets should be, if they transfer quota to each other.
+//! Sends the controllers targets for their budgets if they transfer quota to each other.
 //!
-//! Targets are not written: a controller that misses one gets it again, as long as some team's
-//! quota is lacking somewhere.
+//! Targets are not stored. They are sent again as long as some controller has a quota deficit,
+//! so that a controller that did not receive them gets them later.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,12 +13,12 @@
     context::{lock, takes_part_in_transfers},
 };
 
-/// Targets that have not changed are sent again after this long.
+/// Interval at which unchanged targets are sent again.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Leader {
-    /// Whether every living controller transfers quota. Otherwise the leader takes and
-    /// grants it.
+    /// Whether every live controller supports quota transfers. Otherwise the leader itself
+    /// reclaims and grants quota.
     pub(super) fn controllers_transfer(&self) -> bool {
         if !self.context.knows_transfers() {
             return false;
@@ -30,7 +30,8 @@
             .all(|controller| takes_part_in_transfers(&cache, controller))
     }
 
-    /// Sends each controller its targets, unless the same were sent a moment ago.
+    /// Sends each controller its targets, unless the same targets were sent within the last
+    /// [`REPEAT_INTERVAL`].
     pub(super) fn send_quota_targets(self: &Arc<Self>, targets: &Targets) {
         if targets.is_empty() {
             return;
@@ -58,7 +59,8 @@
                 self.quota.accept_targets(targets);
                 continue;
             }
-            // Unanswered: they are sent again as long as quota is lacking.
+            // A lost request needs no retry here: targets are sent again while there is a
+            // quota deficit.
             let request = PeerRequest::SetQuotaTargets(targets);
             self.spawn_peer_request(controller.clone(), request, |_, _| {});
         }
--- a/src/coordination/leader/rebalance.rs
+++ b/src/coordination/leader/rebalance.rs
@@ -1,8 +1,8 @@
 //! Decides which shards move to another controller.
 //!
-//! A decided move is kept in the leader's state until the shard plan has carried it out:
-//! the shard is cordoned first, and leased to its new owner once the replica shows it so.
-//! Called in each pass of the fleet manager, with the state locked.
+//! A move is kept in the leader's state until the shard plan has carried it out: the shard is
+//! first cordoned, and leased to its new owner once the replica shows it as cordoned. Runs in
+//! each pass of the fleet manager, with the state locked.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,41 +13,43 @@
     ControllerName, MachineId, ShardId, StateCache, ZoneName, records::ShardRecord,
 };
 
-/// Shards on their way to another controller at a time.
-const MAX_MOVES: usize = 2;
-/// A controller has lived this long before shards are moved to it: one that
-/// keeps ending gets none.
+/// Rebalancing starts no further move while this many shards are being moved for any reason.
+const MAX_CONCURRENT_MOVES: usize = 2;
+/// Minimum uptime of a controller before shards are moved to it, so that a crash-looping
+/// controller gets none.
 const MIN_UPTIME: Duration = Duration::from_secs(5);
-/// Machines by which two controllers of a zone may differ beside a whole shard.
-const BALANCE_TOLERANCE: usize = 8;
-/// An owner that has lost this many machines of a shard, and one of so many of all
-/// in it, has lost the shard.
+/// A shard moves for balance only if its owner has more than this many machines beyond what
+/// the new owner would have after the move.
+const BALANCE_TOLERANCE_MACHINES: usize = 8;
+/// A shard is moved as a whole if its owner cannot reach at least this many of its machines,
+/// and at least one in [`LOST_SHARD_DIVISOR`] of them.
 const LOST_SHARD_MIN_MACHINES: usize = 3;
-const LOST_SHARD_FRACTION: usize = 6;
-/// A controller that lost a shard gets no others for this long.
+const LOST_SHARD_DIVISOR: usize = 6;
+/// A controller that lost a shard is given no others for this long.
 const AVOID_OWNER_PERIOD: Duration = Duration::from_secs(30);
 
-/// A move of a shard that would make the controllers' load more even, or bring the shard to
-/// its own zone.
+/// A move of a shard that would make the controllers' load more even, or give the shard an
+/// owner in its own zone.
 struct RebalancingMove {
     shard: ShardId,
     to: ControllerName,
-    /// Machines that the new owner has now.
+    /// Number of machines that the new owner has before the move.
     target_load: usize,
 }
 
-/// A shard of which the owner has lost a good part.
+/// A shard of which its owner cannot reach a large part.
 struct LostShard {
-    /// Machines in it that the owner has lost.
+    /// Number of its machines that the owner cannot reach.
     lost_machines: usize,
-    /// The controller that reaches most of these.
+    /// The controller that reaches the most of these machines.
     to: ControllerName,
 }
 
-/// Shards go to a controller of their own zone, and evenly. Their tasks do
-/// not notice; new ones wait for a moment.
+/// Starts a move of a shard to a controller of its own zone, or to one with fewer machines.
+/// Running tasks are not affected; new ones are not placed on the shard while it moves, so
+/// that no move starts while tasks wait for room.
 pub(super) fn rebalance(cache: &StateCache, state: &mut LeaderState, now: Instant) {
-    if state.moving.len() >= MAX_MOVES || !state.unplaced.is_empty() {
+    if state.moving.len() >= MAX_CONCURRENT_MOVES || !state.unplaced.is_empty() {
         return;
     }
     if let Some(best) = best_move(cache, state) {
@@ -60,7 +62,8 @@
     }
 }
 
-/// Of all moves that help, the first to the controller with the fewest machines.
+/// Returns the improving move whose new owner has the fewest machines; of equal moves the
+/// first.
 fn best_move(cache: &StateCache, state: &LeaderState) -> Option<RebalancingMove> {
     let mut best: Option<RebalancingMove> = None;
     for (id, entry) in &cache.shards {
@@ -74,18 +77,19 @@
         let Some(zone) = zone_of(cache, shard) else {
             continue;
         };
-        let owner_is_near = is_in_zone(cache, &shard.controller, zone);
-        let owner_load = load_of(cache, &shard.controller);
+        let owner_is_in_zone = is_in_zone(cache, &shard.controller, zone);
+        let owner_load = machine_count(cache, &shard.controller);
         for other in cache.controllers.keys() {
             if *other == shard.controller || !may_receive_shards(cache, state, other) {
                 continue;
             }
-            let target_load = load_of(cache, other);
-            let target_is_near = is_in_zone(cache, other, zone);
-            let evens_load = target_load + shard.machines.len() + BALANCE_TOLERANCE < owner_load;
-            let helps = (target_is_near && !owner_is_near)
-                || (target_is_near == owner_is_near && evens_load);
-            if helps
+            let target_load = machine_count(cache, other);
+            let target_is_in_zone = is_in_zone(cache, other, zone);
+            let improves_balance =
+                target_load + shard.machines.len() + BALANCE_TOLERANCE_MACHINES < owner_load;
+            let is_improvement = (target_is_in_zone && !owner_is_in_zone)
+                || (target_is_in_zone == owner_is_in_zone && improves_balance);
+            if is_improvement
                 && best
                     .as_ref()
                     .is_none_or(|best| target_load < best.target_load)
@@ -101,7 +105,7 @@
     best
 }
 
-/// Whether a controller has been up for a while, and has lost no shard lately.
+/// Whether a controller has been up for [`MIN_UPTIME`], and has not lost a shard recently.
 fn may_receive_shards(
     cache: &StateCache,
     state: &LeaderState,
@@ -119,8 +123,8 @@
     is_stable && !state.fleet.avoided_owners.contains_key(controller)
 }
 
-/// Machines that a controller owns.
-fn load_of(cache: &StateCache, controller: &ControllerName) -> usize {
+/// Returns the number of machines that a controller owns.
+fn machine_count(cache: &StateCache, controller: &ControllerName) -> usize {
     cache.machines_of(controller).count()
 }
 
@@ -129,17 +133,17 @@
     record.is_some_and(|entry| entry.value.zone == *zone)
 }
 
-/// The zone of a shard's machines.
+/// Returns the zone of a shard's machines.
 fn zone_of<'a>(cache: &'a StateCache, shard: &ShardRecord) -> Option<&'a ZoneName> {
     let mut machines = shard.machines.keys();
     let record = machines.find_map(|machine| cache.machines.get(machine))?;
     Some(&record.zone)
 }
 
-/// Shards of which their owner has lost a good part go as a whole to the
-/// controller that has most of these: one by one, each machine would cost two
-/// changes of its shard, and each of these a new token for all of its machines.
-/// Returns the machines that are to move by themselves.
+/// Starts moves of shards of which their owner cannot reach a large part, as a whole, to the
+/// controller that reaches the most of these machines. Moved one by one, each machine would
+/// need two changes of its shard, and each change a new fencing token for all of the shard's
+/// machines. Returns the machines that are to be moved individually.
 pub(super) fn move_lost_shards(
     cache: &StateCache,
     state: &mut LeaderState,
@@ -165,14 +169,15 @@
         owner_unreachable.retain(|machine, _| !shard.machines.contains_key(machine));
         if !state.moving.contains_key(id) {
             tracing::info!(shard = %id, from = %shard.controller, %to, lost = lost_machines,
-                "shard owner lost its agents");
+                "shard owner cannot reach its machines; moving the shard");
             state.moving.insert(*id, ShardMove { to, since: now });
         }
     }
     owner_unreachable
 }
 
-/// Whether a shard's owner has lost so many of its machines that all of it is to move.
+/// Returns the shard's loss if its owner cannot reach so many of its machines that the whole
+/// shard is to be moved.
 fn lost_shard(
     shard: &ShardRecord,
     owner_unreachable: &BTreeMap<MachineId, ControllerName>,
@@ -185,7 +190,7 @@
     }
     let lost_machines: usize = reached_by.values().sum();
     if lost_machines < LOST_SHARD_MIN_MACHINES
-        || lost_machines * LOST_SHARD_FRACTION < shard.machines.len()
+        || lost_machines * LOST_SHARD_DIVISOR < shard.machines.len()
     {
         return None;
     }
--- a/src/coordination/leader/shard_leasing.rs
+++ b/src/coordination/leader/shard_leasing.rs
@@ -1,7 +1,7 @@
 //! Leases shards to controllers and grants them their parts of the teams' quota.
 //!
-//! What changes is decided by [`shards::plan`], a function of the replica and of its inputs;
-//! this module gathers the inputs and commits the plan's changes.
+//! [`shards::plan`] decides what changes; it is a function of the replica and its inputs.
+//! This module gathers the inputs and commits the planned changes.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -21,21 +21,21 @@
     },
 };
 
-/// Changes in one commit at most, for the service's 64 KiB.
-pub(super) const OPS_PER_COMMIT: usize = 12;
-/// Between two writes of changes of shards that nobody waits for.
+/// Maximum number of operations in one commit, for the state service's limit of 64 KiB.
+pub(super) const MAX_OPS_PER_COMMIT: usize = 12;
+/// Minimum interval between two commits of shard changes that are not urgent.
 const USE_WRITE_INTERVAL: Duration = Duration::from_millis(2_500);
-/// A move of a shard that has not happened within this time is given up.
+/// A shard move that has not happened within this time is abandoned.
 const SHARD_MOVE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Changes of shards and allocations, with the transaction that carries them out.
+/// Planned changes of shards and allocations, with the transaction that applies them.
 struct PlannedLeases {
     changes: ShardPlanChanges,
     transaction: Transaction,
 }
 
 impl Leader {
-    /// Plans the shards and budgets anew, and commits what has changed.
+    /// Plans the shard leases and budgets, and commits the changes.
     pub(super) async fn lease_shards(self: &Arc<Self>) {
         let Some(PlannedLeases {
             changes,
@@ -54,7 +54,7 @@
         {
             Ok(revision) => {
                 log_granted(&changes, revision);
-                // The next pass wants the cache to have caught up.
+                // The next pass needs a cache that includes this commit.
                 self.context.store.read_barrier().await;
                 self.context.leader_wakeup.notify_one();
             }
@@ -64,7 +64,8 @@
         }
     }
 
-    /// What is to change now; none while the cache may lack what an earlier leader wrote.
+    /// Returns the changes that are due, or none while the cache may lack commits of an earlier
+    /// leader.
     fn plan_leases(&self) -> Option<PlannedLeases> {
         let controllers_transfer = self.controllers_transfer();
         let cache = self.context.store.cache();
@@ -80,18 +81,20 @@
         })
     }
 
-    /// Whether the cache shows all that was written before we were elected. Our own claim
-    /// is in it ahead of the watch: a leader that follows an earlier process of its controller
-    /// could otherwise grant what a late commit of that one has granted already.
+    /// Whether the cache includes all commits from before this process was elected. Its own
+    /// claim is in the cache before the watch has reached the claim's revision. Without this
+    /// check, a leader elected after an earlier process of the same controller could grant
+    /// quota that a late commit of that process has already granted.
     fn has_applied_election(&self, cache: &StateCache) -> bool {
         let claim = cache.leader.as_ref().map(|entry| entry.revision);
         claim.is_some_and(|claim| cache.revision >= claim)
     }
 
-    /// The inputs of this pass's plan; quota deficits are planned for once.
+    /// Returns the inputs of this pass's plan. Takes the quota deficits out of the state, so
+    /// that each is planned for only once.
     fn shard_plan_inputs(&self, cache: &StateCache, controllers_transfer: bool) -> ShardPlanInputs {
         let mut state = lock(&self.state);
-        forget_finished_moves(cache, &mut state);
+        drop_finished_moves(cache, &mut state);
         state.fleet.draining_machines.observe(cache);
         ShardPlanInputs {
             moving: state
@@ -99,31 +102,32 @@
                 .iter()
                 .map(|(id, shard_move)| (*id, shard_move.to.clone()))
                 .collect(),
-            releasing: state.machines_to_empty(),
+            releasing: state.releasing_when_empty(),
             draining_machines: state.fleet.draining_machines.names(),
             owner_unreachable: state.owner_unreachable.clone(),
             avoided_owners: state.fleet.avoided_owners.keys().cloned().collect(),
             deficit: std::mem::take(&mut state.deficit),
             reserved: state.reserved.clone(),
-            max_changes: self.context.config.state.txn_ops.min(OPS_PER_COMMIT),
+            max_changes: self.context.config.state.txn_ops.min(MAX_OPS_PER_COMMIT),
             controllers_transfer,
-            free: state.free.clone(),
+            free_quota: state.free_quota.clone(),
             in_flight: quota_in_flight(cache, &state.offered),
             demand: state.demand.clone(),
         }
     }
 
-    /// Whether changes of shards that nobody waits for are put off, so that those of one
-    /// shard come together. A shrinking fleet drains, cordons and loses a machine at a time:
-    /// written one by one that took so much of the leader's part of the state service's
-    /// changes that the machines it owned itself were not served.
+    /// Whether these changes are not urgent and are left for a later pass, so that several
+    /// changes of one shard are written together. A shrinking fleet drains, cordons and
+    /// releases one machine at a time: written one by one, these changes used so much of the
+    /// leader's share of the state service's rate limit that the machines that the leader
+    /// owned itself were not served.
     fn is_deferred(&self, changes: &ShardPlanChanges) -> bool {
-        let can_wait = changes.can_wait(&self.context.store.cache());
+        let is_deferrable = changes.is_deferrable(&self.context.store.cache());
         let mut state = lock(&self.state);
         let is_due = state
             .last_use_write
             .is_none_or(|at| at.elapsed() >= USE_WRITE_INTERVAL);
-        if !can_wait {
+        if !is_deferrable {
             return false;
         }
         if is_due {
@@ -133,8 +137,8 @@
     }
 }
 
-/// Forgets moves of shards that have happened, or have taken too long.
-fn forget_finished_moves(cache: &StateCache, state: &mut LeaderState) {
+/// Drops shard moves that have happened, or have exceeded [`SHARD_MOVE_TIMEOUT`].
+fn drop_finished_moves(cache: &StateCache, state: &mut LeaderState) {
     state.moving.retain(|id, shard_move| {
         shard_move.since.elapsed() < SHARD_MOVE_TIMEOUT
             && cache
@@ -144,7 +148,7 @@
     });
 }
 
-/// Quota of the tasks that are offered to owners and not yet placed.
+/// Returns the quota of tasks that are offered to owners and not yet placed.
 fn quota_in_flight(
     cache: &StateCache,
     offered: &OutstandingOffers,
--- a/src/coordination/leader/shards/changes.rs
+++ b/src/coordination/leader/shards/changes.rs
@@ -1,4 +1,4 @@
-//! What a shard plan changes, and the transaction that carries it out.
+//! The changes of a shard plan, and the transaction that applies them.
 
 use std::collections::BTreeMap;
 
@@ -10,15 +10,15 @@
     records::{AllocationRecord, ShardRecord},
 };
 
-/// The records that change in one pass, all of them in one commit.
+/// The records that change in one pass, all in one commit.
 #[derive(Debug, Default)]
 pub struct ShardPlanChanges {
     /// Quota allocations by their controller.
     pub allocations: BTreeMap<ControllerName, AllocationRecord>,
-    /// Shards with their owners and machines.
+    /// Shard records by the shard's id.
     pub shards: BTreeMap<ShardId, ShardRecord>,
-    /// What the controllers' budgets should be, of teams of which some lacks quota. They
-    /// are sent, not written.
+    /// Target budgets of the controllers, for teams with a quota deficit. They are sent to the
+    /// controllers and not stored.
     pub targets: Targets,
 }
 
@@ -29,10 +29,10 @@
         self.allocations.is_empty() && self.shards.is_empty()
     }
 
-    /// Whether nobody waits for it: machines change their use within their shards, or
-    /// are out of them since they are terminated.
+    /// Whether the changes are not urgent: they only change the use of machines within their
+    /// shards, or remove terminated machines.
     #[must_use]
-    pub fn can_wait(&self, cache: &StateCache) -> bool {
+    pub fn is_deferrable(&self, cache: &StateCache) -> bool {
         let changes_use_only = |(id, shard): (&ShardId, &ShardRecord)| {
             let known = cache.shards.get(id);
             known.is_some_and(|entry| has_same_lease(cache, &entry.value, shard))
@@ -40,8 +40,8 @@
         self.allocations.is_empty() && self.shards.iter().all(changes_use_only)
     }
 
-    /// The commit that carries it out, on condition that the records are still
-    /// those of the cache.
+    /// Returns the transaction that applies the changes, on condition that the records are
+    /// unchanged since the cache's revisions of them.
     #[must_use]
     pub fn transaction(&self, cache: &StateCache) -> Transaction {
         let mut transaction = Transaction::default();
@@ -67,7 +67,8 @@
     }
 }
 
-/// Whether a shard keeps its owner, gets no machines and loses only terminated ones.
+/// Whether a shard keeps its owner and its cordoned state, gets no machines and loses only
+/// terminated ones.
 fn has_same_lease(cache: &StateCache, old: &ShardRecord, new: &ShardRecord) -> bool {
     let has_same_owner = old.controller == new.controller && old.owner == new.owner;
     let mut added = new
--- a/src/coordination/leader/shards/inputs.rs
+++ b/src/coordination/leader/shards/inputs.rs
@@ -1,4 +1,4 @@
-//! What the shard plan takes into account beside the replica.
+//! Inputs of the shard plan other than the replica.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,35 +7,35 @@
     storage::{ControllerName, MachineId, Quota, ShardId, TeamName},
 };
 
-/// What the plan takes into account beside the cache.
+/// Inputs of the shard plan other than the cache.
 #[derive(Debug, Default)]
 pub struct ShardPlanInputs {
-    /// Shards to be leased to another controller, which are cordoned first.
+    /// Shards that are to be leased to another controller, after they were cordoned.
     pub moving: BTreeMap<ShardId, ControllerName>,
-    /// Machines that stay cordoned.
+    /// Machines that are to be cordoned since they are being released.
     pub releasing: BTreeSet<MachineId>,
     /// The machines that are draining.
     pub draining_machines: BTreeSet<MachineId>,
-    /// Machines whose owner has lost them while this controller hears them.
+    /// Machines that their owner cannot reach, each with the controller that can.
     pub owner_unreachable: BTreeMap<MachineId, ControllerName>,
-    /// Controllers that have lately lost machines of theirs: they get no new ones
-    /// as long as there are others.
+    /// Controllers that recently lost contact with machines of theirs. They get new machines
+    /// only if there is no other controller.
     pub avoided_owners: BTreeSet<ControllerName>,
-    /// Quota that a controller lacks for tasks that it has room for.
+    /// Quota that a controller lacks for tasks for which it has room.
     pub deficit: BTreeMap<(ControllerName, TeamName), Quota>,
-    /// Quota that a controller is about to need beside what it uses, for tasks that
-    /// begin together at several of them. Taken away, it would be lacking next, and
-    /// budgets would alternate between controllers.
+    /// Quota that a controller is about to need in addition to what it uses, for tasks that
+    /// start together at several controllers. If it were reclaimed, the controller would have
+    /// a deficit next, and budgets would alternate between controllers.
     pub reserved: BTreeMap<(ControllerName, TeamName), Quota>,
-    /// Records that one commit may change.
+    /// Maximum number of records that one commit may change.
     pub max_changes: usize,
-    /// Controllers transfer budgets to each other: the plan names targets in place of
-    /// taking unused budget away.
+    /// Whether controllers transfer quota to each other. The plan then contains targets instead
+    /// of reclaiming unused budget.
     pub controllers_transfer: bool,
-    /// What is free on each controller's machines.
-    pub free: BTreeMap<ControllerName, Quota>,
-    /// Quota of tasks that are under way to controllers.
+    /// Free capacity on each controller's machines.
+    pub free_quota: BTreeMap<ControllerName, Quota>,
+    /// Quota of tasks that are offered to controllers and not yet placed.
     pub in_flight: BTreeMap<(ControllerName, TeamName), Quota>,
-    /// Tasks with room that lack quota, the most pressing first.
+    /// Tasks for which there is room but no quota, the most urgent first.
     pub demand: Vec<QuotaDemand>,
 }
--- a/src/coordination/leader/shards/machine_assignment.rs
+++ b/src/coordination/leader/shards/machine_assignment.rs
@@ -1,4 +1,4 @@
-//! Which shard each machine is in, and what it may be used for there.
+//! Assigns machines to shards and sets their uses.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,11 @@
     records::{MachineUse, ShardRecord},
 };
 
-/// One of so many machines of a shard terminated is reason enough to change the shard.
-const TERMINATED_FRACTION: usize = 4;
+/// A shard is changed to remove its terminated machines if they are more than one in this many
+/// of its machines.
+const TERMINATED_DIVISOR: usize = 4;
 
-/// The first shard of all.
+/// Id of the first shard.
 const FIRST_SHARD: ShardId = ShardId(1);
 
 /// A machine whose use within its shard changes.
@@ -22,22 +23,23 @@
 }
 
 impl ShardPlan<'_> {
-    /// Machines that stand in no machine group have been released. They do no harm in a
-    /// shard, while each change of it voids placements that are under way: they
-    /// go when there are several, or when the shard changes anyway.
+    /// Removes terminated machines, which are those in no machine group, from their shards. They
+    /// do no harm there, while each change of a shard voids its placements in flight. They are
+    /// therefore removed only if they exceed one in [`TERMINATED_DIVISOR`] of the shard, or if
+    /// the shard changes anyway.
     pub(super) fn remove_terminated(&mut self) {
         let cache = self.cache;
         let is_terminated = |machine: &MachineId| !cache.machines.contains_key(machine);
         let mut with_terminated: Vec<ShardId> = Vec::new();
         for (id, shard) in &self.shards {
             let count = shard.machines.keys().filter(|m| is_terminated(m)).count();
-            let changes_anyway = self.touched.contains(id);
-            if count > shard.machines.len() / TERMINATED_FRACTION || (count > 0 && changes_anyway) {
+            let changes_anyway = self.changed_shards.contains(id);
+            if count > shard.machines.len() / TERMINATED_DIVISOR || (count > 0 && changes_anyway) {
                 with_terminated.push(*id);
             }
         }
         for id in with_terminated {
-            if self.touch(id)
+            if self.reserve_shard_change(id)
                 && let Some(shard) = self.shards.get_mut(&id)
             {
                 shard.machines.retain(|machine, _| !is_terminated(machine));
@@ -45,8 +47,8 @@
         }
     }
 
-    /// A shard of this controller for one more machine of the zone; a new one if
-    /// need be.
+    /// Returns a shard of this controller with space for a machine of the zone, or the id of a
+    /// new shard if there is none.
     pub(super) fn shard_with_space(
         &self,
         controller: &ControllerName,
@@ -59,25 +61,25 @@
                 && !shard.cordoned
                 && shard.machines.len() < SHARD_SIZE
         };
-        let is_of_zone = |id: ShardId| self.zone_of(id).is_none_or(|other| other == *zone);
-        // One that changes in this pass anyway, else the fullest, so that few
-        // machines are disturbed.
+        let is_in_zone = |id: ShardId| self.zone_of(id).is_none_or(|other| other == *zone);
+        // Prefers a shard that changes in this pass anyway, then the fullest, so that changes
+        // of shards affect few machines.
         self.shards
             .iter()
-            .filter(|(id, shard)| has_space(shard) && is_of_zone(**id))
-            .max_by_key(|(id, shard)| (self.touched.contains(id), shard.machines.len()))
+            .filter(|(id, shard)| has_space(shard) && is_in_zone(**id))
+            .max_by_key(|(id, shard)| (self.changed_shards.contains(id), shard.machines.len()))
             .map(|(id, _)| *id)
             .or_else(|| Some(self.next_shard_id()))
     }
 
-    /// A name that no shard has.
+    /// Returns an id that no shard has.
     fn next_shard_id(&self) -> ShardId {
         let last = self.shards.keys().next_back();
         last.map_or(FIRST_SHARD, |id| ShardId(id.0 + 1))
     }
 
-    /// Puts a machine into a shard, which may be new.
-    pub(super) fn put_machine(
+    /// Adds a machine to a shard, which is created if it does not exist.
+    pub(super) fn add_machine(
         &mut self,
         id: ShardId,
         controller: &ControllerName,
@@ -95,10 +97,10 @@
         shard
             .machines
             .insert(machine.clone(), MachineUse::Available);
-        *self.load.entry(controller.clone()).or_default() += 1;
+        *self.machine_counts.entry(controller.clone()).or_default() += 1;
     }
 
-    /// Machines that are in no shard come into one.
+    /// Assigns machines that are in no shard to one.
     pub(super) fn assign_new_machines(&mut self) {
         for (machine, record) in &self.cache.machines {
             if self.cache.shard_of(machine).is_some() {
@@ -109,15 +111,15 @@
             };
             let new = std::slice::from_ref(machine);
             if let Some(id) = self.shard_with_space(&owner, &record.zone)
-                && self.touch_move(&[id], None, &owner, new)
+                && self.reserve_move(&[id], None, &owner, new)
             {
                 self.raise_budgets(&owner, new);
-                self.put_machine(id, &owner, machine);
+                self.add_machine(id, &owner, machine);
             }
         }
     }
 
-    /// Drains, cordons and uncordons machines.
+    /// Marks machines as draining, cordoned or available, as far as their use changes.
     pub(super) fn set_machine_uses(&mut self, inputs: &ShardPlanInputs) {
         let mut changes: Vec<UseChange> = Vec::new();
         for (id, shard) in &self.shards {
@@ -133,7 +135,7 @@
             }
         }
         for change in changes {
-            if self.touch(change.shard)
+            if self.reserve_shard_change(change.shard)
                 && let Some(shard) = self.shards.get_mut(&change.shard)
             {
                 shard.machines.insert(change.machine, change.new_use);
@@ -141,7 +143,7 @@
         }
     }
 
-    /// What a machine is to be used for.
+    /// Returns the use that a machine is to have.
     fn machine_use(
         &self,
         shard: &ShardRecord,
@@ -150,13 +152,15 @@
         inputs: &ShardPlanInputs,
     ) -> MachineUse {
         let target = inputs.owner_unreachable.get(machine);
-        let is_handed_off =
-            target.is_some_and(|target| *target != shard.controller && self.alive.contains(target));
+        let is_handed_off = target.is_some_and(|target| {
+            *target != shard.controller && self.live_controllers.contains(target)
+        });
         if is_handed_off || inputs.releasing.contains(machine) {
             return MachineUse::Cordoned;
         }
-        // One that is idle gets no more offers, which costs no change. One that has emptied
-        // keeps its mark, which costs none either: its owner would place replicas there.
+        // An idle machine is not marked as draining: the leader routes no tasks to it, which
+        // needs no change of the shard. A machine that was marked and is now idle keeps the
+        // mark, which needs no change either; without it its owner would place replicas there.
         let is_idle = !self.cache.on_machine.contains_key(machine);
         let is_marked = current_use == MachineUse::Draining;
         if inputs.draining_machines.contains(machine) && (is_marked || !is_idle) {
--- a/src/coordination/leader/shards/mod.rs
+++ b/src/coordination/leader/shards/mod.rs
@@ -1,18 +1,18 @@
-//! Which controller holds which machines, with what part of each team's limit.
+//! Plans which controller owns which machines, and which part of each team's limit it may use.
 //!
-//! Machines are leased in shards of bounded size; what a controller may use of
-//! the teams' limits stands in its allocation, over all its shards. A placement is
-//! conditional on both records.
+//! Machines are leased in shards of bounded size. A controller's allocation record has its
+//! budgets: the parts of the teams' limits that it may use on all its shards together. A
+//! placement is conditional on both the shard's record and the allocation record.
 //!
-//! Safety rests on one rule: what is taken away takes effect by a commit, and
-//! only what the cache shows after that commit is given to others. Placements
-//! are conditional on their allocation's and shard's records, so once the cache has
-//! passed these records' revisions, an allocation's use of a team's limit can only grow
-//! up to the budget in it. At any time the sum over allocations of max(budget, use),
-//! plus the use on machines of no allocation, stays within the limit.
+//! Safety depends on one rule: quota is taken away by a commit, and is granted to others only
+//! when the cache shows the state after that commit. Placements are conditional on the records
+//! of their allocation and shard. Therefore, once the cache has passed the revisions of these
+//! records, an allocation's use of a team's limit can only grow up to the allocation's budget.
+//! At any time the sum over allocations of max(budget, use), plus the use on machines of no
+//! allocation, stays within the limit.
 //!
-//! [`plan`] is a function of the replica and of its inputs; the leader commits what it returns
-//! in one transaction (see `shard_leasing`).
+//! [`plan`] is a function of the replica and its inputs; the leader commits the changes
+//! that it returns in one transaction (see `shard_leasing`).
 
 mod changes;
 mod inputs;
@@ -30,33 +30,33 @@
     state_cache::Versioned,
 };
 
-/// Machines in a shard at most: about 1 KiB of a record, and few machines whose
-/// token rises when one of them drains or joins.
+/// Maximum number of machines in a shard. It limits the record to about 1 KiB, and the number
+/// of machines that get a new fencing token when one of them is drained or added.
 pub const SHARD_SIZE: usize = 48;
 
-/// A pass needs at least this many changes: a machine that moves between two shards
-/// takes budget from one allocation to another.
+/// Minimum number of records that a pass may change: moving a machine changes two shards, and
+/// two allocations since its budget moves along.
 const MIN_CHANGES: usize = 4;
 
-/// The records as they are to be after this pass.
+/// The planned records after this pass.
 struct ShardPlan<'a> {
     cache: &'a StateCache,
     allocations: BTreeMap<ControllerName, AllocationRecord>,
     shards: BTreeMap<ShardId, ShardRecord>,
-    alive: Vec<ControllerName>,
+    live_controllers: Vec<ControllerName>,
     avoided_owners: &'a BTreeSet<ControllerName>,
-    /// Shards and allocations changed in this pass, together at most `max_changes`; what is
-    /// left comes in the next. Allocations come after shards, so that a commit of five changes
-    /// gets on with both.
-    touched: BTreeSet<ShardId>,
-    touched_allocations: BTreeSet<ControllerName>,
+    /// Shards and allocations that change in this pass, together at most `max_changes`; other
+    /// changes are left for the next pass. Quota is divided after shards have changed, so that
+    /// a commit of five changes makes progress with both.
+    changed_shards: BTreeSet<ShardId>,
+    changed_allocations: BTreeSet<ControllerName>,
     max_changes: usize,
-    /// Machines of each controller's shards.
-    load: BTreeMap<ControllerName, usize>,
+    /// Number of machines in each controller's shards.
+    machine_counts: BTreeMap<ControllerName, usize>,
     targets: Targets,
 }
 
-/// What changes in this pass; empty when all is well.
+/// Returns the changes of this pass, which are empty if nothing is to change.
 pub fn plan(cache: &StateCache, teams: &[Team], inputs: &ShardPlanInputs) -> ShardPlanChanges {
     if !has_caught_up(cache) {
         return ShardPlanChanges::default();
@@ -73,7 +73,7 @@
     plan.into_changes()
 }
 
-/// Whether every record is one that the cache has fully caught up with.
+/// Whether the cache has reached the revisions of all shard and allocation records in it.
 fn has_caught_up(cache: &StateCache) -> bool {
     let mut allocations = cache.allocations.values();
     let mut shards = cache.shards.values();
@@ -81,8 +81,8 @@
         && shards.all(|entry| entry.revision <= cache.revision)
 }
 
-/// The records' values, without the revisions at which they were written.
-fn values<K: Clone + Ord, V: Clone>(records: &BTreeMap<K, Versioned<V>>) -> BTreeMap<K, V> {
+/// Returns the values of records without their revisions.
+fn record_values<K: Clone + Ord, V: Clone>(records: &BTreeMap<K, Versioned<V>>) -> BTreeMap<K, V> {
     records
         .iter()
         .map(|(key, entry)| (key.clone(), entry.value.clone()))
@@ -90,57 +90,60 @@
 }
 
 impl<'a> ShardPlan<'a> {
-    /// The records as they are.
+    /// Creates a plan without changes.
     fn new(cache: &'a StateCache, inputs: &'a ShardPlanInputs) -> Self {
-        let mut load = BTreeMap::new();
+        let mut machine_counts = BTreeMap::new();
         for entry in cache.shards.values() {
             let shard = &entry.value;
-            *load.entry(shard.controller.clone()).or_default() += shard.machines.len();
+            *machine_counts.entry(shard.controller.clone()).or_default() += shard.machines.len();
         }
         Self {
             cache,
-            allocations: values(&cache.allocations),
-            shards: values(&cache.shards),
-            alive: cache.controllers.keys().cloned().collect(),
+            allocations: record_values(&cache.allocations),
+            shards: record_values(&cache.shards),
+            live_controllers: cache.controllers.keys().cloned().collect(),
             avoided_owners: &inputs.avoided_owners,
-            touched: BTreeSet::new(),
-            touched_allocations: BTreeSet::new(),
+            changed_shards: BTreeSet::new(),
+            changed_allocations: BTreeSet::new(),
             max_changes: inputs.max_changes.max(MIN_CHANGES),
-            load,
+            machine_counts,
             targets: Targets::default(),
         }
     }
 
-    /// Whether these may be changed in this pass, all of them; they then count.
-    fn touch_all(&mut self, shards: &[ShardId], allocations: &[&ControllerName]) -> bool {
+    /// Reserves changes of these shards and allocations, if all of them together fit into this
+    /// pass's limit of changes. Returns whether they do. Records that already change in this
+    /// pass do not count again.
+    fn reserve_changes(&mut self, shards: &[ShardId], allocations: &[&ControllerName]) -> bool {
         let mut new_shards = shards.to_vec();
-        new_shards.retain(|id| !self.touched.contains(id));
+        new_shards.retain(|id| !self.changed_shards.contains(id));
         new_shards.dedup();
         let new_allocations = allocations
             .iter()
-            .filter(|controller| !self.touched_allocations.contains(**controller));
-        let count = self.touched.len()
-            + self.touched_allocations.len()
+            .filter(|controller| !self.changed_allocations.contains(**controller));
+        let count = self.changed_shards.len()
+            + self.changed_allocations.len()
             + new_shards.len()
             + new_allocations.count();
         if count > self.max_changes {
             return false;
         }
-        self.touched.extend(new_shards);
-        self.touched_allocations
+        self.changed_shards.extend(new_shards);
+        self.changed_allocations
             .extend(allocations.iter().map(|controller| (*controller).clone()));
         true
     }
 
-    fn touch(&mut self, id: ShardId) -> bool {
-        self.touch_all(&[id], &[])
+    fn reserve_shard_change(&mut self, id: ShardId) -> bool {
+        self.reserve_changes(&[id], &[])
     }
 
-    fn touch_allocation(&mut self, controller: &ControllerName) -> bool {
-        self.touch_all(&[], &[controller])
+    fn reserve_allocation_change(&mut self, controller: &ControllerName) -> bool {
+        self.reserve_changes(&[], &[controller])
     }
 
-    /// A shard's machines are of one zone, as far as their owners were.
+    /// Returns the zone of a shard's machines, which are only added to a shard of their own zone;
+    /// none if no machine of the shard is known.
     fn zone_of(&self, id: ShardId) -> Option<ZoneName> {
         let shard = self.shards.get(&id)?;
         let machine = shard
@@ -156,18 +159,18 @@
         machines.cloned().collect()
     }
 
-    /// The records that differ from those of the cache.
+    /// Returns the records that differ from those in the cache.
     fn into_changes(self) -> ShardPlanChanges {
         ShardPlanChanges {
-            allocations: differing(self.allocations, &self.cache.allocations),
-            shards: differing(self.shards, &self.cache.shards),
+            allocations: changed_records(self.allocations, &self.cache.allocations),
+            shards: changed_records(self.shards, &self.cache.shards),
             targets: self.targets,
         }
     }
 }
 
-/// The planned records that are not as they stand in the cache.
-fn differing<K: Ord, V: PartialEq>(
+/// Returns the planned records that differ from those in the cache.
+fn changed_records<K: Ord, V: PartialEq>(
     mut planned: BTreeMap<K, V>,
     known: &BTreeMap<K, Versioned<V>>,
 ) -> BTreeMap<K, V> {
--- a/src/coordination/leader/shards/moves.rs
+++ b/src/coordination/leader/shards/moves.rs
@@ -1,7 +1,7 @@
-//! Moves of shards and of single machines between living controllers.
+//! Moves of shards and of single machines between live controllers.
 //!
-//! What moves is cordoned first, and moves when the cache shows it so, since only then what
-//! is on it is known for good.
+//! A shard or machine is first cordoned, and is moved once the cache shows it as cordoned, since
+//! only then is it certain which tasks are on it.
 
 use super::{ShardPlan, ShardPlanInputs};
 use crate::storage::{
@@ -20,8 +20,8 @@
 }
 
 impl<'a> ShardPlan<'a> {
-    /// Shards leased to another living controller: cordoned first, and moved when
-    /// the cache shows them so, since only then what is on them is known for good.
+    /// Moves shards to other live controllers. A shard is first cordoned, and moved once the
+    /// cache shows it as cordoned. Uncordons shards that are no longer to be moved.
     pub(super) fn move_shards(&mut self, inputs: &ShardPlanInputs) {
         for (id, entry) in &self.cache.shards {
             let target = inputs
@@ -36,18 +36,21 @@
         }
     }
 
-    /// Whether a shard may move to this controller: both it and the owner are alive.
+    /// Whether a shard may move to this controller: it is another one than the owner, and both
+    /// are alive.
     fn may_move(&self, shard: &ShardRecord, to: &ControllerName) -> bool {
-        *to != shard.controller && self.alive.contains(to) && self.cache.has_current_owner(shard)
+        *to != shard.controller
+            && self.live_controllers.contains(to)
+            && self.cache.has_current_owner(shard)
     }
 
     fn move_shard(&mut self, id: ShardId, entry: &Versioned<ShardRecord>, to: &ControllerName) {
         let shard = &entry.value;
         let machines: Vec<MachineId> = shard.machines.keys().cloned().collect();
-        if self.touch_move(&[id], Some(&shard.controller), to, &machines) {
+        if self.reserve_move(&[id], Some(&shard.controller), to, &machines) {
             self.lower_budgets(&shard.controller, &machines);
             self.raise_budgets(to, &machines);
-            self.hand_over(id, to);
+            self.assign_shard(id, to);
         }
     }
 
@@ -55,15 +58,15 @@
         let known = self.shards.get(&id);
         let differs = known.is_some_and(|shard| shard.cordoned != cordoned);
         if differs
-            && self.touch(id)
+            && self.reserve_shard_change(id)
             && let Some(shard) = self.shards.get_mut(&id)
         {
             shard.cordoned = cordoned;
         }
     }
 
-    /// The use leaves with machines, so must the budget for it: the old owner
-    /// could use it a second time.
+    /// Lowers a controller's budgets by the quota used on machines that leave it. Otherwise the
+    /// old owner could use the same quota a second time.
     fn lower_budgets(&mut self, from: &ControllerName, machines: &[MachineId]) {
         let moved = self.cache.quota_used(machines.iter());
         if let Some(allocation) = self.allocations.get_mut(from) {
@@ -75,8 +78,8 @@
         }
     }
 
-    /// Single machines that their owner has lost go to the one that hears them,
-    /// once the cache shows them cordoned.
+    /// Moves single machines that their owner cannot reach to the controller that can, once the
+    /// cache shows them as cordoned.
     pub(super) fn hand_off_unreachable(&mut self, inputs: &'a ShardPlanInputs) {
         for (machine, target) in &inputs.owner_unreachable {
             if let Some(hand_off) = self.hand_off(machine, target) {
@@ -85,7 +88,7 @@
         }
     }
 
-    /// The move of a machine, if it may happen now.
+    /// Returns the move of a machine, if it may happen now.
     fn hand_off(&self, machine: &'a MachineId, to: &'a ControllerName) -> Option<MachineMove<'a>> {
         let (shard, entry) = self.cache.shard_of(machine)?;
         let is_cordoned = entry.value.machines.get(machine) == Some(&MachineUse::Cordoned);
@@ -114,7 +117,7 @@
             return;
         };
         let moved = std::slice::from_ref(machine);
-        if !self.touch_move(&[shard, new_shard], Some(from), to, moved) {
+        if !self.reserve_move(&[shard, new_shard], Some(from), to, moved) {
             return;
         }
         self.lower_budgets(from, moved);
@@ -122,6 +125,6 @@
         if let Some(shard) = self.shards.get_mut(&shard) {
             shard.machines.remove(machine);
         }
-        self.put_machine(new_shard, to, machine);
+        self.add_machine(new_shard, to, machine);
     }
 }
--- a/src/coordination/leader/shards/ownership.rs
+++ b/src/coordination/leader/shards/ownership.rs
@@ -1,30 +1,32 @@
-//! Which process holds which allocation, and which of them get the shards of one that is dead.
+//! Assigns allocations to the controllers' current processes, and shards of dead or restarted
+//! processes to new owners.
 
 use super::ShardPlan;
 use crate::storage::{ControllerName, Incarnation, MachineId, ShardId, ZoneName};
 
-/// Who is to own a shard whose owner's allocation is fenced.
+/// The new owner of a shard whose owner's allocation has been fenced.
 enum NewOwner {
-    /// The restarted process of the controller that has it.
+    /// The restarted process of the same controller.
     SameController(ControllerName),
-    /// Another controller, since that one is dead.
+    /// Another controller, since the old one is dead.
     OtherController(ControllerName),
 }
 
 impl ShardPlan<'_> {
-    /// The living process of a controller.
+    /// Returns the incarnation of a controller's live process, if there is one.
     pub(super) fn incarnation(&self, controller: &ControllerName) -> Option<Incarnation> {
         Some(self.cache.controllers.get(controller)?.value.incarnation)
     }
 
-    /// Each living process holds its controller's allocation; a dead one holds nothing, and
-    /// its budgets are void. This alone fences all placements of the old process.
+    /// Assigns each allocation to its controller's live process. The allocation of a dead
+    /// controller gets no owner, and its budgets are removed. This change alone fences all
+    /// placements of the old process, since they are conditional on the allocation record.
     pub(super) fn assign_allocations(&mut self) {
         for (controller, entry) in &self.cache.controllers {
             let owner = Some(entry.value.incarnation);
             let known = self.allocations.get(controller);
             if known.is_none_or(|allocation| allocation.owner != owner)
-                && self.touch_allocation(controller)
+                && self.reserve_allocation_change(controller)
             {
                 self.allocations
                     .entry(controller.clone())
@@ -37,7 +39,7 @@
         });
         let dead: Vec<ControllerName> = dead.map(|(controller, _)| controller.clone()).collect();
         for controller in dead {
-            if self.touch_allocation(&controller)
+            if self.reserve_allocation_change(&controller)
                 && let Some(allocation) = self.allocations.get_mut(&controller)
             {
                 allocation.owner = None;
@@ -46,9 +48,9 @@
         }
     }
 
-    /// Shards whose owner's allocation is fenced, as the cache shows: a restarted
-    /// process gets its controller's shards with new tokens, those of a dead one go to
-    /// living controllers.
+    /// Leases shards whose owner's allocation has been fenced according to the cache. A restarted
+    /// process gets its controller's shards with new fencing tokens; the shards of a dead
+    /// controller go to live controllers.
     pub(super) fn lease_unowned(&mut self) {
         let unowned: Vec<(ShardId, ControllerName)> = self
             .cache
@@ -64,14 +66,14 @@
         }
     }
 
-    /// Leases a shard to its new owner if that may be done in this pass.
+    /// Leases a shard to its new owner if this pass's limit of changes allows it.
     fn lease_to(&mut self, id: ShardId, new_owner: &NewOwner) {
         let (controller, may_lease) = match new_owner {
-            // Its allocation has kept the budgets for what is on them.
-            NewOwner::SameController(controller) => (controller, self.touch(id)),
+            // The controller's allocation still contains the budgets for the tasks on the shard.
+            NewOwner::SameController(controller) => (controller, self.reserve_shard_change(id)),
             NewOwner::OtherController(controller) => {
                 let machines = self.machines_in(id);
-                let may_move = self.touch_move(&[id], None, controller, &machines);
+                let may_move = self.reserve_move(&[id], None, controller, &machines);
                 if may_move {
                     self.raise_budgets(controller, &machines);
                 }
@@ -79,12 +81,12 @@
             }
         };
         if may_lease {
-            self.hand_over(id, controller);
+            self.assign_shard(id, controller);
         }
     }
 
-    /// Who is to own a shard that a fenced process of this controller owned. None while its
-    /// allocation passes to another process, in this pass.
+    /// Returns the new owner of a shard that a fenced process of this controller owned, or none
+    /// while the allocation is still being assigned to another process in this pass.
     fn new_owner(&self, id: ShardId, controller: ControllerName) -> Option<NewOwner> {
         let allocated_to = self
             .cache
@@ -97,61 +99,68 @@
         }
         let zone = self.zone_of(id);
         zone.and_then(|zone| self.owner_for_zone(&zone))
-            .or_else(|| self.alive.first().cloned())
+            .or_else(|| self.live_controllers.first().cloned())
             .map(NewOwner::OtherController)
     }
 
-    /// The living controller for machines of this zone: one of the zone, else
-    /// the one with the fewest machines.
+    /// Returns the live controller for machines of this zone: preferably not one that recently
+    /// lost machines, then one in the zone, then the one with the fewest machines.
     pub(super) fn owner_for_zone(&self, zone: &ZoneName) -> Option<ControllerName> {
-        let is_near = |controller: &ControllerName| {
+        let is_in_zone = |controller: &ControllerName| {
             let record = self.cache.controllers.get(controller);
             record.is_some_and(|entry| entry.value.zone == *zone)
         };
-        self.alive
+        self.live_controllers
             .iter()
             .min_by_key(|controller| {
                 let is_avoided = self.avoided_owners.contains(*controller);
-                let load = self.load.get(*controller).copied().unwrap_or(0);
-                (is_avoided, !is_near(controller), load, *controller)
+                let machine_count = self.machine_counts.get(*controller).copied().unwrap_or(0);
+                (
+                    is_avoided,
+                    !is_in_zone(controller),
+                    machine_count,
+                    *controller,
+                )
             })
             .cloned()
     }
 
-    /// Leases a shard to a controller's living process.
-    pub(super) fn hand_over(&mut self, id: ShardId, to: &ControllerName) {
+    /// Leases a shard to a controller's live process.
+    pub(super) fn assign_shard(&mut self, id: ShardId, to: &ControllerName) {
         let Some(owner) = self.incarnation(to) else {
             return;
         };
         if let Some(shard) = self.shards.get_mut(&id) {
             let count = shard.machines.len();
-            if let Some(load) = self.load.get_mut(&shard.controller) {
-                *load = load.saturating_sub(count);
+            if let Some(machine_count) = self.machine_counts.get_mut(&shard.controller) {
+                *machine_count = machine_count.saturating_sub(count);
             }
-            *self.load.entry(to.clone()).or_default() += count;
+            *self.machine_counts.entry(to.clone()).or_default() += count;
             shard.controller = to.clone();
             shard.owner = owner;
             shard.cordoned = false;
         }
     }
 
-    /// Whether the controller's allocation may be changed at all: the living process holds it.
+    /// Whether the controller's live process holds its allocation, so that the budgets in it may
+    /// be raised.
     pub(super) fn has_current_allocation(&self, controller: &ControllerName) -> bool {
         let owner = self.incarnation(controller);
         let allocation = self.allocations.get(controller);
         owner.is_some() && allocation.is_some_and(|allocation| allocation.owner == owner)
     }
 
-    /// Whether machines that move to a controller raise its budgets, as they bring tasks
-    /// along. It may not have read yet what came to it, and places within the budgets
-    /// that it knows: only a change of its allocation voids that. By the larger of budget and
-    /// use alone, what it places then would be granted to others as well.
+    /// Whether moving these machines to a controller raises its budgets, since tasks run on
+    /// them. Until the new owner has read that the machines are its own, it places tasks within
+    /// the budgets that it knows, and only a change of its allocation makes these placements
+    /// fail. If its budgets stayed the same and only max(budget, use) were counted for it, the
+    /// quota of these placements would be granted to others as well.
     fn raises_budgets(&self, machines: &[MachineId]) -> bool {
         !self.cache.quota_used(machines.iter()).is_empty()
     }
 
-    /// Raises a controller's budgets by what is used on machines that come to it. What is
-    /// used there can only shrink meanwhile: nobody places on them.
+    /// Raises a controller's budgets by the quota used on machines that are moved to it. This use
+    /// cannot grow in the meantime, since no controller places tasks on these machines.
     pub(super) fn raise_budgets(&mut self, to: &ControllerName, machines: &[MachineId]) {
         let moved = self.cache.quota_used(machines.iter());
         if let Some(allocation) = self.allocations.get_mut(to) {
@@ -162,9 +171,10 @@
         }
     }
 
-    /// Whether a shard and its machines may move to a controller in this pass, with the
-    /// allocations that change for it; they then count.
-    pub(super) fn touch_move(
+    /// Reserves the changes for moving machines to a controller in this pass: those of the given
+    /// shards, and of the allocations of the old and the new owner. Returns whether the move may
+    /// happen in this pass.
+    pub(super) fn reserve_move(
         &mut self,
         shards: &[ShardId],
         from: Option<&ControllerName>,
@@ -179,6 +189,6 @@
         if raises_budgets {
             allocations.push(to);
         }
-        self.touch_all(shards, &allocations)
+        self.reserve_changes(shards, &allocations)
     }
 }
--- a/src/coordination/leader/shards/quota_division.rs
+++ b/src/coordination/leader/shards/quota_division.rs
@@ -1,8 +1,9 @@
-//! How the teams' limits are divided between the allocations.
+//! Divides the teams' limits between the allocations.
 //!
-//! What no allocation can use is granted to those that lack some. Beyond that, budget has to
-//! come from other allocations: either the leader takes unused parts away, to grant them in its
-//! next pass, or it names targets and the controllers transfer budgets to each other.
+//! Quota that no allocation can use is granted to allocations with a deficit. If that does not
+//! suffice, budget has to come from other allocations: either the leader reclaims unused parts
+//! to grant them in its next pass, or it plans targets and the controllers transfer budgets to
+//! each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,29 +12,31 @@
 use super::{ShardPlan, ShardPlanInputs};
 use crate::storage::{ControllerName, MachineId, Quota, Team, TeamName, records::AllocationRecord};
 
-/// What each controller's budgets should be.
+/// The target budgets of each controller, by team.
 pub type Targets = BTreeMap<ControllerName, BTreeMap<TeamName, Quota>>;
 
-/// Budgets are only moved in steps of at least this.
+/// Minimum amount by which budgets are changed, in CPUs or GPUs.
 pub(super) const MIN_QUOTA_STEP: f64 = 0.01;
-/// What an allocation is given, of what it lacks.
+/// Grant to an allocation, as a multiple of its deficit.
 const GRANT_FACTOR: f64 = 1.5;
-/// ... at least this part of what nobody has.
+/// Minimum grant, as a fraction of the unclaimed quota.
 const MIN_GRANT_FRACTION: f64 = 0.15;
-/// Part of its unused budget that an allocation gives up when others lack some.
+/// Minimum fraction of an allocation's unused budget that is reclaimed from it when others have
+/// a deficit.
 const RECLAIM_FRACTION: f64 = 0.5;
-/// Part of a limit that is retained for those who ask, when the rest is spread over all.
+/// Fraction of a limit that is retained to be granted on demand. If more than that is unclaimed
+/// and no controller has a deficit, all that is unclaimed is divided equally.
 pub(super) const RETAINED_FRACTION: f64 = 0.1;
 
-/// What is used of the teams' limits, with machines where they are after the pass.
+/// Use of the teams' limits, with each machine counted for its owner after this pass.
 struct PlannedUse {
     by_controller: BTreeMap<ControllerName, BTreeMap<TeamName, Quota>>,
-    /// On machines of no shard.
-    outside: BTreeMap<TeamName, Quota>,
+    /// Use on machines of no shard.
+    outside_shards: BTreeMap<TeamName, Quota>,
 }
 
 impl PlannedUse {
-    fn of(&self, controller: &ControllerName, team: &TeamName) -> Quota {
+    fn by(&self, controller: &ControllerName, team: &TeamName) -> Quota {
         let used = self
             .by_controller
             .get(controller)
@@ -41,23 +44,24 @@
         used.copied().unwrap_or_default()
     }
 
-    fn outside(&self, team: &TeamName) -> Quota {
-        self.outside.get(team).copied().unwrap_or_default()
+    fn outside_shards(&self, team: &TeamName) -> Quota {
+        self.outside_shards.get(team).copied().unwrap_or_default()
     }
 }
 
-/// Quota that a controller lacks for tasks that it has room for.
+/// Quota that a controller lacks for tasks for which it has room.
 struct Deficit {
     controller: ControllerName,
     missing: Quota,
 }
 
 impl ShardPlan<'_> {
-    /// Grants what no allocation can use to those that lack it. For the rest it plans what other
-    /// allocations should give.
+    /// Grants unclaimed quota to controllers with a deficit. For what is missing beyond that,
+    /// either plans targets or reclaims unused budget of other allocations. If there is no
+    /// deficit, divides unclaimed quota equally.
     pub(super) fn divide_quota(&mut self, teams: &[Team], inputs: &ShardPlanInputs) {
         let controllers: Vec<ControllerName> = self
-            .alive
+            .live_controllers
             .iter()
             .filter(|controller| self.allocations.contains_key(*controller))
             .cloned()
@@ -65,22 +69,22 @@
         if controllers.is_empty() {
             return;
         }
-        let used = self.use_after();
+        let used = self.planned_use();
         let mut demands: BTreeMap<TeamName, TeamDemand<ControllerName>> = BTreeMap::new();
         for team in teams {
             let claimed = self.claimed(&team.name, &used);
             let mut unclaimed = team.limit.minus(&claimed).at_least_zero();
             let deficits = deficits(&controllers, &team.name, inputs);
-            let unmet = self.grant(team, &deficits, &mut unclaimed, &used);
+            let unmet = self.grant_unclaimed(team, &deficits, &mut unclaimed, &used);
             if unmet.exceeds(MIN_QUOTA_STEP) && inputs.controllers_transfer {
                 let demand = self.demand_of(team, &used, inputs);
                 demands.insert(team.name.clone(), demand);
             } else if unmet.exceeds(MIN_QUOTA_STEP) {
                 self.reclaim_unused(team, &deficits, unmet, &used, inputs);
-            } else if is_beyond_retained(team, &unclaimed) {
+            } else if exceeds_retained(team, &unclaimed) {
                 let part = unclaimed.times(1.0 / controllers.len() as f64);
                 for controller in &controllers {
-                    self.give(controller, &team.name, part, &used);
+                    self.add_to_budget(controller, &team.name, part, &used);
                 }
             }
         }
@@ -89,8 +93,8 @@
         }
     }
 
-    /// What is used once this pass's moves have happened.
-    fn use_after(&self) -> PlannedUse {
+    /// Returns the use of the teams' limits after this pass's moves.
+    fn planned_use(&self) -> PlannedUse {
         let mut by_controller: BTreeMap<ControllerName, BTreeMap<TeamName, Quota>> =
             BTreeMap::new();
         let mut in_shards: BTreeSet<&MachineId> = BTreeSet::new();
@@ -106,11 +110,12 @@
         let outside = others.filter(|id| !in_shards.contains(id));
         PlannedUse {
             by_controller,
-            outside: self.cache.quota_used(outside),
+            outside_shards: self.cache.quota_used(outside),
         }
     }
 
-    /// The sum over allocations of the larger of budget and use, and what is used elsewhere.
+    /// Returns the part of a team's limit that is claimed: the sum over allocations of max(budget,
+    /// use), plus the use on machines of no shard.
     fn claimed(&self, team: &TeamName, used: &PlannedUse) -> Quota {
         let controllers: BTreeSet<&ControllerName> = self
             .allocations
@@ -121,13 +126,13 @@
             .into_iter()
             .map(|controller| {
                 self.budget_of(controller, team)
-                    .max(&used.of(controller, team))
+                    .max(&used.by(controller, team))
             })
-            .fold(used.outside(team), |sum, claim| sum.plus(&claim))
+            .fold(used.outside_shards(team), |sum, claim| sum.plus(&claim))
     }
 
-    /// What a controller may act on: the record of the cache until this pass is written,
-    /// the planned one from then on.
+    /// Returns the largest budget within which a controller may place tasks: that of the record
+    /// in the cache until this pass is committed, and the planned one afterwards.
     fn budget_of(&self, controller: &ControllerName, team: &TeamName) -> Quota {
         let budget = |allocation: &AllocationRecord| {
             allocation.budgets.get(team).copied().unwrap_or_default()
@@ -139,9 +144,9 @@
         known.max(&planned)
     }
 
-    /// Gives to those that lack some from what no allocation can use. Returns what is missing
-    /// beyond that.
-    fn grant(
+    /// Grants unclaimed quota to controllers with a deficit. Returns the sum of the deficits that
+    /// remain.
+    fn grant_unclaimed(
         &mut self,
         team: &Team,
         deficits: &[Deficit],
@@ -155,7 +160,9 @@
         } in deficits
         {
             let part = by_resource(missing, unclaimed, grant_amount);
-            if part.exceeds(MIN_QUOTA_STEP) && self.give(controller, &team.name, part, used) {
+            if part.exceeds(MIN_QUOTA_STEP)
+                && self.add_to_budget(controller, &team.name, part, used)
+            {
                 *unclaimed = unclaimed.minus(&part);
             }
             unmet = unmet.plus(&missing.minus(&part).at_least_zero());
@@ -163,27 +170,29 @@
         unmet
     }
 
-    /// Raises a controller's budget. False: its allocation can't be changed any more in this
-    /// pass.
-    fn give(
+    /// Raises a controller's budget for a team. Returns false if this pass's limit of changes
+    /// does not allow that.
+    fn add_to_budget(
         &mut self,
         controller: &ControllerName,
         team: &TeamName,
         added: Quota,
         used: &PlannedUse,
     ) -> bool {
-        if !self.touch_allocation(controller) {
+        if !self.reserve_allocation_change(controller) {
             return false;
         }
         if let Some(allocation) = self.allocations.get_mut(controller) {
             let budget = allocation.budgets.entry(team.clone()).or_default();
-            // Up to what it uses costs nothing: that is counted already.
-            *budget = budget.max(&used.of(controller, team)).plus(&added);
+            // The controller's use is claimed already, so that raising a lower budget to it
+            // claims nothing more.
+            *budget = budget.max(&used.by(controller, team)).plus(&added);
         }
         true
     }
 
-    /// Takes unused budget away, to be granted once the cache shows that it has been.
+    /// Reclaims unused budget of controllers without a deficit, which is granted to others once
+    /// the cache shows the lower budgets.
     fn reclaim_unused(
         &mut self,
         team: &Team,
@@ -206,12 +215,12 @@
                 continue;
             };
             let used_or_reserved = used
-                .of(controller, &team.name)
+                .by(controller, &team.name)
                 .plus(&reserved(controller, team, inputs));
             let unused = budget.minus(&used_or_reserved).at_least_zero();
             let part = by_resource(&unused, &unmet, reclaim_amount);
             if part.exceeds(MIN_QUOTA_STEP)
-                && self.touch_allocation(controller)
+                && self.reserve_allocation_change(controller)
                 && let Some(allocation) = self.allocations.get_mut(controller)
                 && let Some(budget) = allocation.budgets.get_mut(&team.name)
             {
@@ -221,7 +230,7 @@
         }
     }
 
-    /// What a team of which some controller lacks quota uses, could use and holds.
+    /// Returns the limit, use, allocations and waiting tasks of a team with a quota deficit.
     fn demand_of(
         &self,
         team: &Team,
@@ -231,7 +240,7 @@
         let name = &team.name;
         let mut demand = TeamDemand {
             guaranteed: team.guaranteed,
-            limit: team.limit.minus(&used.outside(name)).at_least_zero(),
+            limit: team.limit.minus(&used.outside_shards(name)).at_least_zero(),
             fixed: BTreeMap::new(),
             allocated: BTreeMap::new(),
             wanted: inputs
@@ -245,7 +254,7 @@
             let budget = allocation.budgets.get(name).copied().unwrap_or_default();
             let in_flight = inputs.in_flight.get(&(controller.clone(), name.clone()));
             let fixed = used
-                .of(controller, name)
+                .by(controller, name)
                 .plus(&in_flight.copied().unwrap_or_default());
             demand.allocated.insert(controller.clone(), budget);
             demand.fixed.insert(controller.clone(), fixed);
@@ -253,14 +262,18 @@
         demand
     }
 
-    /// What the controllers' budgets should be, of teams of which some controller lacks quota.
+    /// Returns the target budgets of the controllers, for teams with a quota deficit.
     fn plan_targets(
         &self,
         teams: BTreeMap<TeamName, TeamDemand<ControllerName>>,
         inputs: &ShardPlanInputs,
     ) -> Targets {
         let room_of = |controller: &ControllerName| {
-            let free = inputs.free.get(controller).copied().unwrap_or_default();
+            let free = inputs
+                .free_quota
+                .get(controller)
+                .copied()
+                .unwrap_or_default();
             let fixed = teams
                 .values()
                 .filter_map(|demand| demand.fixed.get(controller));
@@ -277,7 +290,7 @@
         let division = plan_targets(&problem, &LinearLimits::default());
         for method in &division.methods {
             if let Method::Plain(reason @ (NotSolved::Late | NotSolved::Failed(_))) = method {
-                tracing::info!(%reason, "quota targets by the fallback rule");
+                tracing::info!(%reason, "quota targets computed by the fallback rule");
             }
         }
         let mut targets = Targets::new();
@@ -293,14 +306,14 @@
     }
 }
 
-/// Whether so much of a team's limit is claimed by nobody that it is worth spreading.
-fn is_beyond_retained(team: &Team, unclaimed: &Quota) -> bool {
+/// Whether more of a team's limit is unclaimed than the fraction that is retained.
+fn exceeds_retained(team: &Team, unclaimed: &Quota) -> bool {
     let exceeds =
         |unclaimed: f64, limit: f64| unclaimed > MIN_QUOTA_STEP.max(limit * RETAINED_FRACTION);
     exceeds(unclaimed.cpus, team.limit.cpus) || exceeds(unclaimed.gpus, team.limit.gpus)
 }
 
-/// Computes an amount of each resource by itself.
+/// Computes an amount for each resource separately.
 fn by_resource(left: &Quota, right: &Quota, amount: impl Fn(f64, f64) -> f64) -> Quota {
     Quota {
         cpus: amount(left.cpus, right.cpus),
@@ -308,8 +321,9 @@
     }
 }
 
-/// What a controller that misses some gets of what nobody claims: more than it lacks now,
-/// since a change of its allocation voids the placements that it has under way.
+/// Returns the amount of unclaimed quota that is granted for a deficit. It is larger than the
+/// deficit, to make few changes of the allocation: each voids the controller's placements in
+/// flight.
 fn grant_amount(missing: f64, unclaimed: f64) -> f64 {
     if missing <= MIN_QUOTA_STEP {
         return 0.0;
@@ -319,8 +333,8 @@
         .min(unclaimed)
 }
 
-/// What is taken of a controller's unused budget. What is taken beyond the need is there for
-/// the next that lacks some, with one change of one allocation.
+/// Returns the amount that is reclaimed of a controller's unused budget. It may be larger than
+/// the unmet deficit, so that the next deficit can be met by changing only one allocation.
 fn reclaim_amount(unused: f64, unmet: f64) -> f64 {
     if unmet <= MIN_QUOTA_STEP {
         return 0.0;
@@ -328,7 +342,7 @@
     unmet.max(unused * RECLAIM_FRACTION).min(unused)
 }
 
-/// Quota that a controller is about to need beside what it uses.
+/// Returns the quota of a team that a controller is about to need in addition to what it uses.
 fn reserved(controller: &ControllerName, team: &Team, inputs: &ShardPlanInputs) -> Quota {
     let reserved = inputs
         .reserved
@@ -336,7 +350,7 @@
     reserved.copied().unwrap_or_default()
 }
 
-/// The controllers that lack a team's quota.
+/// Returns the controllers that have a deficit of a team's quota.
 fn deficits(
     controllers: &[ControllerName],
     team: &TeamName,
--- a/src/coordination/leader/shards/tests/mod.rs
+++ b/src/coordination/leader/shards/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of `coordination::leader::shards`: a cluster of two controllers to plan for.
+//! Tests of `coordination::leader::shards`, on a cluster of two controllers.
 
 mod leases;
 mod moves;
@@ -28,7 +28,7 @@
         .map_or(0.0, |quota| quota.cpus)
 }
 
-/// The controller whose shard holds the machine.
+/// Returns the controller whose shard contains the machine, which must be its current owner.
 fn owner_of(cache: &StateCache, machine: &str) -> String {
     let (_, entry) = cache
         .shard_of(&MachineId::new(machine))
@@ -37,7 +37,7 @@
     entry.value.controller.to_string()
 }
 
-/// Two controllers; `n0` runs one task of four CPUs on vm-1.
+/// Returns a cache with two controllers, and one task of four CPUs on vm-1 in the zone of `n0`.
 fn cache() -> StateCache {
     let mut cache = StateCache::default();
     let mut revision = 0;
@@ -71,8 +71,8 @@
     cache
 }
 
-/// Puts a plan into the cache as its commit would.
-fn carry_out(cache: &mut StateCache, plan: &ShardPlanChanges) {
+/// Applies planned changes to the cache as their commit would.
+fn apply_changes(cache: &mut StateCache, plan: &ShardPlanChanges) {
     let revision = Revision(cache.revision.0 + 1);
     for op in plan.transaction(cache).ops {
         if let Operation::Put { key, value, .. } = op {
@@ -82,13 +82,15 @@
     cache.advance(revision);
 }
 
-fn settle(cache: &mut StateCache, teams: &[Team], inputs: &ShardPlanInputs) -> usize {
+/// Plans and applies changes until there are none; returns the number of passes with changes.
+/// Asserts after each that the sum of max(budget, use) stays within the limit.
+fn plan_until_stable(cache: &mut StateCache, teams: &[Team], inputs: &ShardPlanInputs) -> usize {
     for pass in 0..20 {
         let next = plan(cache, teams, inputs);
         if next.is_empty() {
             return pass;
         }
-        carry_out(cache, &next);
+        apply_changes(cache, &next);
         let by_controller = cache.quota_by_controller();
         let bound: f64 = cache
             .allocations
@@ -102,11 +104,12 @@
             .sum();
         assert!(bound <= teams[0].limit.cpus + 0.001, "pass {pass}: {bound}");
     }
-    panic!("the plan does not settle");
+    panic!("the plan does not become stable");
 }
 
-/// The controller that a machine's shard names, whoever has its allocation.
-fn owner_after(cache: &StateCache, machine: &str) -> String {
+/// Returns the controller in the record of the machine's shard, which may be fenced; empty if
+/// the machine is in no shard.
+fn recorded_owner_of(cache: &StateCache, machine: &str) -> String {
     let found = cache.shard_of(&MachineId::new(machine));
     found.map_or_else(String::new, |(_, entry)| entry.value.controller.to_string())
 }
--- a/src/coordination/leader/shards/tests/moves.rs
+++ b/src/coordination/leader/shards/tests/moves.rs
@@ -2,52 +2,52 @@
 
 use super::*;
 
-/// Guards against a quota used twice: by the task that moved with its
-/// machine, and by another in the old owner's budget for it.
+/// Guards against quota that is used twice: by the task on a moved machine, and by another task
+/// within the old owner's budget if that was not lowered.
 #[test]
 fn an_unreachable_machine_takes_its_budget_along() {
     let mut cache = cache();
     let teams = [team(8.0)];
-    settle(&mut cache, &teams, &ShardPlanInputs::default());
+    plan_until_stable(&mut cache, &teams, &ShardPlanInputs::default());
     let mut inputs = ShardPlanInputs::default();
     inputs
         .owner_unreachable
         .insert(MachineId::new("vm-1"), ControllerName::new("n1"));
-    settle(&mut cache, &teams, &inputs);
+    plan_until_stable(&mut cache, &teams, &inputs);
     assert_eq!(owner_of(&cache, "vm-1"), "n1");
 }
 
-/// As above, for a whole shard that goes back to its zone's controller.
+/// As above, for the move of a whole shard.
 #[test]
-fn a_shard_moves_cordoned_and_takes_its_budget_along() {
+fn a_shard_is_cordoned_before_it_moves_with_its_budget() {
     let mut cache = cache();
     let teams = [team(8.0)];
-    settle(&mut cache, &teams, &ShardPlanInputs::default());
+    plan_until_stable(&mut cache, &teams, &ShardPlanInputs::default());
     let mut inputs = ShardPlanInputs::default();
     inputs.moving.insert(ShardId(1), ControllerName::new("n1"));
     let next = plan(&cache, &teams, &inputs);
     assert!(next.shards[&ShardId(1)].cordoned);
     assert_eq!(next.shards[&ShardId(1)].controller.as_str(), "n0");
-    settle(&mut cache, &teams, &inputs);
+    plan_until_stable(&mut cache, &teams, &inputs);
     assert_eq!(owner_of(&cache, "vm-1"), "n1");
     assert!(!cache.shards[&ShardId(1)].value.cordoned);
 }
 
 #[test]
-fn a_shard_that_is_to_stay_after_all_is_uncordoned() {
+fn an_abandoned_shard_move_uncordons_the_shard() {
     let mut cache = cache();
     let teams = [team(24.0)];
-    settle(&mut cache, &teams, &ShardPlanInputs::default());
+    plan_until_stable(&mut cache, &teams, &ShardPlanInputs::default());
     let mut inputs = ShardPlanInputs::default();
     inputs.moving.insert(ShardId(1), ControllerName::new("n1"));
     let next = plan(&cache, &teams, &inputs);
-    carry_out(&mut cache, &next);
-    settle(&mut cache, &teams, &ShardPlanInputs::default());
+    apply_changes(&mut cache, &next);
+    plan_until_stable(&mut cache, &teams, &ShardPlanInputs::default());
     assert_eq!(owner_of(&cache, "vm-1"), "n0");
     assert!(!cache.shards[&ShardId(1)].value.cordoned);
 }
 
-/// How a machine with tasks leaves its owner.
+/// Reason for which a machine with tasks is moved to another owner.
 #[derive(Clone, Copy, Debug)]
 enum Departure {
     WithItsShard,
@@ -56,7 +56,7 @@
 }
 
 impl Departure {
-    /// Has vm-1 leave n0 for n1.
+    /// Causes vm-1 to be moved from n0 to n1.
     fn begin(self, cache: &mut StateCache, inputs: &mut ShardPlanInputs) {
         let target = ControllerName::new("n1");
         match self {
@@ -75,24 +75,24 @@
     }
 }
 
-/// Plans until n1 has vm-1, or nothing is left to do.
+/// Plans and applies changes until vm-1 is in a shard of n1, or there are none.
 fn plan_until_moved(cache: &mut StateCache, teams: &[Team], inputs: &ShardPlanInputs) {
     for _ in 0..20 {
         let next = plan(cache, teams, inputs);
         if next.is_empty() {
             return;
         }
-        carry_out(cache, &next);
-        if owner_after(cache, "vm-1") == "n1" {
+        apply_changes(cache, &next);
+        if recorded_owner_of(cache, "vm-1") == "n1" {
             return;
         }
     }
 }
 
-/// A controller may place within the budgets that it knows before it reads that machines
-/// with tasks have come to it. Guards against a leader that counts the larger of its
-/// budget and its use, and grants others what it places then: both together exceeded the
-/// limit.
+/// Guards against use beyond a team's limit. Before a controller reads that machines with tasks
+/// were moved to it, it may place tasks within the budgets that it knows. If the leader
+/// counted only max(budget, use) for it and left its budgets unchanged, it granted the quota of
+/// these placements to others as well.
 #[test]
 fn machines_with_tasks_void_what_their_new_owner_has_planned() {
     let teams = [team(8.0)];
@@ -103,19 +103,16 @@
     ];
     for departure in departures {
         let mut cache = cache();
-        settle(&mut cache, &teams, &ShardPlanInputs::default());
+        plan_until_stable(&mut cache, &teams, &ShardPlanInputs::default());
         let before = cache.allocations["n1"].clone();
-        assert!(
-            cpus(&before.value) > 1.0,
-            "it has something to place within"
-        );
+        assert!(cpus(&before.value) > 1.0, "n1 has budget for placements");
         let mut inputs = ShardPlanInputs::default();
         departure.begin(&mut cache, &mut inputs);
         plan_until_moved(&mut cache, &teams, &inputs);
         let after = &cache.allocations["n1"];
-        assert_eq!(owner_after(&cache, "vm-1"), "n1", "{departure:?}");
+        assert_eq!(recorded_owner_of(&cache, "vm-1"), "n1", "{departure:?}");
         assert!(after.revision > before.revision, "{departure:?}");
-        // What it may use grows by the task of four CPUs, and what others may by nothing.
+        // The budget of n1 grows by the task of four CPUs, and that of others does not grow.
         assert!(
             cpus(&after.value) >= cpus(&before.value) + 4.0 - 0.001,
             "{departure:?}"
--- a/src/coordination/leader/state.rs
+++ b/src/coordination/leader/state.rs
@@ -1,8 +1,8 @@
-//! What the leader keeps in memory between its passes.
+//! State that the leader keeps in memory between its passes.
 //!
-//! Nothing here is stored: a new leader starts with an empty state and learns the rest from
-//! the replica and from the statuses of its peers. The state is locked after the replica,
-//! and never across an await.
+//! None of it is stored: a new leader starts with an empty state and obtains the rest from the
+//! replica and the statuses of its peers. The state is locked after the replica, and never
+//! across an await.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,39 +24,39 @@
     },
 };
 
-/// A status older than this says nothing about now.
+/// A status older than this is disregarded.
 pub(super) const STATUS_TTL: Duration = Duration::from_secs(4);
 
-/// The last status of a peer controller, or of this one.
+/// The last status of a controller, which may be this one.
 #[derive(Debug)]
 pub(super) struct PeerStatus {
-    /// When it arrived.
+    /// When this status arrived.
     pub(super) received_at: Instant,
-    /// When the first status of this process arrived.
+    /// When the first status of the same process arrived.
     pub(super) first_received_at: Instant,
-    /// The process that sent it.
+    /// The process that sent the status.
     pub(super) incarnation: Incarnation,
-    /// The machines that it owns.
+    /// The machines that the controller owns.
     pub(super) owned: BTreeMap<MachineId, OwnedMachine>,
-    /// Heartbeats that it received from machines that it does not own.
+    /// Heartbeats that the controller received from machines that it does not own.
     pub(super) indirect_heartbeats: BTreeMap<MachineId, IndirectHeartbeat>,
     /// Crash-looping jobs, each with the pause before its next attempt.
     pub(super) failing: Vec<(JobId, Duration)>,
 }
 
 impl PeerStatus {
-    /// How long ago it arrived.
+    /// Returns how long ago the status arrived.
     pub(super) fn age(&self) -> Duration {
         self.received_at.elapsed()
     }
 }
 
-/// What the current status of an owner says of one of its machines.
+/// The state of a machine by its owner's current status.
 #[derive(Debug)]
 pub(super) struct OwnedMachineStatus<'a> {
-    /// The machine as the owner sees it.
+    /// The machine's state as the owner reported it.
     pub(super) machine: &'a OwnedMachine,
-    /// Since the owner received the machine's last heartbeat.
+    /// Time since the owner received the machine's last heartbeat.
     pub(super) since_heartbeat: Duration,
 }
 
@@ -65,32 +65,32 @@
 pub(super) struct IndirectContact {
     /// The controller that received it.
     pub(super) controller: ControllerName,
-    /// Since that controller received it.
+    /// Time since that controller received it.
     pub(super) age: Duration,
 }
 
-/// A shard on its way to another controller.
+/// A shard that is being moved to another controller.
 #[derive(Debug)]
 pub(super) struct ShardMove {
-    /// The controller that is to own it.
+    /// The new owner of the shard.
     pub(super) to: ControllerName,
     /// When the move was decided.
     pub(super) since: Instant,
 }
 
-/// The quota targets that the controllers were sent last.
+/// The quota targets that were last sent to the controllers.
 #[derive(Debug)]
 pub(super) struct SentTargets {
-    /// What was sent.
+    /// The targets of all controllers.
     pub(super) targets: shards::Targets,
-    /// When it was sent.
+    /// When they were sent.
     pub(super) at: Instant,
 }
 
-/// The leader's state, from its election on.
+/// The leader's state since its election.
 #[derive(Default)]
 pub(super) struct LeaderState {
-    /// The lease that our claim is attached to.
+    /// The lease that this process's leadership claim is attached to.
     pub(super) lease: Option<LeaseId>,
     /// When this process was elected.
     pub(super) elected_at: Option<Instant>,
@@ -98,60 +98,62 @@
     pub(super) statuses: BTreeMap<ControllerName, PeerStatus>,
     /// Tasks offered to owners and not yet placed.
     pub(super) offered: routing::OutstandingOffers,
-    /// Waiting tasks for which others are being preempted.
+    /// Waiting tasks for which others are being preempted, and the tasks being preempted.
     pub(super) pending_preemptions: routing::PendingPreemptions,
-    /// Room that idle work is being asked to leave.
+    /// Tasks of the lowest priority that are being stopped to free capacity.
     pub(super) reclaiming: routing::Reclaiming,
-    /// Which owner writes which run record.
+    /// Run records whose tasks wait for room at the owner that writes the record.
     pub(super) record_affinity: routing::RecordAffinity,
-    /// Gangs that have room for a part of their tasks.
+    /// Gangs of which only a part is placed.
     pub(super) gangs: routing::PartialGangs,
     /// Offers that expired, by job.
     pub(super) expired_offers: routing::ExpiredOffersByJob,
-    /// When the zone of a job was last written or taken back.
-    pub(super) zone_assignments: BTreeMap<JobId, Instant>,
-    /// Waiting tasks that found no room in the last routing pass.
+    /// When the zone of each job was last assigned or removed.
+    pub(super) zone_changed_at: BTreeMap<JobId, Instant>,
+    /// Waiting tasks for which the last routing pass found no room.
     pub(super) unplaced: Vec<routing::Unplaced>,
-    /// Machines that were booting in that pass, so that it gave them nothing.
+    /// Machines that were booting in that pass, so that no task was routed to them.
     pub(super) booting_when_routed: BTreeSet<MachineId>,
-    /// What became of the waiting tasks in the last routing pass, for the log.
+    /// Results of the last routing pass by number of tasks, for the log.
     pub(super) routing_counts: routing::RoutingCounts,
-    /// Machines that are terminated with tasks on them, since when.
-    pub(super) lost_since: BTreeMap<MachineId, Instant>,
-    /// Quota that a controller lacks for tasks that it has room for.
+    /// Terminated machines on which tasks are still recorded, with the time at which the leader
+    /// noticed.
+    pub(super) terminated_since: BTreeMap<MachineId, Instant>,
+    /// Quota that a controller lacks for tasks for which it has room.
     pub(super) deficit: BTreeMap<(ControllerName, TeamName), Quota>,
-    /// Quota that a controller is about to need beside what it uses.
+    /// Quota that a controller is about to need in addition to what it uses.
     pub(super) reserved: BTreeMap<(ControllerName, TeamName), Quota>,
-    /// Tasks with room that lack quota, the most pressing first.
+    /// Tasks for which there is room but no quota, the most urgent first.
     pub(super) demand: Vec<routing::QuotaDemand>,
-    /// What is free on each controller's machines.
-    pub(super) free: BTreeMap<ControllerName, Quota>,
-    /// The quota targets sent last.
+    /// Free capacity on each controller's machines.
+    pub(super) free_quota: BTreeMap<ControllerName, Quota>,
+    /// The quota targets that were last sent.
     pub(super) sent_targets: Option<SentTargets>,
-    /// Shards on their way to another controller.
+    /// Shards that are being moved to another controller.
     pub(super) moving: BTreeMap<ShardId, ShardMove>,
-    /// When changes of machines' use within their shards were last written.
+    /// When non-urgent changes of shards were last written.
     pub(super) last_use_write: Option<Instant>,
-    /// Machines to be released, or under release.
+    /// Machines that are to be released or are being released.
     pub(super) releasing: BTreeMap<MachineId, PendingRelease>,
-    /// Machines that their owner has lost, each with the controller that reaches it.
+    /// Machines that their owner cannot reach, each with the controller that can.
     pub(super) owner_unreachable: BTreeMap<MachineId, ControllerName>,
-    /// The share of tasks that lately missed their targets.
+    /// The recent share of tasks that missed their targets.
     pub(super) miss_rate: MissRateWindow,
-    /// What scaling, repair and the calls to the cloud keep.
+    /// State of scaling, repair and the requests to the cloud.
     pub(super) fleet: FleetState,
-    /// The outcome of a commit is unknown: our record is written anew, which
-    /// voids it, before anything else is decided.
+    /// Whether the outcome of a commit is unknown. The leader record is then rewritten before
+    /// the next decision, so that the commit can no longer take effect.
     pub(super) has_commit_in_doubt: bool,
 }
 
 impl LeaderState {
-    /// Starts anew after an election; only the peers' statuses are kept.
+    /// Resets the state after an election, except for the statuses of the peers and the number
+    /// of provision requests.
     pub(super) fn reset(&mut self, lease: LeaseId) {
         let statuses = std::mem::take(&mut self.statuses);
-        // A process may lead a second time. Names of provision requests contain its incarnation
-        // and this number, and must never be used again: the cloud would answer
-        // with the machines of the first time, and provision none.
+        // A process may be elected again. Names of provision requests contain its incarnation
+        // and this number and must never be reused: the cloud would answer with the machines
+        // of the first request, and provision none.
         let provision_count = self.fleet.provision_count;
         *self = Self {
             lease: Some(lease),
@@ -162,9 +164,11 @@
         self.fleet.provision_count = provision_count;
     }
 
-    /// The lease that our claim is attached to once it is next written anew. Without
-    /// it a leader that was elected unawares could never write its record anew,
-    /// and so could not act after its first commit without an answer.
+    /// Records the lease of a leadership claim whose commit got no answer, so that the process
+    /// learned of its election from the cache. Marks a commit as in doubt, so that the leader
+    /// record is rewritten with this lease before the next decision. Without the lease, the
+    /// process could never rewrite its record, and so could not act after its first commit
+    /// that got no answer.
     pub(super) fn adopt_lease(&mut self, lease: LeaseId) {
         if self.lease != Some(lease) {
             self.lease = Some(lease);
@@ -173,7 +177,7 @@
         }
     }
 
-    /// Keeps a controller's status, unless a later one of the same process is known.
+    /// Stores a controller's status, unless a later one of the same process is known.
     pub(super) fn record_status(&mut self, status: StatusMessage, received_at: Instant) {
         let known = self
             .statuses
@@ -198,7 +202,8 @@
         self.statuses.insert(status.controller, peer);
     }
 
-    /// What an owner says of a machine of its; none if it has said nothing lately.
+    /// Returns the state of a machine by its owner's status, or none if the owner did not
+    /// report the machine or its status is older than [`STATUS_TTL`].
     pub(super) fn owned_machine(
         &self,
         controller: &ControllerName,
@@ -213,7 +218,8 @@
         })
     }
 
-    /// Whether an owner has heard this machine's agent, so that it is up.
+    /// Whether an owner has received a heartbeat of the machine's agent, so that the agent's
+    /// address is known and the machine is up.
     pub(super) fn is_up(&self, cache: &StateCache, machine: &MachineId) -> bool {
         cache
             .machines
@@ -225,9 +231,10 @@
             })
     }
 
-    /// Another controller that hears the machine's agent, by a newer heartbeat
-    /// than the owner has: copies of old ones arrive late.
-    pub(super) fn indirectly_heard_by(
+    /// Returns the controller other than the owner that most recently received a heartbeat of
+    /// the machine. Only heartbeats newer than the owner's last one count, since delayed copies
+    /// of older ones may still arrive.
+    pub(super) fn indirect_contact(
         &self,
         owner: &ControllerName,
         machine: &MachineId,
@@ -251,7 +258,7 @@
             .min_by_key(|contact| contact.age)
     }
 
-    /// Crash-looping jobs, each with the end of the pause before its next attempt.
+    /// Returns crash-looping jobs, each with the time from which it may be attempted again.
     pub(super) fn failing_jobs(&self) -> BTreeMap<JobId, Instant> {
         let mut failing = BTreeMap::new();
         for peer in self.statuses.values() {
@@ -264,10 +271,12 @@
         failing
     }
 
-    /// What a machine offers to waiting tasks; none if no task may be routed to it.
+    /// Returns the properties of a machine that matter for placement, or none if no task may be
+    /// routed to it.
     ///
-    /// A booting machine offers nothing: its owner takes it for one that sent a heartbeat when
-    /// its shard was leased, but places nothing there before the first one.
+    /// No task is routed to a booting machine. Its owner counts the time since its last
+    /// heartbeat from the lease of its shard, but places nothing on it before its first
+    /// heartbeat.
     pub(super) fn usable_machine(
         &self,
         cache: &StateCache,
@@ -278,7 +287,7 @@
         let peer = self.statuses.get(owner)?;
         let owned = peer.owned.get(machine)?;
         let age = peer.age();
-        // Draining and idle: it is to stay so.
+        // A draining machine that is idle must remain idle until it is released.
         let awaits_release = self.fleet.draining_machines.contains(machine)
             && !cache.on_machine.contains_key(machine);
         let is_usable = age <= STATUS_TTL
@@ -296,8 +305,8 @@
         })
     }
 
-    /// Remembers which machines a routing pass could give nothing, as they were booting.
-    pub(super) fn note_booting(&mut self, cache: &StateCache) {
+    /// Records the machines that are booting, to which a routing pass can route no tasks.
+    pub(super) fn record_booting_machines(&mut self, cache: &StateCache) {
         let machines = cache.machines.keys();
         self.booting_when_routed = machines
             .filter(|id| !self.is_up(cache, id))
@@ -305,7 +314,7 @@
             .collect();
     }
 
-    /// Nothing waits for a place: what the last routing pass found no longer holds.
+    /// Clears the results of the last routing pass, since no task is waiting any more.
     pub(super) fn clear_routing(&mut self) {
         self.offered.clear();
         self.unplaced.clear();
@@ -316,8 +325,8 @@
         self.demand.clear();
     }
 
-    /// Releases a machine unless its release is pending already, for whatever reason.
-    /// Returns whether it was not.
+    /// Schedules the release of a machine, unless one is already pending for any reason.
+    /// Returns whether the release was newly scheduled.
     pub(super) fn schedule_release(
         &mut self,
         machine: &MachineId,
@@ -332,8 +341,8 @@
         true
     }
 
-    /// The machines that are emptied before they are released.
-    pub(super) fn machines_to_empty(&self) -> BTreeSet<MachineId> {
+    /// Returns the machines that are emptied before they are released.
+    pub(super) fn releasing_when_empty(&self) -> BTreeSet<MachineId> {
         self.releasing
             .iter()
             .filter(|(_, release)| release.drains_first())
--- a/src/coordination/leader/zone_assignment.rs
+++ b/src/coordination/leader/zone_assignment.rs
@@ -1,11 +1,12 @@
-//! The zones that jobs of many records are confined to.
+//! Assigns zones to large jobs that must run in a single zone.
 //!
-//! A job that must be in one zone and has too many run records for a placement to depend
-//! on all of them (see [`ZoneScope`](crate::coordination::policy::zone_constraint::ZoneScope)) is placed
-//! only in the zone that its spec names, and only while the spec is unchanged. The zone
-//! is changed in two steps: taking it back voids every placement under way, since each is
-//! conditional on the spec; the next one is written once the replica has passed that
-//! change and shows no task of the job anywhere.
+//! A job that must run in one zone and has too many run records for a placement to be
+//! conditional on all of them (see
+//! [`ZoneScope`](crate::coordination::policy::zone_constraint::ZoneScope)) is placed only in
+//! the zone that its spec names, and only while the spec is unchanged. The zone is changed in
+//! two steps. Removing it makes every placement in flight fail, since each is conditional on
+//! the spec. The next zone is written once the replica has applied that change and shows no
+//! task of the job in another zone.
 
 use std::time::Duration;
 
@@ -20,14 +21,14 @@
     },
 };
 
-/// Between two changes of a job's zone, so that it does not alternate between zones
-/// that others fill.
+/// Minimum time after a change of a job's zone before the zone is removed again, so that the
+/// job does not alternate between zones that other jobs fill.
 const ASSIGNMENT_CHANGE_INTERVAL: Duration = Duration::from_secs(5);
-/// Zones written in one pass.
+/// Maximum number of jobs whose zone is changed in one pass.
 const MAX_ASSIGNMENTS_PER_PASS: usize = 4;
 
 impl Leader {
-    /// Writes the zones that routing has chosen, or takes them back.
+    /// Writes the zone assignments that routing has chosen, and removes those that it revoked.
     pub(super) async fn write_zone_assignments(&self, changes: Vec<ZoneAssignment>) {
         for change in changes.into_iter().take(MAX_ASSIGNMENTS_PER_PASS) {
             if !self.may_commit_now(RequestPriority::Placement)
@@ -46,24 +47,28 @@
                 self.context.store.read_barrier().await;
                 return;
             }
-            tracing::debug!(job = %change.job, zone = ?change.zone, "zone assigned");
+            tracing::debug!(job = %change.job, zone = ?change.zone, "zone assignment changed");
             lock(&self.state)
-                .zone_assignments
+                .zone_changed_at
                 .insert(change.job, Instant::now());
         }
     }
 
-    /// A zone may follow at once on the one that was taken back.
+    /// Whether a job's zone may be changed now. A zone may be assigned at any time, also right
+    /// after another one was removed; removing a zone must wait for
+    /// [`ASSIGNMENT_CHANGE_INTERVAL`] after the last change.
     fn may_change_assignment(&self, change: &ZoneAssignment) -> bool {
         let mut state = lock(&self.state);
         state
-            .zone_assignments
+            .zone_changed_at
             .retain(|_, at| at.elapsed() < ASSIGNMENT_CHANGE_INTERVAL);
-        change.zone.is_some() || !state.zone_assignments.contains_key(&change.job)
+        change.zone.is_some() || !state.zone_changed_at.contains_key(&change.job)
     }
 }
 
-/// The change of a job's spec. None: the replica can't tell yet whether it is allowed.
+/// Returns the transaction that changes the zone in a job's spec, or none if the change is not
+/// allowed now: the job is gone or finished, or the replica does not prove that no task is in
+/// another zone.
 fn assignment_transaction(cache: &StateCache, change: &ZoneAssignment) -> Option<Transaction> {
     let job = cache.jobs.get(&change.job)?;
     let entry = job.spec.as_ref()?;
@@ -87,8 +92,8 @@
     )
 }
 
-/// Whether no task of the job can be in another zone: every placement made under an
-/// earlier spec is in the replica, and so is every machine that is still provisioned.
+/// Whether no task of the job can be in another zone. This requires that the replica includes
+/// every placement made under an earlier spec and every machine that is still provisioned.
 fn may_assign(cache: &StateCache, job: &Job, spec_revision: Revision, zone: &ZoneName) -> bool {
     let caught_up = cache
         .machine_groups
--- a/src/coordination/owner/round.rs
+++ b/src/coordination/owner/round.rs
@@ -114,7 +114,7 @@
             return false;
         }
         let deficit = lock(&self.state).deficit.clone();
-        self.quota.seek(&deficit);
+        self.quota.request_missing_quota(&deficit);
         true
     }
 
--- a/src/coordination/quota_exchange/mod.rs
+++ b/src/coordination/quota_exchange/mod.rs
@@ -1,9 +1,10 @@
-//! Transfers of quota between controllers, in both roles.
+//! Transfers of quota between controllers, as the recipient and as the donor.
 //!
-//! A controller that lacks quota, by the leader's targets or for tasks that it was
-//! offered, asks the one that seems to have most to spare (`requests`). That one decides
-//! in its shard owner's loop, between its own placements, and commits both budgets in one
-//! transaction (`transfers`). `docs/quota.md` has the argument why no limit is exceeded.
+//! A controller with a quota deficit, by the leader's targets or for tasks that it was offered,
+//! requests quota from the controller that seems to have the most to spare (`requests`). That
+//! donor decides in its shard owner's loop, between its own placements, and commits both
+//! allocations in one transaction (`transfers`). `docs/quota.md` argues why no limit is
+//! exceeded.
 
 mod requests;
 mod state;
@@ -24,45 +25,46 @@
 };
 use crate::storage::TeamName;
 
-/// A decision takes a commit; an asker hears of it within this time or reads it.
+/// Maximum time for which a request waits for the donor's decision, which takes a commit. After
+/// that the recipient finds the outcome in the allocation records.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What became of requests since the last look, for the log.
+/// Numbers of quota requests by outcome since the last report, for the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QuotaCounts {
-    /// Transfers that this controller committed as the donor.
+    /// Number of transfers that this controller committed as the donor.
     pub given: u32,
-    /// Requests that it refused.
+    /// Number of requests that it refused as the donor.
     pub refused: u32,
-    /// Transfers that it was granted.
+    /// Number of its own requests that were granted.
     pub received: u32,
-    /// Its own requests that were refused or got no answer.
+    /// Number of its own requests that were refused or got no answer.
     pub unserved: u32,
 }
 
-/// The duty that transfers quota between this controller and others, in both roles.
+/// Transfers quota between this controller and others, as the recipient and as the donor.
 pub(super) struct QuotaExchange {
     context: Arc<Context>,
     state: Mutex<State>,
 }
 
 impl QuotaExchange {
-    /// Nothing asked, nothing known.
+    /// Creates an exchange without requests and targets.
     pub(super) fn new(context: Arc<Context>) -> Self {
         let state = Mutex::new(State::new(&context.config));
         Self { context, state }
     }
 
-    /// The counts since the last call, and for how long the oldest deficit has lasted.
+    /// Returns the counts since the last call, and for how long the oldest deficit has lasted.
     pub(super) fn take_counts(&self, now: Instant) -> (QuotaCounts, Option<Duration>) {
         lock(&self.state).take_counts(now)
     }
 
-    /// Answers a controller that asks for quota.
+    /// Queues another controller's request for quota, and waits for the decision.
     pub(super) async fn handle_request(&self, request: QuotaRequest) -> QuotaResponse {
         let recipient = request.recipient.clone();
         let received = if self.context.knows_transfers() {
-            lock(&self.state).receive(request)
+            lock(&self.state).enqueue_request(request)
         } else {
             Err(Refusal::NotReady)
         };
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Takes the leader's targets in.
+    /// Stores the leader's targets, unless they are for an unknown team or of an earlier leader.
     pub(super) fn accept_targets(&self, targets: QuotaTargets) {
         let is_known = |team: &TeamName| self.context.config.team(team).is_some();
         if let Some(team) = targets.budgets.keys().find(|team| !is_known(team)) {
--- a/src/coordination/quota_exchange/requests.rs
+++ b/src/coordination/quota_exchange/requests.rs
@@ -1,4 +1,4 @@
-//! The recipient's side: notes what quota is lacking, and asks others for it.
+//! The recipient's side: records quota deficits, and requests quota from other controllers.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -15,9 +15,9 @@
 };
 
 impl QuotaExchange {
-    /// Notes what is lacking now, by the leader's targets and for the tasks that we were
-    /// offered, and asks for it.
-    pub(in crate::coordination) fn seek(
+    /// Records this controller's deficits by the leader's targets and for the tasks that it was
+    /// offered (`owner_deficit`), and requests quota for them.
+    pub(in crate::coordination) fn request_missing_quota(
         self: &Arc<Self>,
         owner_deficit: &BTreeMap<TeamName, Quota>,
     ) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Notes the deficits of all teams; the request that is to be sent now, if any.
+    /// Records the deficits of all teams. Returns the request that is to be sent now, if any.
     fn next_request(
         &self,
         owner_deficit: &BTreeMap<TeamName, Quota>,
@@ -46,7 +46,7 @@
             let target = exchange.target(&team.name, now).unwrap_or_default();
             let target_deficit = target.minus(&budget.unwrap_or_default()).at_least_zero();
             let offered = owner_deficit.get(&team.name).copied().unwrap_or_default();
-            exchange.note_deficit(&team.name, target_deficit.max(&offered), now.into_std());
+            exchange.record_deficit(&team.name, target_deficit.max(&offered), now.into_std());
         }
         if exchange.deficits.is_empty() || !self.context.knows_transfers_in(&cache) {
             return None;
@@ -55,7 +55,7 @@
         exchange.deficits.next_request(&donors, now.into_std())
     }
 
-    /// What the other controllers seem to have to spare.
+    /// Returns the spare quota of the other controllers according to the cache.
     fn donor_views(&self, cache: &StateCache) -> Vec<DonorView<ControllerName, TeamName>> {
         cache
             .allocations
@@ -79,7 +79,7 @@
             .collect()
     }
 
-    /// Asks a donor, and notes what became of the request.
+    /// Sends a request to a donor and records its outcome.
     async fn request_quota(self: Arc<Self>, donor: ControllerName, request: QuotaRequest) {
         let number = request.number;
         let answer = self
@@ -92,10 +92,10 @@
             Ok(PeerResponse::Quota(QuotaResponse::Refused(refusal))) => Outcome::Refused(refusal),
             _ => Outcome::Lost,
         };
-        tracing::debug!(%donor, ?outcome, "asked for quota");
+        tracing::debug!(%donor, ?outcome, "quota request finished");
         let is_granted = matches!(outcome, Outcome::Granted(_));
         if is_granted || outcome == Outcome::Refused(Refusal::Conflict) {
-            // Our allocation has a new revision, with which the next round plans.
+            // The allocation has a new revision, which the next round must be based on.
             self.context.store.read_barrier().await;
         }
         {
--- a/src/coordination/quota_exchange/state.rs
+++ b/src/coordination/quota_exchange/state.rs
@@ -1,4 +1,4 @@
-//! What a controller has asked for and been asked for, and what its leader has planned.
+//! State of a controller's quota requests in both roles, and the leader's targets.
 
 use std::{
     collections::BTreeMap,
@@ -17,76 +17,79 @@
     storage::{AMOUNT_SLACK, ControllerName, Quota, Revision, TeamName},
 };
 
-/// Targets that the leader has not repeated for this long hold no more.
+/// Targets expire if the leader has not repeated them for this long.
 const TARGET_TTL: Duration = Duration::from_secs(3);
-/// Less than this is not asked for: tasks fit without it.
+/// Deficits up to this amount are not requested: tasks fit without it.
 const MIN_DEFICIT: f64 = AMOUNT_SLACK;
 
-/// A budget that the leader has planned.
+/// A budget that the leader has planned for this controller.
 #[derive(Clone, Copy, Debug)]
 struct Target {
     budget: Quota,
     expires_at: Instant,
 }
 
-/// What a controller has asked for and been asked for.
+/// State of a controller's quota requests in both roles.
 pub(super) struct State {
-    /// Requests of others that wait for a decision.
+    /// Requests of other controllers that wait for a decision.
     pub(super) donor: Donor<ControllerName, TeamName>,
-    /// What we lack, and our own requests for it.
+    /// This controller's deficits, and its own requests for them.
     pub(super) deficits: Deficits<ControllerName, TeamName>,
-    /// Askers that wait for a decision, by the number of their request.
-    askers: BTreeMap<(ControllerName, u64), oneshot::Sender<QuotaResponse>>,
+    /// Channels for the responses to requests that wait for a decision, by the recipient and the
+    /// number of the request.
+    response_senders: BTreeMap<(ControllerName, u64), oneshot::Sender<QuotaResponse>>,
     targets: BTreeMap<TeamName, Target>,
-    /// The leader's claim that the targets come from; those of an earlier one are late.
+    /// Revision of the claim of the leader that sent the targets. Targets of an earlier leader
+    /// are ignored.
     targets_leader: Revision,
-    /// What became of requests since the last look.
+    /// Numbers of requests by outcome since the last report.
     pub(super) counts: QuotaCounts,
 }
 
 impl State {
-    /// Nothing asked, nothing known.
+    /// Creates a state without requests and targets.
     pub(super) fn new(config: &Config) -> Self {
         let controllers = config.peers.iter().map(|(name, _)| name.clone());
         let teams = config.teams.iter().map(|team| team.name.clone());
         Self {
             donor: Donor::new(controllers, teams),
             deficits: Deficits::new(config.name.clone(), config.incarnation.0),
-            askers: BTreeMap::new(),
+            response_senders: BTreeMap::new(),
             targets: BTreeMap::new(),
             targets_leader: Revision(0),
             counts: QuotaCounts::default(),
         }
     }
 
-    /// Takes a request in; the answer comes from the owner's loop.
-    pub(super) fn receive(
+    /// Queues a request of another controller. The response is sent by the shard owner's loop.
+    pub(super) fn enqueue_request(
         &mut self,
         request: QuotaRequest,
     ) -> Result<oneshot::Receiver<QuotaResponse>, Refusal> {
         let key = (request.recipient.clone(), request.number);
         self.donor.receive(request)?;
-        self.askers.retain(|_, asker| !asker.is_closed());
-        let (asker, answer) = oneshot::channel();
-        self.askers.insert(key, asker);
-        Ok(answer)
+        self.response_senders
+            .retain(|_, sender| !sender.is_closed());
+        let (sender, response) = oneshot::channel();
+        self.response_senders.insert(key, sender);
+        Ok(response)
     }
 
-    /// A request of another controller is decided: its asker is told.
-    pub(super) fn decided(&mut self, request: &QuotaRequest, answer: QuotaResponse) {
-        match &answer {
+    /// Counts the decision on a request of another controller, and sends it the response.
+    pub(super) fn complete_request(&mut self, request: &QuotaRequest, response: QuotaResponse) {
+        match &response {
             QuotaResponse::Granted(_) => self.counts.given += 1,
             QuotaResponse::Refused(_) => self.counts.refused += 1,
             QuotaResponse::Undecided => {}
         }
         let key = (request.recipient.clone(), request.number);
-        if let Some(asker) = self.askers.remove(&key) {
-            // One that has given up reads the records.
-            let _ = asker.send(answer);
+        if let Some(sender) = self.response_senders.remove(&key) {
+            // A recipient that no longer waits finds the outcome in the allocation records.
+            let _ = sender.send(response);
         }
     }
 
-    /// Keeps the leader's targets; false if they are those of an earlier leader.
+    /// Stores the leader's targets. Returns false if they are from an earlier leader.
     pub(super) fn accept_targets(&mut self, targets: QuotaTargets, now: Instant) -> bool {
         if targets.leader < self.targets_leader {
             return false;
@@ -102,20 +105,20 @@
         true
     }
 
-    /// The budget that the leader has planned for us, if it still holds.
+    /// Returns the budget that the leader has planned for this controller, unless it expired.
     pub(super) fn target(&self, team: &TeamName, now: Instant) -> Option<Quota> {
         let target = self.targets.get(team)?;
         (target.expires_at > now).then_some(target.budget)
     }
 
-    /// The counts since the last call, and for how long the oldest deficit has lasted.
+    /// Returns the counts since the last call, and for how long the oldest deficit has lasted.
     pub(super) fn take_counts(&mut self, now: Instant) -> (QuotaCounts, Option<Duration>) {
         let oldest = self.deficits.oldest(now.into_std());
         (std::mem::take(&mut self.counts), oldest)
     }
 
-    /// Notes how much quota of a team we lack now.
-    pub(super) fn note_deficit(&mut self, team: &TeamName, deficit: Quota, now: StdInstant) {
+    /// Records this controller's current deficit of a team's quota.
+    pub(super) fn record_deficit(&mut self, team: &TeamName, deficit: Quota, now: StdInstant) {
         if deficit.exceeds(MIN_DEFICIT) {
             self.deficits.note(team, deficit, now);
         } else if let Some(lasted) = self.deficits.met(team, now) {
--- a/src/coordination/quota_exchange/transfers.rs
+++ b/src/coordination/quota_exchange/transfers.rs
@@ -1,4 +1,4 @@
-//! The donor's side: decides requests for quota, and commits the transfers.
+//! The donor's side: decides quota requests, and commits the transfers.
 
 use std::collections::BTreeMap;
 
@@ -17,26 +17,28 @@
     },
 };
 
-/// Records that a transfer of ours depends on, beside both budgets.
+/// Revisions that a transfer of this controller is conditional on, in addition to those of both
+/// allocations.
 struct Fence {
     leader: Revision,
     registration: Revision,
 }
 
-/// A transfer that was decided, with the transaction that carries it out.
+/// A planned transfer, with the transaction that applies it.
 struct PlannedTransfer {
     transfer: Transfer<ControllerName, TeamName>,
     transaction: Transaction,
 }
 
 impl QuotaExchange {
-    /// What our transfers must be conditional on; none: we may not transfer now.
+    /// Returns the revisions that transfers of this controller must be conditional on, or none
+    /// if it may not transfer quota now.
     ///
-    /// A leader that takes no part hands machines over without the budgets for their
-    /// tasks, so that no transfer may be decided under it, nor take effect. Nor without
-    /// any leader: one that takes no part may have come and gone since, unknown to us.
-    /// A leader's claim stands until its lease is over, so that transfers go on for as
-    /// long after its death.
+    /// A leader that does not support transfers moves machines without the budgets for their
+    /// tasks, so that no transfer may be decided or take effect under it. None may be decided
+    /// without a leader either: a leader without support may have been elected and lost its
+    /// claim since, unnoticed by this controller. A leader's claim remains valid until its
+    /// lease expires, so that transfers continue for that long after the leader's death.
     fn fence(&self, cache: &StateCache) -> Option<Fence> {
         let registered = cache.controllers.get(&self.context.config.name)?;
         if registered.value.incarnation != self.context.config.incarnation {
@@ -54,12 +56,12 @@
         })
     }
 
-    /// Decides the requests that wait. Called between two rounds of placements, so that
-    /// all that we have placed is in the cache, or voided.
+    /// Decides the queued requests. Must be called between two rounds of placements, when every
+    /// placement of this controller is either in the cache or void.
     ///
-    /// `offered` is the quota of tasks that are offered to this controller and not yet placed.
-    /// True: the outcome of a transfer's commit is unknown, and the caller must rewrite the
-    /// allocation before it decides anything else.
+    /// `offered` returns the quota of tasks that are offered to this controller and not yet
+    /// placed. Returns true if the outcome of a transfer's commit is unknown: the caller must
+    /// then rewrite the allocation before its next decision.
     #[must_use]
     pub(in crate::coordination) async fn serve_requests(
         &self,
@@ -77,18 +79,18 @@
             let Some(request) = lock(&self.state).donor.next_request() else {
                 return false;
             };
-            let answer = self.transfer_quota(&request, &offered).await;
-            let is_unknown = answer == QuotaResponse::Undecided;
-            lock(&self.state).decided(&request, answer);
+            let response = self.transfer_quota(&request, &offered).await;
+            let is_unknown = response == QuotaResponse::Undecided;
+            lock(&self.state).complete_request(&request, response);
             if is_unknown {
-                // Our allocation is rewritten before anything else is decided.
+                // The caller rewrites the allocation before the next decision.
                 return true;
             }
         }
         false
     }
 
-    /// Decides one request, and commits the transfer if there is one.
+    /// Decides one request, and commits the transfer if it is granted.
     async fn transfer_quota(
         &self,
         request: &QuotaRequest,
@@ -123,14 +125,14 @@
             }
             Err(error) if error.is_unknown() => QuotaResponse::Undecided,
             Err(error) => {
-                tracing::debug!(%error, "quota transfer not possible now");
+                tracing::debug!(%error, "quota transfer failed");
                 QuotaResponse::Refused(Refusal::NotReady)
             }
         }
     }
 
-    /// What a request is to be granted, as a transfer and the transaction that carries it
-    /// out.
+    /// Decides what a request is granted. Returns the transfer and the transaction that applies
+    /// it.
     fn plan_transfer(
         &self,
         cache: &StateCache,
@@ -142,14 +144,14 @@
             .context
             .own_allocation(cache)
             .ok_or(Refusal::NotReady)?;
-        // What came to us with this change of our allocation is known only once the cache has
-        // passed it.
+        // Tasks that came with the last change of the allocation are known only once the cache
+        // has reached its revision.
         if cache.revision < allocation.revision {
             return Err(Refusal::Conflict);
         }
         let recipient = cache.allocations.get(&request.recipient);
         let recipient = recipient.ok_or(Refusal::Outdated)?;
-        // All machines of this controller, also those leased to the process before us.
+        // Includes machines that are still leased to this controller's previous process.
         let used = cache.quota_used(cache.machines_of(&self.context.config.name));
         let offered = offered(cache);
         let exchange = lock(&self.state);
@@ -172,15 +174,15 @@
             fence.leader.0,
             fence.registration.0,
         )?;
-        let transaction = self.transaction_of(&transfer, allocation, recipient);
+        let transaction = self.transfer_transaction(&transfer, allocation, recipient);
         Ok(PlannedTransfer {
             transfer,
             transaction,
         })
     }
 
-    /// The transaction that carries a transfer out: both allocations, on all its conditions.
-    fn transaction_of(
+    /// Returns the transaction that writes both allocations of a transfer, on all its conditions.
+    fn transfer_transaction(
         &self,
         transfer: &Transfer<ControllerName, TeamName>,
         donor: &Versioned<AllocationRecord>,
