--- a/src/coordination/leader/cleanup.rs
+++ b/src/coordination/leader/cleanup.rs
@@ -24,8 +24,8 @@
 const MAX_CLEANUP_TRANSACTIONS: usize = 24;
 /// Maximum number of these that remove records of finished jobs.
 const MAX_JOB_TRANSACTIONS: usize = MAX_CLEANUP_TRANSACTIONS / 2;
-/// Number of records that end a job besides its run records: its spec and its cleanup mark or
-/// outcome.
+/// Number of a job's records that a cleanup transaction changes in addition to its run records:
+/// its spec and its cleanup mark or outcome.
 const NON_RUN_RECORDS_PER_JOB: usize = 2;
 /// Maximum number of conditions in a commit, per operation that a commit may have.
 const CONDITIONS_PER_OPERATION: usize = 3;
@@ -186,8 +186,9 @@
 
 /// Removes placements of tasks whose machines are terminated. A machine's record is removed
 /// only after the release of the machine was answered, so that nothing runs on it any more.
-/// Such a task counts as waiting at once, and its next placement replaces the old one. While
-/// it finds no other place, its old placement uses quota to no purpose, so it is removed here.
+/// Such a task counts as waiting at once, and its next placement replaces the old one. If it is
+/// not placed within [`LOST_TASK_TIMEOUT`], the old placement, which uses quota for nothing, is
+/// removed here.
 fn unplace_lost_tasks(
     cache: &StateCache,
     lost: BTreeMap<RunRecordId<'_>, Vec<u32>>,
--- a/src/coordination/leader/rebalance.rs
+++ b/src/coordination/leader/rebalance.rs
@@ -25,7 +25,8 @@
 /// and at least one in [`LOST_SHARD_DIVISOR`] of them.
 const LOST_SHARD_MIN_MACHINES: usize = 3;
 const LOST_SHARD_DIVISOR: usize = 6;
-/// A controller that lost a shard is given no others for this long.
+/// For this long after a controller lost a shard, no shards are moved to it for balance, and
+/// other controllers are preferred as owners of machines.
 const AVOID_OWNER_PERIOD: Duration = Duration::from_secs(30);
 
 /// A move of a shard that would make the controllers' load more even, or give the shard an
@@ -46,8 +47,8 @@
 }
 
 /// Starts a move of a shard to a controller of its own zone, or to one with fewer machines.
-/// Running tasks are not affected; new ones are not placed on the shard while it moves, so
-/// that no move starts while tasks wait for room.
+/// Running tasks are not affected. New ones are not placed on the shard while it moves, so no
+/// move starts while tasks wait for room.
 pub(super) fn rebalance(cache: &StateCache, state: &mut LeaderState, now: Instant) {
     if state.moving.len() >= MAX_CONCURRENT_MOVES || !state.unplaced.is_empty() {
         return;
--- a/src/coordination/leader/shards/machine_assignment.rs
+++ b/src/coordination/leader/shards/machine_assignment.rs
@@ -24,7 +24,7 @@
 
 impl ShardPlan<'_> {
     /// Removes terminated machines, which are those in no machine group, from their shards. They
-    /// do no harm there, while each change of a shard voids its placements in flight. They are
+    /// do no harm there, while each change of a shard makes its placements in flight fail. They are
     /// therefore removed only if they exceed one in [`TERMINATED_DIVISOR`] of the shard, or if
     /// the shard changes anyway.
     pub(super) fn remove_terminated(&mut self) {
--- a/src/coordination/leader/shards/ownership.rs
+++ b/src/coordination/leader/shards/ownership.rs
@@ -172,8 +172,8 @@
     }
 
     /// Reserves the changes for moving machines to a controller in this pass: those of the given
-    /// shards, and of the allocations of the old and the new owner. Returns whether the move may
-    /// happen in this pass.
+    /// shards, and of the allocations whose budgets change. Returns whether the move may happen in
+    /// this pass.
     pub(super) fn reserve_move(
         &mut self,
         shards: &[ShardId],
--- a/src/coordination/leader/shards/quota_division.rs
+++ b/src/coordination/leader/shards/quota_division.rs
@@ -25,7 +25,7 @@
 /// a deficit.
 const RECLAIM_FRACTION: f64 = 0.5;
 /// Fraction of a limit that is retained to be granted on demand. If more than that is unclaimed
-/// and no controller has a deficit, all that is unclaimed is divided equally.
+/// and no deficit remains, all that is unclaimed is divided equally.
 pub(super) const RETAINED_FRACTION: f64 = 0.1;
 
 /// Use of the teams' limits, with each machine counted for its owner after this pass.
@@ -322,8 +322,8 @@
 }
 
 /// Returns the amount of unclaimed quota that is granted for a deficit. It is larger than the
-/// deficit, to make few changes of the allocation: each voids the controller's placements in
-/// flight.
+/// deficit, to make few changes of the allocation: each makes the controller's placements in
+/// flight fail.
 fn grant_amount(missing: f64, unclaimed: f64) -> f64 {
     if missing <= MIN_QUOTA_STEP {
         return 0.0;
--- a/src/coordination/quota_exchange/mod.rs
+++ b/src/coordination/quota_exchange/mod.rs
@@ -16,7 +16,7 @@
 };
 
 use quota::Refusal;
-use state::State;
+use state::ExchangeState;
 use tokio::time::Instant;
 
 use super::{
@@ -45,13 +45,13 @@
 /// Transfers quota between this controller and others, as the recipient and as the donor.
 pub(super) struct QuotaExchange {
     context: Arc<Context>,
-    state: Mutex<State>,
+    state: Mutex<ExchangeState>,
 }
 
 impl QuotaExchange {
     /// Creates an exchange without requests and targets.
     pub(super) fn new(context: Arc<Context>) -> Self {
-        let state = Mutex::new(State::new(&context.config));
+        let state = Mutex::new(ExchangeState::new(&context.config));
         Self { context, state }
     }
 
--- a/src/coordination/quota_exchange/state.rs
+++ b/src/coordination/quota_exchange/state.rs
@@ -30,7 +30,7 @@
 }
 
 /// State of a controller's quota requests in both roles.
-pub(super) struct State {
+pub(super) struct ExchangeState {
     /// Requests of other controllers that wait for a decision.
     pub(super) donor: Donor<ControllerName, TeamName>,
     /// This controller's deficits, and its own requests for them.
@@ -46,7 +46,7 @@
     pub(super) counts: QuotaCounts,
 }
 
-impl State {
+impl ExchangeState {
     /// Creates a state without requests and targets.
     pub(super) fn new(config: &Config) -> Self {
         let controllers = config.peers.iter().map(|(name, _)| name.clone());
--- a/src/coordination/quota_exchange/transfers.rs
+++ b/src/coordination/quota_exchange/transfers.rs
@@ -57,7 +57,7 @@
     }
 
     /// Decides the queued requests. Must be called between two rounds of placements, when every
-    /// placement of this controller is either in the cache or void.
+    /// placement of this controller is either in the cache or can no longer take effect.
     ///
     /// `offered` returns the quota of tasks that are offered to this controller and not yet
     /// placed. Returns true if the outcome of a transfer's commit is unknown: the caller must
