--- a/src/coordination/leader/fleet/machine_inspection.rs
+++ b/src/coordination/leader/fleet/machine_inspection.rs
@@ -239,7 +239,7 @@
         // received a heartbeat recently, to save the cost of a search for each machine.
         let is_heartbeat_late = status.since_heartbeat > self.config.heartbeat_interval;
         let indirect_contact = is_heartbeat_late
-            .then(|| self.state.indirectly_heard_by(machine.owner, machine.id))
+            .then(|| self.state.indirect_contact(machine.owner, machine.id))
             .flatten()
             .filter(|contact| contact.age < self.config.indirect_heartbeat_max_age());
         let probe_after = self.unresponsive_after.mul_f64(INDIRECT_PROBE_FRACTION);
--- a/src/coordination/leader/fleet/miss_rate_band.rs
+++ b/src/coordination/leader/fleet/miss_rate_band.rs
@@ -15,7 +15,7 @@
         leader::{
             Leader,
             miss_rate::{MissRate, MissRateWindow, OverdueTasks},
-            pool::{Pool, Suited, WantedMachines},
+            pool::{Pool, SuitedTasks, WantedMachines},
             routing::Unplaced,
         },
         policy::band,
@@ -47,7 +47,7 @@
     fn add(&mut self, options: &ProvisioningOptions<'_>, unplaced: &Unplaced) {
         self.total += unplaced.tasks;
         let mut tasks_without_pool = unplaced.tasks;
-        for Suited { pool, tasks } in options.suitable_pools_for_waiting(unplaced) {
+        for SuitedTasks { pool, tasks } in options.suitable_pools_for_waiting(unplaced) {
             tasks_without_pool -= tasks;
             *self.by_pool.entry(pool.clone()).or_default() += f64::from(tasks);
             if unplaced.overdue {
@@ -79,7 +79,7 @@
     ) -> Vec<WantedMachines> {
         let tuning = &self.context.config.tuning;
         let waiting = WaitingTasks::new(options, need.unplaced);
-        let misses = miss_rate.misses(&waiting.overdue);
+        let misses = miss_rate.current_rate(&waiting.overdue);
         let pools = pools_in_demand(&waiting, &misses);
         let loads: Vec<band::TypeLoad> = pools
             .iter()
--- a/src/coordination/leader/fleet/provisioning_options/demand.rs
+++ b/src/coordination/leader/fleet/provisioning_options/demand.rs
@@ -10,7 +10,7 @@
 use crate::{
     coordination::{
         leader::{
-            pool::{Pool, Suited},
+            pool::{Pool, SuitedTasks},
             routing::Unplaced,
         },
         policy::{placement, zone_constraint::ZoneConstraint},
@@ -88,7 +88,7 @@
 
     /// Returns the pools that best suit a job's waiting tasks, among the targets that the cloud
     /// has not recently refused. Tasks that no available target can run are left out.
-    pub fn suitable_pools_for_waiting(&self, waiting: &Unplaced) -> Vec<Suited> {
+    pub fn suitable_pools_for_waiting(&self, waiting: &Unplaced) -> Vec<SuitedTasks> {
         let Some(demand) = self.demand(waiting) else {
             return Vec::new();
         };
@@ -113,7 +113,7 @@
             if remaining == 0 {
                 continue;
             }
-            for Suited { pool, tasks } in self.suitable_pools(demand, remaining, true) {
+            for SuitedTasks { pool, tasks } in self.suitable_pools(demand, remaining, true) {
                 let Some(kind) = self.cache.machine_type(&pool.kind) else {
                     continue;
                 };
--- a/src/coordination/leader/fleet/provisioning_options/suitability_search.rs
+++ b/src/coordination/leader/fleet/provisioning_options/suitability_search.rs
@@ -5,7 +5,7 @@
 use super::{JobDemand, ProvisionTarget, ProvisioningOptions};
 use crate::{
     coordination::{
-        leader::pool::{Pool, Suited},
+        leader::pool::{Pool, SuitedTasks},
         policy::suitability,
     },
     storage::{JobSpec, MachineType, ZoneName},
@@ -30,7 +30,7 @@
         mut demand: JobDemand,
         tasks: u32,
         only_available: bool,
-    ) -> Vec<Suited> {
+    ) -> Vec<SuitedTasks> {
         let spec = demand.spec.clone();
         let by_zone = spec.is_zone_bound() || spec.zone.is_some();
         let mut suitable = Vec::new();
@@ -52,7 +52,7 @@
                 }
             };
             remaining -= tasks;
-            suitable.push(Suited { pool, tasks });
+            suitable.push(SuitedTasks { pool, tasks });
         }
         suitable
     }
