--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -145,7 +145,7 @@
             tracing::info!(
                 requests = counts.requests,
                 written = ?counts.written,
-                refused = counts.refused,
+                refused = counts.conflicted,
                 throttled = counts.throttled,
                 jobs,
                 waiting,
--- a/src/coordination/leader/cleanup.rs
+++ b/src/coordination/leader/cleanup.rs
@@ -85,7 +85,7 @@
         let mut transactions = transactions.into_iter().peekable();
         while let Some(mut batch) = transactions.next() {
             while let Some(next) = transactions.next_if(|next| has_room(&batch, next)) {
-                batch.absorb(next);
+                batch.merge(next);
             }
             let committed = self
                 .commit_as_leader(batch, RequestPriority::Placement)
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -49,7 +49,7 @@
         };
         let transaction = Transaction::default()
             .require(keys::LEADER.into(), revision)
-            .set_with(keys::LEADER.into(), &record, Some(lease));
+            .set_with_lease(keys::LEADER.into(), &record, Some(lease));
         let is_written = self
             .context
             .store
--- a/src/coordination/leader/fleet/market/demand.rs
+++ b/src/coordination/leader/fleet/market/demand.rs
@@ -113,7 +113,7 @@
                     continue;
                 };
                 let tasks_per_machine = spec.per_task.count_in(&kind.size).max(1);
-                if self.is_pressing(waiting, spec, kind.rate(pool.spot)) {
+                if self.is_pressing(waiting, spec, kind.hourly_price(pool.spot)) {
                     pressing.insert(pool.clone());
                 }
                 let machines = f64::from(tasks) / f64::from(tasks_per_machine);
--- a/src/coordination/leader/fleet/market/machines.rs
+++ b/src/coordination/leader/fleet/market/machines.rs
@@ -98,7 +98,7 @@
             };
             Some(UsedMachine {
                 utilisation,
-                runs_service: load.is_some_and(|load| load.service),
+                runs_service: load.is_some_and(|load| load.has_service),
             })
         })
         .collect()
--- a/src/coordination/leader/fleet/market/suitability_search.rs
+++ b/src/coordination/leader/fleet/market/suitability_search.rs
@@ -132,6 +132,6 @@
     let machines_per_task = f64::from(tasks.div_ceil(tasks_per_machine)) / f64::from(tasks);
     suitability::Candidate {
         time,
-        cost: machines_per_task * kind.rate(spot) * time.as_secs_f64(),
+        cost: machines_per_task * kind.hourly_price(spot) * time.as_secs_f64(),
     }
 }
--- a/src/coordination/leader/routing/records.rs
+++ b/src/coordination/leader/routing/records.rs
@@ -45,7 +45,9 @@
     fn owner_with_expired_offers(&self, id: &JobId, job: &Job, tasks: &[u32]) -> Option<usize> {
         let expired = self.expired_offers.get(id)?;
         let record = &job.chunks.get(&(tasks.first()? / keys::CHUNK))?.value;
-        let is_again = tasks.iter().any(|task| record.before.contains_key(task));
+        let is_again = tasks
+            .iter()
+            .any(|task| record.last_attempts.contains_key(task));
         let owner = self.free_capacity.owner_index(&expired.controller);
         let refuses = expired.count >= EXPIRED_OFFERS_LIMIT;
         owner.filter(|_| refuses && is_again && self.free_capacity.controllers.len() > 1)
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -111,7 +111,7 @@
         let revision = found.map_or(Revision(0), |item| item.revision);
         let transaction = Transaction::default()
             .require(key.clone(), revision)
-            .set_with(key, &record, Some(lease));
+            .set_with_lease(key, &record, Some(lease));
         match self
             .context
             .store
@@ -164,7 +164,7 @@
         };
         let transaction = Transaction::default()
             .require(keys::LEADER.into(), expected)
-            .set_with(keys::LEADER.into(), &record, Some(lease));
+            .set_with_lease(keys::LEADER.into(), &record, Some(lease));
         match self
             .context
             .store
--- a/src/coordination/owner/commits.rs
+++ b/src/coordination/owner/commits.rs
@@ -248,7 +248,7 @@
             transaction = transaction.require(key, allocation);
         }
         for write in group {
-            transaction.absorb(write.transaction.clone());
+            transaction.merge(write.transaction.clone());
         }
         transaction
     }
--- a/src/coordination/owner/failing_jobs.rs
+++ b/src/coordination/owner/failing_jobs.rs
@@ -91,7 +91,7 @@
             };
             let records = job.chunks.values().map(|entry| &entry.value);
             let ended: u64 = records
-                .flat_map(|record| record.before.values())
+                .flat_map(|record| record.last_attempts.values())
                 .map(|attempt| attempt.0)
                 .sum();
             let has_failed_elsewhere =
--- a/src/coordination/owner/offered_jobs.rs
+++ b/src/coordination/owner/offered_jobs.rs
@@ -21,7 +21,7 @@
             let change = changes.0.get(&(id.clone(), task / keys::CHUNK));
             change.is_some_and(|change| {
                 let record = &change.record;
-                record.is_done(task) || record.placed.get(&task) != job.recorded(task)
+                record.is_done(task) || record.placed.get(&task) != job.recorded_placement(task)
             })
         };
         let offer = state.offers.get(id);
--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -248,7 +248,7 @@
     ) -> bool {
         let changes = self.context.config.state.txn_ops;
         let records = match job.spec() {
-            Some(spec) if depends_on_all_records(spec, changes) => spec.records() as usize,
+            Some(spec) if depends_on_all_records(spec, changes) => spec.run_record_count() as usize,
             _ => 1,
         };
         let max_shards = (CONDITIONS_PER_CHANGE * changes).saturating_sub(3 + records);
@@ -309,7 +309,7 @@
 fn was_placed_before(job: &Job, task: u32) -> bool {
     let entry = job.chunks.get(&(task / keys::CHUNK));
     entry.is_some_and(|entry| {
-        entry.value.before.contains_key(&task) || entry.value.placed.contains_key(&task)
+        entry.value.last_attempts.contains_key(&task) || entry.value.placed.contains_key(&task)
     })
 }
 
--- a/src/coordination/owner/record_writes.rs
+++ b/src/coordination/owner/record_writes.rs
@@ -64,7 +64,7 @@
             .require(keys::outcome(&change.id), Revision(0))
             .require(keys::spec(&change.id), spec.revision);
         if depends_on_all_records(&spec.value, self.context.config.state.txn_ops) {
-            for chunk in 0..spec.value.records() {
+            for chunk in 0..spec.value.run_record_count() {
                 if chunk != change.chunk {
                     part = part.require(keys::run(&change.id, chunk), job.run_revision(chunk));
                 }
--- a/src/coordination/policy/zone_constraint.rs
+++ b/src/coordination/policy/zone_constraint.rs
@@ -30,7 +30,7 @@
 impl ZoneScope {
     /// The scope of a job's placements when a transaction may hold this many changes.
     pub fn of(spec: &JobSpec, changes_per_transaction: usize) -> Self {
-        let conditions = spec.records() as usize + OTHER_CONDITIONS;
+        let conditions = spec.run_record_count() as usize + OTHER_CONDITIONS;
         if spec.is_zone_bound() && conditions > CONDITIONS_PER_CHANGE * changes_per_transaction {
             ZoneScope::PerRecord
         } else {
--- a/src/coordination/policy/zone_constraint/tests.rs
+++ b/src/coordination/policy/zone_constraint/tests.rs
@@ -55,7 +55,7 @@
     for tasks in [1, 2, 35, 36, 37, 71, 72, 73, 540, 541, 100_000] {
         let spec = bound(tasks, true, false);
         let mut in_one_zone = 0;
-        for record in 0..spec.records() {
+        for record in 0..spec.run_record_count() {
             let mut constraint = ZoneConstraint::of_record(&spec, record);
             while constraint.admits(&a) {
                 constraint.add(&a);
--- a/src/storage/change_signal.rs
+++ b/src/storage/change_signal.rs
@@ -1,14 +1,14 @@
-//! Tells loops that something has changed since they last looked.
+//! A change notification: wakes loops when something has changed since their last check.
 //!
-//! Listeners are woken in the order in which they began to wait. `tokio::sync::watch` would
-//! wake them in an order drawn anew at each change, from a generator that nothing can seed:
-//! no play of the simulator could be repeated then.
+//! Listeners are woken in the order in which they began to wait. `tokio::sync::watch` wakes
+//! them in a random order, drawn at each change from a generator that cannot be seeded, so
+//! that no run of the simulator would be reproducible.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use tokio::sync::Notify;
 
-/// Counts changes and wakes whoever listens.
+/// Counts changes and wakes the listeners.
 #[derive(Debug, Default)]
 pub struct ChangeSignal {
     changes: AtomicU64,
@@ -16,13 +16,13 @@
 }
 
 impl ChangeSignal {
-    /// Something has changed.
+    /// Records a change and wakes all waiting listeners.
     pub fn notify(&self) {
         self.changes.fetch_add(1, Ordering::Release);
         self.changed.notify_waiters();
     }
 
-    /// A listener that has seen all changes so far.
+    /// Returns a listener that regards all changes so far as seen.
     pub fn listen(&self) -> ChangeListener<'_> {
         ChangeListener {
             signal: self,
@@ -39,27 +39,28 @@
 }
 
 impl ChangeListener<'_> {
-    /// Returns once there is a change that has not been seen, and marks it seen. Nothing is
-    /// lost when the wait is given up.
+    /// Waits until there is an unseen change and marks it as seen. Cancel safe: dropping the
+    /// future loses no change.
     pub async fn changed(&mut self) {
         loop {
             let notified = self.signal.changed.notified();
             tokio::pin!(notified);
-            // From here on a change wakes us, even if it comes before the count is read.
+            // Registered before the count is read, so that a change in between is not missed.
             notified.as_mut().enable();
-            if self.take_news() {
+            if self.update_seen() {
                 return;
             }
             notified.await;
         }
     }
 
-    /// All changes so far count as seen.
+    /// Marks all changes so far as seen.
     pub fn mark_seen(&mut self) {
-        self.take_news();
+        self.update_seen();
     }
 
-    fn take_news(&mut self) -> bool {
+    /// Marks all changes so far as seen and returns whether any was unseen.
+    fn update_seen(&mut self) -> bool {
         let changes = self.signal.changes.load(Ordering::Acquire);
         std::mem::replace(&mut self.seen, changes) != changes
     }
--- a/src/storage/client/commits.rs
+++ b/src/storage/client/commits.rs
@@ -1,16 +1,18 @@
-//! Commits: paced, repeated when they were throttled, and applied to the cache at once.
+//! Commits: rate-limited, retried when throttled, and applied to the cache as soon as they
+//! succeed.
 
 use super::{CommitError, Operation, StateError, Store, Transaction};
 use crate::storage::{ids::Revision, jitter, rate_limiter::RequestPriority};
 
-/// How often a commit that was throttled is repeated.
+/// Maximum number of retries of a throttled commit.
 const MAX_RETRIES: u32 = 4;
-/// Conditions that the service takes in a transaction, for each change that it takes.
+/// Maximum number of conditions in a transaction, as a multiple of its maximum number of
+/// changes.
 pub const CONDITIONS_PER_CHANGE: usize = 4;
 
 impl Store {
-    /// Commits, and puts the changes into the cache. Overload answers are never
-    /// executed and are repeated a few times here.
+    /// Commits a transaction and applies its changes to the cache. A throttled commit was not
+    /// executed and is retried up to `MAX_RETRIES` times.
     pub async fn commit(
         &self,
         transaction: &Transaction,
@@ -19,9 +21,9 @@
         self.check_size(transaction)?;
         let mut retries = 0;
         loop {
-            self.requests.acquire(1.0, priority).await;
+            self.request_limiter.acquire(1.0, priority).await;
             let writes = transaction.ops.len() as f64;
-            self.writes.acquire(writes, priority).await;
+            self.write_limiter.acquire(writes, priority).await;
             let result = self.key_value_store.commit(transaction).await;
             self.count_commit(transaction, &result);
             match &result {
@@ -32,9 +34,9 @@
                 }
                 Err(CommitError::State(StateError::Throttled)) if retries < MAX_RETRIES => {
                     retries += 1;
-                    // Which of the two limits it was is not told.
-                    self.requests.refused();
-                    self.writes.refused();
+                    // The response does not say which of the two limits was exceeded.
+                    self.request_limiter.note_throttled();
+                    self.write_limiter.note_throttled();
                     tokio::time::sleep(jitter::millis(30, 90) * retries).await;
                     continue;
                 }
@@ -45,8 +47,8 @@
         }
     }
 
-    /// What is too large, now or after the limits have fallen, is not sent: it would
-    /// be refused whenever it is repeated.
+    /// Rejects a transaction above the current or the announced size limits instead of sending
+    /// it: the service would reject every retry as well.
     fn check_size(&self, transaction: &Transaction) -> Result<(), StateError> {
         let ops = transaction.ops.len();
         let conditions = transaction.conditions.len();
@@ -70,10 +72,13 @@
             ?large,
             "a transaction is too large to be sent"
         );
-        Err(StateError::Rejected("too large".into()))
+        Err(StateError::Rejected(
+            "transaction exceeds the size limits".into(),
+        ))
     }
 
-    /// Puts the changes of a committed transaction into the cache, ahead of the watch.
+    /// Applies the changes of a committed transaction to the cache before the watch delivers
+    /// them.
     fn apply_commit(&self, transaction: &Transaction, revision: Revision) {
         let mut cache = self.cache();
         for operation in &transaction.ops {
--- a/src/storage/client/counters.rs
+++ b/src/storage/client/counters.rs
@@ -1,26 +1,27 @@
-//! Counts of what was asked of the key-value store, for the log.
+//! Counts of the requests to the state service, for the log.
 
 use std::collections::BTreeMap;
 
 use super::{CommitError, Operation, StateError, Store, Transaction, lock};
 use crate::storage::ids::Revision;
 
-/// What was asked of the state service since the last look, for the log.
+/// Requests and changes since the last [`Store::take_counters`].
 #[derive(Clone, Debug, Default)]
 pub struct StoreCounters {
-    /// Commits and reads of changes.
+    /// Number of commits and of reads of changes.
     pub requests: u32,
-    /// Changes made, by the kind of record.
+    /// Number of committed changes, by label: `+` for a key that was set or `-` for one that
+    /// was removed, followed by the first segment of the key.
     pub written: BTreeMap<String, u32>,
-    /// Changes asked for in transactions whose conditions failed, which the
-    /// service counts as well.
-    pub refused: u32,
-    /// Commits that the service did not execute since its limits were exceeded.
+    /// Number of changes in transactions whose conditions failed. The service counts these
+    /// changes against its write limit as well.
+    pub conflicted: u32,
+    /// Number of commits that the service did not execute because a rate limit was exceeded.
     pub throttled: u32,
 }
 
 impl Store {
-    /// What was asked of the service since the last call.
+    /// Returns the counts since the last call and resets them.
     pub fn take_counters(&self) -> StoreCounters {
         std::mem::take(&mut *lock(&self.counters))
     }
@@ -40,14 +41,14 @@
                     *counters.written.entry(label).or_default() += 1;
                 }
             }
-            Err(CommitError::Conflict(_)) => counters.refused += transaction.ops.len() as u32,
+            Err(CommitError::Conflict(_)) => counters.conflicted += transaction.ops.len() as u32,
             Err(CommitError::State(StateError::Throttled)) => counters.throttled += 1,
             Err(_) => {}
         }
     }
 }
 
-/// `+` or `-`, for a key that was set or removed, and the first part of the key.
+/// The label under which a change is counted, see [`StoreCounters::written`].
 fn counter_label(operation: &Operation) -> String {
     let (sign, key) = match operation {
         Operation::Put { key, .. } => ("+", key),
--- a/src/storage/client/errors.rs
+++ b/src/storage/client/errors.rs
@@ -1,41 +1,42 @@
-//! Errors of the key-value store.
+//! Errors of the state service.
 
-/// Why the state service did not do what it was asked.
+/// Why a request to the state service failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateError {
-    /// It is there, but does not serve now.
-    #[error("refused: not executed")]
+    /// The service is unavailable, or the request could not be sent.
+    #[error("service unavailable: request not executed")]
     Unavailable,
-    /// Its request or write rate is exceeded.
-    #[error("over the request limit: not executed")]
+    /// The service's request or write rate limit is exceeded.
+    #[error("rate limit exceeded: request not executed")]
     Throttled,
-    /// Nothing was heard of the request, or its answer was lost.
-    #[error("no answer: perhaps executed")]
+    /// The request timed out, or its response was lost or reported an internal error.
+    #[error("no answer: request may have been executed")]
     NoAnswer,
-    /// The lease, and the keys attached to it, are no more.
+    /// The lease has expired, and the keys attached to it are deleted.
     #[error("the lease has expired")]
     LeaseExpired,
-    /// A watch from this revision would miss changes.
-    #[error("too old a revision to follow")]
+    /// The changes since the requested revision are no longer available: a watch from there
+    /// would miss some.
+    #[error("revision is too old to watch from")]
     TooOld,
-    /// The request can never be served; with the reason.
+    /// The request is invalid and fails on every retry; with the reason.
     #[error("rejected: {0}")]
     Rejected(String),
 }
 
-/// Why a transaction has not changed anything, as far as is known.
+/// Why a transaction was not committed, or is not known to have been.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommitError {
-    /// These keys do not have the revisions that were required.
-    #[error("conditions failed on {0:?}")]
+    /// The conditions on these keys do not hold: their revisions are not the required ones.
+    #[error("revision conditions failed for keys {0:?}")]
     Conflict(Vec<String>),
-    /// The service did not do it, or did not say so.
+    /// The request to the state service failed.
     #[error(transparent)]
     State(#[from] StateError),
 }
 
 impl CommitError {
-    /// The transaction may have been executed, or may yet be.
+    /// Whether the transaction may have been executed, or may still be.
     pub fn is_unknown(&self) -> bool {
         matches!(self, CommitError::State(StateError::NoAnswer))
     }
--- a/src/storage/client/key_value_store.rs
+++ b/src/storage/client/key_value_store.rs
@@ -1,5 +1,5 @@
-//! The interface to the consensus-backed key-value store. The transport implements it
-//! over HTTP, the simulator in memory.
+//! The interface to the state service, a consensus-backed key-value store. The transport
+//! implements it over HTTP, the simulator in memory.
 
 use std::time::Duration;
 
@@ -9,32 +9,35 @@
 use super::{CommitError, LeaseId, StateError, Transaction};
 use crate::storage::ids::Revision;
 
-/// What the state service allows.
+/// Limits of the state service.
 #[derive(Clone, Debug)]
 pub struct StateLimits {
-    /// Requests a second, of all controllers together.
+    /// Maximum requests per second, of all controllers together.
     pub rps: f64,
-    /// Changes of keys a second, of all controllers together.
+    /// Maximum changes of keys per second, of all controllers together.
     pub write_rps: f64,
-    /// The request rate that it will allow from some moment on, not above that of now.
+    /// The announced request rate limit, which takes effect at an unknown time; at most `rps`.
     pub next_rps: f64,
-    /// The same for its rate of changes.
+    /// The announced limit on changes per second, which takes effect at an unknown time; at
+    /// most `write_rps`.
     pub next_write_rps: f64,
-    /// Largest value, of now and then: what is too large one day is never written, since
-    /// that day is not announced.
+    /// Maximum size of a value in bytes: the lower of the current and the announced limit. The
+    /// announced one is observed from the start, since the time at which it takes effect is not
+    /// announced.
     pub value_bytes: usize,
-    /// Most changes in one transaction, of now and then.
+    /// Maximum number of changes in one transaction: the lower of the current and the announced
+    /// limit.
     pub txn_ops: usize,
 }
 
-/// A key as read.
+/// A key with its value and revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyValue {
     /// The key.
     pub key: String,
     /// Its value.
     pub value: Value,
-    /// The change that set it.
+    /// The revision of the change that set it.
     pub revision: Revision,
 }
 
@@ -43,47 +46,47 @@
 pub enum WatchEvent {
     /// A key was set.
     Put(KeyValue),
-    /// A key was removed, or went with its lease.
+    /// A key was removed, or deleted with its expired lease.
     Delete {
         /// The key.
         key: String,
-        /// The change that removed it.
+        /// The revision of the change that removed it.
         revision: Revision,
     },
 }
 
-/// A part of the keys with a prefix, in their order.
+/// One page of the keys with a prefix, in key order.
 #[derive(Clone, Debug)]
 pub struct RangePage {
     /// The keys with their values.
     pub items: Vec<KeyValue>,
-    /// Others follow after the last one.
+    /// Whether there are more keys after the last one.
     pub more: bool,
-    /// The store's revision at the time of the read.
+    /// The service's revision at the time of the read.
     pub revision: Revision,
 }
 
-/// What a state service offers. Each call is bounded in time by the implementation.
+/// The operations of the state service. The implementation bounds each call in time.
 pub trait KeyValueStore: Send + Sync {
-    /// Reads one key; `None`: it is absent.
+    /// Reads one key; `None` if it is absent.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<KeyValue>, StateError>>;
-    /// Reads keys with a prefix, from the first one that comes after `after`.
+    /// Reads a page of the keys with a prefix that come after `after`, or from the first one.
     fn range<'a>(
         &'a self,
         prefix: &'a str,
         after: Option<&'a str>,
     ) -> BoxFuture<'a, Result<RangePage, StateError>>;
-    /// Makes the transaction's changes if its conditions hold, and tells their revision.
+    /// Makes the transaction's changes if its conditions hold, and returns their revision.
     fn commit<'a>(
         &'a self,
         transaction: &'a Transaction,
     ) -> BoxFuture<'a, Result<Revision, CommitError>>;
-    /// Grants a lease that ends `ttl` after its last renewal.
+    /// Grants a lease that expires `ttl` after its last renewal.
     fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StateError>>;
     /// Renews a lease.
     fn renew_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StateError>>;
-    /// The changes after a revision, with the revision up to which they are complete. It
-    /// waits for the first one up to `max_wait`.
+    /// Returns the changes after `from`, with the revision up to which they are complete. If
+    /// there are none yet, waits up to `max_wait` for the first one.
     fn watch(
         &self,
         from: Revision,
--- a/src/storage/client/mod.rs
+++ b/src/storage/client/mod.rs
@@ -1,8 +1,8 @@
-//! The state-service client: paced reads and commits over a [`KeyValueStore`], and the
-//! replica that they keep up to date.
+//! The client of the state service: rate-limited reads and commits over a [`KeyValueStore`],
+//! and the local replica (the cache) that they keep up to date.
 //!
-//! One [`Store`] serves all duties of a controller. It owns the cache; whoever locks it
-//! does so for a moment and never over an await.
+//! One [`Store`] serves all background tasks of a controller. It owns the cache, whose lock is
+//! held only briefly and never across an await.
 
 mod commits;
 mod counters;
@@ -38,54 +38,54 @@
     state_cache::StateCache,
 };
 
-/// Part of the request limit that all controllers' reads of changes may take.
+/// Maximum fraction of the request limit that the reads of changes of all controllers use.
 const READS_SHARE: f64 = 0.33;
-/// Least pause between two reads of changes.
+/// Minimum interval between two reads of changes.
 const MIN_READ_INTERVAL: Duration = Duration::from_millis(20);
-/// Part of the limits that is used by plan; the rest is for what collides.
+/// Fraction of the limits that is divided between the controllers. The rest absorbs collisions
+/// when controllers use more than their shares.
 const PLANNED_SHARE: f64 = 0.9;
-/// Part of the limits that one controller uses at most, whatever others leave.
+/// Maximum fraction of the limits that one controller uses, even if the others are idle.
 const MAX_SHARE: f64 = 0.75;
-/// Part of the limits that a controller counts on before it knows how many live.
+/// Fraction of the limits that a controller uses before it knows how many controllers there are.
 const INITIAL_SHARE: f64 = 0.3;
-/// What a controller counts on in any case, in calls or changes a second.
-const MIN_INITIAL_RATE: f64 = 2.0;
+/// Lower bound of a controller's initial rates, in requests or changes per second.
+const MIN_INITIAL_RATE_PER_S: f64 = 2.0;
 
-/// The state service as the rest of the program sees it.
+/// The controller's client of the state service, with its local replica.
 pub struct Store {
-    /// The service itself.
+    /// Sends the requests.
     key_value_store: Box<dyn KeyValueStore>,
     cache: Mutex<StateCache>,
-    /// Counts the changes of the cache.
+    /// Notifies listeners of changes of the cache.
     changed: ChangeSignal,
     /// See [`Store::is_loaded`].
     loaded: AtomicBool,
-    requests: RateLimiter,
-    writes: RateLimiter,
-    /// Start of the latest read or commit that the service answered and whose
-    /// changes are all in the cache.
+    request_limiter: RateLimiter,
+    write_limiter: RateLimiter,
+    /// See [`Store::confirmed_at`].
     confirmed_at: Mutex<Option<Instant>>,
-    /// Since when requests have had no answer.
+    /// Start of the current series of unanswered requests; `None` if the last one was answered.
     failing_since: Mutex<Option<Instant>>,
-    /// Callers that wait for a read which begins after they asked.
+    /// Callers of [`Store::read_barrier`] whose read has not begun.
     barrier_waiters: Mutex<Vec<oneshot::Sender<bool>>>,
-    /// Wakes the duty that serves read barriers.
+    /// Wakes [`Store::serve_read_barriers`].
     barrier_requested: Notify,
-    /// Highest revision that any answer carried.
+    /// Highest revision in any response.
     highest_revision: AtomicU64,
     /// Highest revision of an outcome that was looked up.
-    looked_up: AtomicU64,
+    looked_up_revision: AtomicU64,
     counters: Mutex<StoreCounters>,
     limits: StateLimits,
-    /// Pause between two reads of changes, in microseconds: it lets changes
-    /// gather, so that busy times do not eat the request limit.
-    read_interval: AtomicU64,
-    /// When changes were read last.
-    last_read: Mutex<Instant>,
+    /// Minimum interval between two reads of changes, in microseconds. One read then returns
+    /// many changes, so that reads do not exhaust the request limit under load.
+    read_interval_us: AtomicU64,
+    /// Time of the last read of changes.
+    last_read_at: Mutex<Instant>,
 }
 
 impl Store {
-    /// A store with an empty cache, which [`Self::watch`] fills.
+    /// Creates a store with an empty cache, which [`Self::watch`] fills.
     pub fn new(key_value_store: Box<dyn KeyValueStore>, limits: StateLimits) -> Self {
         let StateLimits { rps, write_rps, .. } = limits;
         Self {
@@ -93,70 +93,71 @@
             cache: Mutex::default(),
             changed: ChangeSignal::default(),
             loaded: AtomicBool::new(false),
-            requests: initial_limiter(rps),
-            writes: initial_limiter(write_rps),
+            request_limiter: initial_limiter(rps),
+            write_limiter: initial_limiter(write_rps),
             confirmed_at: Mutex::new(None),
             failing_since: Mutex::new(None),
             barrier_waiters: Mutex::default(),
             barrier_requested: Notify::new(),
             highest_revision: AtomicU64::new(0),
-            looked_up: AtomicU64::new(0),
+            looked_up_revision: AtomicU64::new(0),
             counters: Mutex::default(),
             limits,
-            read_interval: AtomicU64::new(MIN_READ_INTERVAL.as_micros() as u64),
-            last_read: Mutex::new(Instant::now()),
+            read_interval_us: AtomicU64::new(MIN_READ_INTERVAL.as_micros() as u64),
+            last_read_at: Mutex::new(Instant::now()),
         }
     }
 
-    /// Divides the service's limits between the controllers that live. The
-    /// leader writes for all of them and counts twice.
-    /// `lowered`: the limits to come may hold from now on.
-    pub fn share_limits(&self, living: usize, leads: bool, lowered: bool) {
-        let living = living.max(1) as f64;
-        let part = PLANNED_SHARE * if leads { 2.0 } else { 1.0 } / (living + 1.0);
+    /// Sets this controller's share of the service's limits, which are divided between the
+    /// registered controllers. The leader also writes on behalf of the others and gets two
+    /// shares. `lowered`: the announced limits may be in effect and replace the current ones.
+    pub fn share_limits(&self, controllers: usize, is_leader: bool, lowered: bool) {
+        let controllers = controllers.max(1) as f64;
+        let share = PLANNED_SHARE * if is_leader { 2.0 } else { 1.0 } / (controllers + 1.0);
         let limits = &self.limits;
         let (rps, write_rps) = if lowered {
             (limits.next_rps, limits.next_write_rps)
         } else {
             (limits.rps, limits.write_rps)
         };
-        self.requests.set_bounds(rps * part, rps * MAX_SHARE);
-        self.writes
-            .set_bounds(write_rps * part, write_rps * MAX_SHARE);
-        let read_interval = Duration::from_secs_f64(living / (rps * READS_SHARE).max(1.0));
-        self.read_interval.store(
+        self.request_limiter
+            .set_bounds(rps * share, rps * MAX_SHARE);
+        self.write_limiter
+            .set_bounds(write_rps * share, write_rps * MAX_SHARE);
+        let read_interval = Duration::from_secs_f64(controllers / (rps * READS_SHARE).max(1.0));
+        self.read_interval_us.store(
             read_interval.max(MIN_READ_INTERVAL).as_micros() as u64,
             Ordering::Relaxed,
         );
     }
 
     fn read_interval(&self) -> Duration {
-        Duration::from_micros(self.read_interval.load(Ordering::Relaxed))
+        Duration::from_micros(self.read_interval_us.load(Ordering::Relaxed))
     }
 
-    /// Changes of the state service that may be made now without making more
-    /// urgent ones wait, as a part of a second's worth.
+    /// Returns how many changes can be made now without delaying more urgent ones, as a
+    /// fraction of the changes that this controller can make in one second.
     pub fn spare_writes(&self) -> f64 {
-        self.writes.filled()
+        self.write_limiter.available_fraction()
     }
 
-    /// How long a commit would have to wait now for the service's limits.
+    /// Returns how long the rate limits would delay a commit now; `None` if not at all.
     pub fn commit_wait(&self, priority: RequestPriority) -> Option<Duration> {
-        let requests = self.requests.wait(priority);
-        requests.max(self.writes.wait(priority))
+        let requests = self.request_limiter.wait(priority);
+        requests.max(self.write_limiter.wait(priority))
     }
 
-    /// Locks the cache. It must not be held over an await.
+    /// Locks the cache. The guard must not be held across an await.
     pub fn cache(&self) -> MutexGuard<'_, StateCache> {
         lock(&self.cache)
     }
 
-    /// The live set has been read once; before that nothing can be decided.
+    /// Whether the cache holds the whole live set. Until it does, no decision may rely on it.
     pub fn is_loaded(&self) -> bool {
         self.loaded.load(Ordering::Relaxed)
     }
 
-    /// Tells its listener of every change of the cache.
+    /// Returns a listener for changes of the cache.
     pub fn changes(&self) -> ChangeListener<'_> {
         self.changed.listen()
     }
@@ -165,21 +166,21 @@
         self.changed.notify();
     }
 
-    /// Start of the latest read that the service answered and whose changes are all in
-    /// the cache.
+    /// Start of the latest read of changes that the service answered and whose changes are all
+    /// in the cache.
     pub fn confirmed_at(&self) -> Option<Instant> {
         *lock(&self.confirmed_at)
     }
 
-    /// The highest revision that any answer of the service carried.
+    /// The highest revision in any response of the service.
     pub fn highest_revision(&self) -> Revision {
         Revision(self.highest_revision.load(Ordering::Relaxed))
     }
 
-    /// The cache has caught up with every outcome that was looked up ahead of it, so
-    /// that it shows all cancellations that users were told of here.
+    /// Whether the cache has reached the revision of every outcome that was looked up in the
+    /// service, so that it shows all cancellations that this controller has reported to users.
     pub fn has_applied_looked_up_outcomes(&self) -> bool {
-        self.cache().revision.0 >= self.looked_up.load(Ordering::Relaxed)
+        self.cache().revision.0 >= self.looked_up_revision.load(Ordering::Relaxed)
     }
 
     fn note_revision(&self, revision: Revision) {
@@ -189,8 +190,8 @@
 }
 
 fn initial_limiter(limit: f64) -> RateLimiter {
-    RateLimiter::between(
-        (limit * INITIAL_SHARE).max(MIN_INITIAL_RATE),
-        (limit * MAX_SHARE).max(MIN_INITIAL_RATE),
+    RateLimiter::adaptive(
+        (limit * INITIAL_SHARE).max(MIN_INITIAL_RATE_PER_S),
+        (limit * MAX_SHARE).max(MIN_INITIAL_RATE_PER_S),
     )
 }
--- a/src/storage/client/reads.rs
+++ b/src/storage/client/reads.rs
@@ -14,56 +14,66 @@
     state_cache::StateCache,
 };
 
-/// How long a watch is held open: short enough that an outage shows quickly.
+/// Maximum time for which the service holds a watch open: short enough that an outage is
+/// noticed quickly.
 pub(super) const WATCH_MAX_WAIT: Duration = Duration::from_millis(1000);
-/// A watch follows another read after this many read intervals.
+/// Minimum time between a read of changes and the next watch, in read intervals. Above 1, so
+/// that the reads of read barriers replace the watch while they continue.
 const WATCH_DELAY_FACTOR: f64 = 1.25;
-/// Fresh reads waiting at a time.
+/// Maximum number of callers that wait for a read barrier at a time.
 const MAX_BARRIER_WAITERS: usize = 2_000;
-/// Without reading any changes for this long everything is read anew.
+/// Time without a read of changes after which the whole live set is read again.
 const FULL_READ_AFTER: Duration = Duration::from_secs(12);
 
 impl Store {
     /// Reads one key from the service, not from the cache.
     pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StateError> {
-        self.requests.acquire(1.0, RequestPriority::User).await;
+        self.request_limiter
+            .acquire(1.0, RequestPriority::User)
+            .await;
         let result = self.key_value_store.get(key).await;
         self.note_reachability(&result);
         result
     }
 
-    /// Looks an outcome up; `None`: the job has none.
+    /// Reads the outcome of a job from the service; `None` if the job has none.
     pub async fn look_up_outcome(&self, job: &JobId) -> Result<Option<OutcomeRecord>, StateError> {
         let Some(item) = self.get(&keys::outcome(job)).await? else {
             return Ok(None);
         };
-        // Before anybody is told of it: peers ask what we have seen.
+        // Must precede the return of the outcome to anybody: peers ask for the highest revision
+        // that this controller has seen.
         self.note_revision(item.revision);
-        self.looked_up.fetch_max(item.revision.0, Ordering::Relaxed);
+        self.looked_up_revision
+            .fetch_max(item.revision.0, Ordering::Relaxed);
         let outcome: OutcomeRecord = serde_json::from_value(item.value)
             .map_err(|error| StateError::Rejected(error.to_string()))?;
         self.cache().remember_outcome(job.clone(), outcome);
         Ok(Some(outcome))
     }
 
-    /// Has a lease granted.
+    /// Requests a new lease from the service.
     pub async fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, StateError> {
-        self.requests.acquire(1.0, RequestPriority::Fencing).await;
+        self.request_limiter
+            .acquire(1.0, RequestPriority::Fencing)
+            .await;
         let result = self.key_value_store.grant_lease(ttl).await;
         self.note_reachability(&result);
         result
     }
 
-    /// Renews a lease of ours.
+    /// Renews a lease of this controller.
     pub async fn renew_lease(&self, lease: LeaseId) -> Result<(), StateError> {
-        self.requests.acquire(1.0, RequestPriority::Fencing).await;
+        self.request_limiter
+            .acquire(1.0, RequestPriority::Fencing)
+            .await;
         let result = self.key_value_store.renew_lease(lease).await;
         self.note_reachability(&result);
         result
     }
 
-    /// A read of everything that begins after this call; true when the cache
-    /// then holds all that was committed before it. Callers share reads.
+    /// Waits for a read of changes that begins after this call. Returns true if the cache then
+    /// holds everything that was committed before the call. Concurrent callers share a read.
     pub async fn read_barrier(&self) -> bool {
         if !self.is_loaded() || !self.is_reachable() {
             return false;
@@ -80,7 +90,8 @@
         receiver.await.unwrap_or(false)
     }
 
-    /// Duty: answers the callers of [`Store::read_barrier`], many with one read.
+    /// Serves the callers of [`Store::read_barrier`] until `stop` is cancelled, all that wait
+    /// with one read.
     pub async fn serve_read_barriers(&self, stop: CancellationToken) {
         while !stop.is_cancelled() {
             tokio::select! {
@@ -94,14 +105,14 @@
             }
             let fresh = self.read_changes(Duration::ZERO).await.is_ok();
             for sender in waiting {
-                // A caller that has given up needs no answer.
+                // Sending fails if the caller has stopped waiting.
                 let _ = sender.send(fresh);
             }
             tokio::time::sleep(self.read_interval()).await;
         }
     }
 
-    /// Duty: keeps the cache up to date.
+    /// Keeps the cache up to date until `stop` is cancelled.
     pub async fn watch(&self, stop: CancellationToken) {
         while !stop.is_cancelled() {
             let result = tokio::select! {
@@ -123,18 +134,18 @@
         }
     }
 
-    /// Reads the changes since the last read once they are due, or everything.
+    /// Reads the changes since the last read when the next read is due, or the whole live set.
     async fn refresh(&self) -> Result<(), StateError> {
-        // After a long absence the changes since would come as one answer
-        // without a limit to its size: the live set is read in pages.
-        if !self.is_loaded() || lock(&self.last_read).elapsed() > FULL_READ_AFTER {
+        // The response to a watch has no size limit and would be very large after a long time
+        // without reads, so the live set is read in pages instead.
+        if !self.is_loaded() || lock(&self.last_read_at).elapsed() > FULL_READ_AFTER {
             return self.load().await;
         }
-        // Fresh reads bring changes as well: while they go on, a watch
-        // beside them would only cost requests.
+        // The reads of read barriers bring in the changes as well: while they continue, a watch
+        // would only use up requests.
         let read_interval = self.read_interval().mul_f64(WATCH_DELAY_FACTOR);
         loop {
-            let since_last_read = lock(&self.last_read).elapsed();
+            let since_last_read = lock(&self.last_read_at).elapsed();
             if since_last_read >= read_interval {
                 return self.read_changes(WATCH_MAX_WAIT).await;
             }
@@ -145,7 +156,9 @@
     /// Reads the changes since the cache's revision, waiting for the first one up to
     /// `max_wait`, and applies them.
     pub(super) async fn read_changes(&self, max_wait: Duration) -> Result<(), StateError> {
-        self.requests.acquire(1.0, RequestPriority::User).await;
+        self.request_limiter
+            .acquire(1.0, RequestPriority::User)
+            .await;
         let started = Instant::now();
         lock(&self.counters).requests += 1;
         let from = self.cache().revision;
@@ -156,17 +169,17 @@
         let has_changes = !events.is_empty();
         {
             let mut cache = self.cache();
-            // The cache may have been read anew meanwhile; older events do no
-            // harm, but a gap would.
+            // A concurrent full read may have replaced the cache. Events that it already
+            // includes are harmless, but it must not miss any between its revision and `from`.
             if cache.revision < from {
                 return Err(StateError::TooOld);
             }
             apply(&mut cache, events);
             cache.advance(revision);
         }
-        *lock(&self.last_read) = Instant::now();
-        // A held watch answers late; what it tells is as new as its answer, but
-        // only its start is certain.
+        *lock(&self.last_read_at) = Instant::now();
+        // A watch may be held open for a while. Its response is as recent as the time at which
+        // it was sent, but only the start of the request is known for certain.
         let mut confirmed_at = lock(&self.confirmed_at);
         *confirmed_at = (*confirmed_at).max(Some(started));
         drop(confirmed_at);
@@ -176,7 +189,7 @@
         Ok(())
     }
 
-    /// Reads the whole live set: at start, and after a gap.
+    /// Reads the whole live set, at the start and after a gap in the watch.
     async fn load(&self) -> Result<(), StateError> {
         let started = Instant::now();
         let mut fresh = self.read_live_set().await?;
@@ -185,30 +198,33 @@
             machines = fresh.machines.len(),
             "read the live set"
         );
-        // Until it is read on, the cache may lack commits of our own that were made
-        // while the pages were read, cancellations among them.
+        // Until the read of changes below, the new cache may lack commits that this controller
+        // made while the pages were read, cancellations among them.
         self.loaded.store(false, Ordering::Relaxed);
         {
             let mut cache = self.cache();
             fresh.take_outcomes(&mut cache);
             *cache = fresh;
         }
-        *lock(&self.last_read) = Instant::now();
+        *lock(&self.last_read_at) = Instant::now();
         *lock(&self.confirmed_at) = Some(started);
-        // Only now does the cache hold our own commits made meanwhile.
+        // Brings in this controller's own commits made while the pages were read.
         self.read_changes(Duration::ZERO).await?;
         self.loaded.store(true, Ordering::Relaxed);
         self.notify_changed();
         Ok(())
     }
 
+    /// Reads all keys of the live set, page by page, into a new cache.
     async fn read_live_set(&self) -> Result<StateCache, StateError> {
         let mut first_revision: Option<Revision> = None;
         let mut fresh = StateCache::default();
-        for prefix in keys::LIVE {
+        for prefix in keys::LIVE_PREFIXES {
             let mut after: Option<String> = None;
             loop {
-                self.requests.acquire(1.0, RequestPriority::User).await;
+                self.request_limiter
+                    .acquire(1.0, RequestPriority::User)
+                    .await;
                 let result = self.key_value_store.range(prefix, after.as_deref()).await;
                 self.note_reachability(&result);
                 let page = result?;
@@ -222,8 +238,8 @@
                 }
             }
         }
-        // Pages were read one after another: everything since the first page
-        // comes again from the watch.
+        // The pages were read at different revisions: the watch continues from the first page's
+        // and delivers every change since then, including those that later pages show.
         fresh.advance(first_revision.unwrap_or_default());
         Ok(fresh)
     }
--- a/src/storage/client/transaction.rs
+++ b/src/storage/client/transaction.rs
@@ -1,11 +1,11 @@
-//! Transactions: changes of keys that are made together, on conditions.
+//! Transactions: conditional changes of keys that are made atomically.
 
 use serde::Serialize;
 use serde_json::Value;
 
 use crate::storage::ids::Revision;
 
-/// A lease of the key-value store, to which keys can be attached.
+/// A lease of the state service. Keys attached to it are deleted when it expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseId(pub u64);
 
@@ -18,7 +18,7 @@
         key: String,
         /// Its new value.
         value: Value,
-        /// The lease that the key is to end with, if any.
+        /// The lease that the key is attached to, if any.
         lease: Option<LeaseId>,
     },
     /// Removes a key.
@@ -28,30 +28,35 @@
     },
 }
 
-/// Compares revisions (0: the key is absent), then changes keys, all or nothing.
+/// A list of changes that are all made if every condition holds, and none otherwise.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Transaction {
-    /// Keys with the revisions that they must have.
+    /// Keys with their required revisions; 0: the key must be absent.
     pub conditions: Vec<(String, Revision)>,
-    /// What is changed if they do.
+    /// The changes.
     pub ops: Vec<Operation>,
 }
 
 impl Transaction {
-    /// Adds the condition that `key` has this revision; 0: that it is absent.
+    /// Adds the condition that `key` has this revision; 0: that the key is absent.
     pub fn require(mut self, key: String, revision: Revision) -> Self {
         self.conditions.push((key, revision));
         self
     }
 
-    /// Sets a key that outlives any lease.
+    /// Sets a key that is attached to no lease.
     pub fn set(self, key: String, value: &impl Serialize) -> Self {
-        self.set_with(key, value, None)
+        self.set_with_lease(key, value, None)
     }
 
     /// Sets a key, attached to a lease if one is given.
-    pub fn set_with(mut self, key: String, value: &impl Serialize, lease: Option<LeaseId>) -> Self {
-        // Our records are plain data with string keys; they always serialise.
+    pub fn set_with_lease(
+        mut self,
+        key: String,
+        value: &impl Serialize,
+        lease: Option<LeaseId>,
+    ) -> Self {
+        // The records are plain data with string keys, so serialization does not fail.
         let value = serde_json::to_value(value).unwrap_or(Value::Null);
         self.ops.push(Operation::Put { key, value, lease });
         self
@@ -63,8 +68,8 @@
         self
     }
 
-    /// Joins another transaction on other keys to this one.
-    pub fn absorb(&mut self, other: Transaction) {
+    /// Adds the conditions and changes of another transaction, which must change other keys.
+    pub fn merge(&mut self, other: Transaction) {
         for condition in other.conditions {
             if !self.conditions.contains(&condition) {
                 self.conditions.push(condition);
--- a/src/storage/ids.rs
+++ b/src/storage/ids.rs
@@ -1,5 +1,5 @@
-//! Newtypes for the names and numbers that must not be mixed up. All are stored, and sent
-//! between controllers, as the plain string or number.
+//! Newtypes for names and numbers, so that they cannot be confused with each other. All are
+//! stored, and sent between controllers, as the plain string or number.
 
 use std::{fmt, sync::Arc};
 
@@ -13,7 +13,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a name as it is, without a check.
+            /// Wraps a name without validating it.
             pub fn new(name: impl Into<Arc<str>>) -> Self {
                 Self(name.into())
             }
@@ -63,65 +63,66 @@
 }
 
 name_type!(
-    /// A user's job.
+    /// The id of a user's job.
     JobId
 );
 name_type!(
-    /// A provisioned machine, as the cloud names it.
+    /// The name that the cloud gives to a provisioned machine.
     MachineId
 );
 name_type!(
-    /// A controller.
+    /// The name of a controller.
     ControllerName
 );
 name_type!(
-    /// A team with a guarantee and a limit.
+    /// The name of a team, which has a guaranteed quota and a limit.
     TeamName
 );
 name_type!(
-    /// A class of jobs with a service-level objective.
+    /// The name of a class of jobs, which may have a service-level objective.
     ClassName
 );
 name_type!(
-    /// A machine type of the cloud's catalog.
+    /// The name of a machine type in the cloud's catalog.
     TypeName
 );
 name_type!(
-    /// A zone.
+    /// The name of a zone of the cloud.
     ZoneName
 );
 name_type!(
-    /// A task's image.
+    /// The name of a task's image.
     ImageName
 );
 name_type!(
-    /// The name of a provision request, and of the record of what it provisioned; never
-    /// used twice.
+    /// The name of a provision request, and of the record of the machines that it provisioned.
+    /// Names are never reused.
     ProvisionId
 );
 
 number_type!(
-    /// A change of the state service.
+    /// The number of a change in the state service; increases with every change.
     Revision
 );
 number_type!(
-    /// Who may command a machine: the revision of its shard's record.
+    /// A fencing token of a machine: the revision of the record that gave its shard's owner the
+    /// right to command it.
     Token
 );
 number_type!(
-    /// How often a task has been placed; only rises.
+    /// The number of a task's placement, from 1; increases with every new placement.
     Attempt
 );
 number_type!(
-    /// Which life of an agent; rises whenever its lease expires.
+    /// The epoch of an agent; increases whenever its lease expires.
     AgentEpoch
 );
 number_type!(
-    /// One process of a controller; a restart is another one.
+    /// Identifies one process of a controller; a restarted controller has a new incarnation.
     Incarnation
 );
 number_type!(
-    /// A set of machines that is leased as a whole.
+    /// The number of a shard: a set of machines that is leased to a controller as a whole.
     ShardId
 );
 
@@ -132,8 +133,8 @@
 }
 
 impl JobId {
-    /// Reads a job id. Job ids are `job-` and digits. Anything else is nobody's job, and could
-    /// also break out of the key scheme.
+    /// Parses a job id: `job-` and 1 to 20 digits. Any other text is not the id of a job, and
+    /// could also yield keys outside of the key scheme.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix("job-")?;
         ((1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit()))
@@ -141,7 +142,7 @@
     }
 }
 
-/// One task of a job.
+/// The id of one task of a job.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
     /// The job.
@@ -151,12 +152,12 @@
 }
 
 impl TaskId {
-    /// The task of a job with this number.
+    /// The id of the task with this number in the job.
     pub fn new(job: JobId, index: u32) -> Self {
         Self { job, index }
     }
 
-    /// Reads `<job>/<index>`, as `Display` writes it.
+    /// Parses `<job>/<index>`, as `Display` writes it.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.split_once('/')?;
         Some(Self::new(JobId::parse(job)?, index.parse().ok()?))
--- a/src/storage/ids/tests.rs
+++ b/src/storage/ids/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn job_ids_have_one_form() {
+fn only_well_formed_job_ids_parse() {
     assert!(JobId::parse("job-000412").is_some());
     for bad in [
         "", "job-", "job-12a", "job-1/2", "jobs-1", "job-1 ", "job--1",
@@ -13,8 +13,8 @@
 }
 
 #[test]
-fn task_ids_read_back() {
-    let task = TaskId::parse("job-7/13").expect("a task");
+fn task_ids_parse_from_their_display_form() {
+    let task = TaskId::parse("job-7/13").expect("the task id is well-formed");
     assert_eq!(task.to_string(), "job-7/13");
     assert!(TaskId::parse("job-7").is_none());
     assert!(TaskId::parse("job-7/x").is_none());
--- a/src/storage/jitter.rs
+++ b/src/storage/jitter.rs
@@ -1,4 +1,4 @@
-//! Jitter: random pauses, from one generator that tests can seed.
+//! Jitter: random pauses and fractions, from one generator per thread that tests can seed.
 
 use std::{cell::RefCell, time::Duration};
 
@@ -8,17 +8,17 @@
     static GENERATOR: RefCell<StdRng> = RefCell::new(StdRng::from_os_rng());
 }
 
-/// Makes this thread's random pauses repeatable.
+/// Seeds this thread's generator, which makes its random numbers reproducible.
 pub fn seed(seed: u64) {
     GENERATOR.with(|generator| *generator.borrow_mut() = StdRng::seed_from_u64(seed));
 }
 
-/// A random number from `from` up to, but not including, `to`.
+/// Returns a random number from `from` up to, but not including, `to`.
 pub fn uniform(from: f64, to: f64) -> f64 {
     GENERATOR.with(|generator| generator.borrow_mut().random_range(from..to))
 }
 
-/// A random duration of so many milliseconds, `to` not included.
+/// Returns a random duration in whole milliseconds, from `from` up to, but not including, `to`.
 pub fn millis(from: u64, to: u64) -> Duration {
     let millis = GENERATOR.with(|generator| generator.borrow_mut().random_range(from..to));
     Duration::from_millis(millis)
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -1,37 +1,41 @@
-//! The key scheme: which key holds which record. `docs/PROTOCOL-NOTES.md` describes each.
+//! The key scheme of the state service: which key holds which record.
+//! `docs/PROTOCOL-NOTES.md` describes each.
 //!
-//! The names here are those of stored data and never change.
+//! The prefixes are part of the stored data and never change.
 
 use crate::storage::ids::{ControllerName, JobId, ProvisionId, ShardId};
 
-/// Prefix of the specs of accepted jobs; the job follows.
+/// Prefix of the specs of accepted jobs, followed by the job.
 pub const SPEC: &str = "spec/";
-/// Prefix of the outcomes of jobs; the job follows.
+/// Prefix of the outcomes of jobs, followed by the job.
 pub const OUTCOME: &str = "fate/";
-/// Prefix of run records; the job and the number of the range of tasks follow.
+/// Prefix of run records, followed by the job and the number of the range of tasks (see
+/// [`CHUNK`]).
 pub const RUN: &str = "run/";
-/// Prefix of the marks of cancelled jobs that have keys left; the job follows.
+/// Prefix of the cleanup marks of jobs that are cancelled, or over, and still have keys,
+/// followed by the job.
 pub const CLEANUP: &str = "drain/";
-/// Prefix of quota allocations; the controller follows.
+/// Prefix of quota allocations, followed by the controller.
 pub const ALLOCATION: &str = "seat/";
-/// Prefix of shards; the shard's number follows.
+/// Prefix of shards, followed by the shard's number.
 pub const SHARD: &str = "block/";
-/// Prefix of machine groups; the provision request follows.
+/// Prefix of machine groups, followed by the provision request.
 pub const MACHINE_GROUP: &str = "machine/";
-/// Prefix of provision requests; the request follows.
+/// Prefix of provision requests, followed by the request.
 pub const PROVISION_REQUEST: &str = "rent/";
-/// Prefix of the registrations of living controllers; the controller follows.
+/// Prefix of the registrations of live controllers, followed by the controller.
 pub const CONTROLLER: &str = "node/";
-/// The leader.
+/// Key of the leader's record.
 pub const LEADER: &str = "leader";
-/// The cloud's machine types.
+/// Key of the catalog of the cloud's machine types.
 pub const CATALOG: &str = "catalog";
-/// The protocol version that all controllers support.
+/// Key of the protocol version that all controllers support.
 pub const COMMON_VERSION: &str = "format";
 
-/// The live set, read at start and after a gap in the watch. Outcomes are not in
-/// it: they are kept for good and looked up one by one.
-pub const LIVE: &[&str] = &[
+/// The prefixes and keys of the live set: the records that are read at the start and after a
+/// gap in the watch. Outcomes are not among them: they are never deleted and are read one by
+/// one.
+pub const LIVE_PREFIXES: &[&str] = &[
     SPEC,
     RUN,
     CLEANUP,
@@ -45,10 +49,10 @@
     COMMON_VERSION,
 ];
 
-/// Tasks in one run record. An entry takes up to about 50 bytes, so that a full
-/// record stays under 2 KiB. A record's tasks are placed by one owner, so that
-/// smaller records spread a large job over more of them; larger ones need fewer
-/// changes of the state service.
+/// Number of tasks in one run record. An entry takes up to about 50 bytes, so that a full
+/// record stays under 2 KiB. The tasks of a record are placed by one shard owner: smaller
+/// records spread a large job over more owners, larger ones need fewer changes of the state
+/// service.
 pub const CHUNK: u32 = 36;
 
 /// The key of a job's spec.
@@ -61,7 +65,7 @@
     format!("{OUTCOME}{job}")
 }
 
-/// The key that marks a job as cancelled.
+/// The key of a job's cleanup mark.
 pub fn cleanup(job: &JobId) -> String {
     format!("{CLEANUP}{job}")
 }
@@ -96,7 +100,7 @@
     format!("{CONTROLLER}{controller}")
 }
 
-/// A key taken apart.
+/// A parsed key.
 #[derive(Debug, PartialEq)]
 pub enum Key {
     /// See [`SPEC`].
@@ -126,7 +130,7 @@
 }
 
 impl Key {
-    /// Takes a key apart; `None`: it is none of ours.
+    /// Parses a key; `None` if it is not part of the key scheme.
     pub fn parse(key: &str) -> Option<Key> {
         if let Some(rest) = key.strip_prefix(RUN) {
             let (job, chunk) = rest.split_once('/')?;
--- a/src/storage/keys/tests.rs
+++ b/src/storage/keys/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn keys_read_back() {
+fn formatted_keys_parse() {
     let job = JobId::new("job-000001");
     assert_eq!(Key::parse(&spec(&job)), Some(Key::Spec(job.clone())));
     assert_eq!(Key::parse(&run(&job, 12)), Some(Key::Run(job.clone(), 12)));
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,7 +1,7 @@
-//! Bookkeeping: ids, the job model, the key scheme, the replica of the state
+//! Stored state: ids, the job model, the key scheme, the records, the replica of the state
 //! service's live set, and the client that reads and writes it.
 //!
-//! The lowest layer: it decides nothing and knows none of the others.
+//! This is the lowest layer: it makes no scheduling decisions and depends on no other layer.
 
 pub mod change_signal;
 pub mod client;
--- a/src/storage/model.rs
+++ b/src/storage/model.rs
@@ -1,4 +1,4 @@
-//! What is asked for: jobs, resources, machine types, teams.
+//! The model of jobs, resources, machine types and teams.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -10,7 +10,7 @@
     keys,
 };
 
-/// What a task takes, or what a machine or a team has.
+/// Amounts of resources, such as those that a task needs or that a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
     /// Processor cores.
@@ -22,14 +22,14 @@
 }
 
 impl Resources {
-    /// Whether there is room for this much, but for rounding.
+    /// Whether this amount fits into `room`, up to rounding errors.
     pub fn fits_in(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus + AMOUNT_SLACK
             && self.gpus <= room.gpus + AMOUNT_SLACK
             && self.memory <= room.memory + AMOUNT_SLACK
     }
 
-    /// So many times as much.
+    /// Multiplies each amount by `n`.
     pub fn times(&self, n: f64) -> Resources {
         Resources {
             cpus: self.cpus * n,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The lesser of both, in each resource.
+    /// Returns the smaller amount of each resource.
     pub fn at_most(&self, other: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
@@ -47,18 +47,18 @@
         }
     }
 
-    /// How many of `self` fit into `room` side by side.
+    /// Returns how many times this amount fits into `room`.
     pub fn count_in(&self, room: &Resources) -> u32 {
-        let part = |have: f64, want: f64| {
-            if want <= AMOUNT_SLACK {
+        let count = |available: f64, needed: f64| {
+            if needed <= AMOUNT_SLACK {
                 u32::MAX as f64
             } else {
-                ((have + AMOUNT_SLACK) / want).floor().max(0.0)
+                ((available + AMOUNT_SLACK) / needed).floor().max(0.0)
             }
         };
-        part(room.cpus, self.cpus)
-            .min(part(room.gpus, self.gpus))
-            .min(part(room.memory, self.memory)) as u32
+        count(room.cpus, self.cpus)
+            .min(count(room.gpus, self.gpus))
+            .min(count(room.memory, self.memory)) as u32
     }
 }
 
@@ -87,12 +87,12 @@
     }
 }
 
-/// How the tasks of a job belong together.
+/// The kind of a job: how its tasks depend on each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks, each running to completion.
     Array,
-    /// All tasks at once; placed whole.
+    /// Tasks that must run at the same time and are placed together.
     Gang,
     /// Replicas that run until the job is cancelled.
     Service,
@@ -101,63 +101,63 @@
 /// The priority of a job, lowest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// Uses what others leave.
+    /// Uses capacity that other jobs leave idle.
     BestEffort,
-    /// The usual one.
+    /// The default.
     Normal,
-    /// Ahead of the usual ones.
+    /// Ahead of normal jobs.
     Urgent,
-    /// Ahead of all others.
+    /// Ahead of all other jobs.
     Production,
 }
 
-/// An accepted job, as it is kept in the state service.
+/// The spec of an accepted job, as stored in the state service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Its class, by which objectives and run times are kept.
+    /// Its class, by which objectives are set and run times are estimated.
     pub class: ClassName,
     /// The team whose quota it uses.
     pub team: TeamName,
-    /// How its tasks belong together.
+    /// How its tasks depend on each other.
     pub kind: JobKind,
     /// Its priority.
     pub priority: Priority,
-    /// How many tasks it has.
+    /// Number of its tasks.
     pub tasks: u32,
-    /// What each task takes of a machine.
+    /// The resources that each task needs.
     pub per_task: Resources,
     /// The image that each task runs.
     pub image: ImageName,
     /// Size of the image, in GB.
     pub image_gb: f64,
-    /// The machine types that it may run on; none: any.
+    /// The machine types that it may run on; `None`: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<TypeName>>,
-    /// The zone that its user wants; none: any.
+    /// The zone that its user requires; `None`: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<ZoneName>,
-    /// All its tasks must be in one zone.
+    /// Whether all its tasks must be in one zone.
     #[serde(default)]
     pub one_zone: bool,
-    /// Its tasks must be spread over zones, see [`JobSpec::zone_limit`].
+    /// Whether its tasks must be spread over zones, see [`JobSpec::zone_limit`].
     #[serde(default)]
     pub spread: bool,
-    /// It may run on spot machines.
+    /// Whether it may run on spot machines.
     #[serde(default)]
     pub spot: bool,
     /// Its user's estimate of a task's run time.
     pub estimate: Duration,
-    /// Between two checkpoints of a task; zero: its progress cannot be saved.
+    /// Interval between two checkpoints of a task; zero: its progress cannot be saved.
     pub checkpoint: Duration,
     /// How long a task takes to save its progress when it is stopped.
     pub save: Duration,
-    /// When it is to be done, from when it was accepted.
+    /// Time from its acceptance within which it should be done.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Duration>,
-    /// Milliseconds of the time of day at the controller that accepted it.
+    /// When it was accepted, in Unix milliseconds by the clock of the accepting controller.
     pub accepted_ms: u64,
-    /// The zone that the leader has confined a job in one zone to, when it has too many
-    /// records for a placement to depend on all of them.
+    /// The zone that the leader has assigned to the job. Set if all its tasks must be in one
+    /// zone and it has too many run records for a placement to be conditional on all of them.
     #[serde(rename = "home", default, skip_serializing_if = "Option::is_none")]
     pub assigned_zone: Option<ZoneName>,
 }
@@ -170,16 +170,17 @@
 
     /// Whether its tasks may run in this zone.
     pub fn allows_zone(&self, name: &ZoneName) -> bool {
-        let wanted = [&self.zone, &self.assigned_zone];
-        wanted.into_iter().flatten().all(|zone| zone == name)
+        let required = [&self.zone, &self.assigned_zone];
+        required.into_iter().flatten().all(|zone| zone == name)
     }
 
-    /// Whether where a task may be depends on where the job's other tasks are.
+    /// Whether the zones allowed for a task depend on the zones of the job's other tasks.
     pub fn is_zone_bound(&self) -> bool {
         self.one_zone || self.spread
     }
 
-    /// At most half of the tasks, rounded up, may be in one zone when `spread` is set.
+    /// Maximum number of its tasks in one zone: half of them, rounded up, if `spread` is set,
+    /// else all.
     pub fn zone_limit(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -188,25 +189,26 @@
         }
     }
 
-    /// Independent tasks of the lowest priority: they use what others leave, nobody waits
-    /// for them at once, and any other work goes first.
+    /// Whether the job is idle work: independent tasks of the lowest priority, which use
+    /// capacity that other jobs leave idle, need not start promptly, and yield to any other
+    /// work.
     pub fn is_idle_work(&self) -> bool {
         self.kind == JobKind::Array && self.priority == Priority::BestEffort
     }
 
-    /// Run records that its tasks take.
-    pub fn records(&self) -> u32 {
+    /// Number of run records for its tasks.
+    pub fn run_record_count(&self) -> u32 {
         self.tasks.div_ceil(keys::CHUNK)
     }
 
-    /// How long ago it was accepted.
+    /// Time since it was accepted.
     pub fn age(&self, now: SystemTime) -> Duration {
         now.duration_since(UNIX_EPOCH + Duration::from_millis(self.accepted_ms))
             .unwrap_or_default()
     }
 }
 
-/// How a job ended. Written once and never changed.
+/// How a job ended. It is written once and never changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobOutcome {
@@ -219,38 +221,38 @@
 /// A machine type of the catalog.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name in the catalog.
+    /// Its name.
     pub name: TypeName,
-    /// What a machine of it has for tasks.
+    /// The resources of one machine that tasks can use.
     pub size: Resources,
-    /// Size of its cache of images, in GB.
+    /// Size of its image cache, in GB.
     pub cache_gb: f64,
-    /// How fast it fetches images, in GB a second.
+    /// Rate at which it fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
     /// Price of a machine, per hour.
     pub price: f64,
     /// Current price of a spot machine, per hour.
     pub spot_price: f64,
-    /// From its provisioning until its agent is up.
+    /// Time from its provisioning until its agent is up.
     pub boot: Duration,
     /// The zones in which it is offered.
     pub zones: Vec<ZoneName>,
 }
 
 impl MachineType {
-    /// Price of a machine per hour, as a spot machine or not.
-    pub fn rate(&self, spot: bool) -> f64 {
+    /// Price of a machine per hour, of a spot machine if `spot` is set.
+    pub fn hourly_price(&self, spot: bool) -> f64 {
         if spot { self.spot_price } else { self.price }
     }
 }
 
-/// What a team is guaranteed and what it may use at most.
+/// A team with its quotas.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
     /// Its name.
     pub name: TeamName,
-    /// What it gets whenever it has work for it.
+    /// The quota that it gets whenever it has enough work to use it.
     pub guaranteed: Quota,
-    /// What it may use at most.
+    /// The maximum that it may use.
     pub limit: Quota,
 }
--- a/src/storage/rate_limiter.rs
+++ b/src/storage/rate_limiter.rs
@@ -1,9 +1,9 @@
-//! Rate limits of our own calls to the state service, so that recovery after an outage
-//! starves neither leadership nor users.
+//! Client-side rate limits of a controller's calls to a service, with priorities, so that
+//! recovery after an outage starves neither leadership nor users.
 //!
-//! The service's limits are shared by the controllers that live. Each counts on
-//! a fair part and uses what the others leave; where they collide the service's
-//! 429 tells, which is never executed and so is safe to repeat.
+//! The state service's limits are shared by all controllers. Each controller is entitled to a
+//! fair share and also uses capacity that the others leave idle. If together they exceed a
+//! limit, the service answers 429; such a call was not executed and is safe to retry.
 
 use std::{
     sync::{Mutex, MutexGuard},
@@ -12,22 +12,22 @@
 
 use tokio::time::Instant;
 
-/// What a call is for; the first are served first.
+/// The purpose of a call, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPriority {
     /// Lease renewal, leadership, fencing.
     Fencing,
-    /// Outcomes and submissions.
+    /// Submissions, cancellations and lookups for users, and reads of the live set.
     User,
-    /// Placements and results.
+    /// Task placements and task results.
     Placement,
     /// Everything else.
     Background,
 }
 
 impl RequestPriority {
-    /// The part of the bucket that is left to more urgent calls.
-    fn reserve(self) -> f64 {
+    /// The fraction of the bucket that is reserved for more urgent calls.
+    fn reserved_fraction(self) -> f64 {
         match self {
             RequestPriority::Fencing => 0.0,
             RequestPriority::User => 0.1,
@@ -39,58 +39,61 @@
 
 #[derive(Debug)]
 struct TokenBucket {
-    /// What this controller may count on, in calls a second.
+    /// Fair share of this controller, in calls per second. The rate does not fall below it.
     fair_rate: f64,
-    /// What it never goes beyond.
+    /// Upper bound of the rate, in calls per second.
     max_rate: f64,
-    /// What it allows itself now.
+    /// Current rate, in calls per second; also the size of the bucket.
     rate: f64,
-    /// Calls that may be made now; below zero: a debt.
-    level: f64,
+    /// Calls that can be made now; negative while the bucket is in debt.
+    available: f64,
     refilled_at: Instant,
-    /// A call had to wait since the rate was last adjusted.
+    /// Whether a call had to wait since the rate was last adjusted.
     has_delayed_calls: bool,
-    /// When the service last refused a call.
-    refused_at: Option<Instant>,
+    /// When the service last throttled a call.
+    throttled_at: Option<Instant>,
     adjusted_at: Instant,
 }
 
-/// How often the rate is adjusted.
+/// Minimum interval between two adjustments of the rate.
 const ADJUST_INTERVAL: Duration = Duration::from_millis(500);
-/// How fast the rate grows while calls wait, and shrinks while none does.
+/// Factor by which an adjustment raises the rate if calls had to wait, and lowers it if none
+/// had to.
 const GROWTH_FACTOR: f64 = 1.25;
-/// What a refusal leaves of the rate.
-const REFUSAL_FACTOR: f64 = 0.6;
-/// A controller always counts on so many calls a second.
-const MIN_RATE: f64 = 2.0;
-/// After a refusal the rate does not grow for a moment.
+/// Factor by which a throttled call lowers the rate.
+const THROTTLED_FACTOR: f64 = 0.6;
+/// Lower bound of the rates set by [`RateLimiter::set_bounds`], in calls per second.
+const MIN_RATE_PER_S: f64 = 2.0;
+/// Time after a throttled call during which the rate does not grow.
 const GROWTH_PAUSE: Duration = Duration::from_secs(2);
 
-/// Bounds of the wait before a call tries again: others may have come in between.
+/// Bounds of the wait before a delayed call tries again. It waits at most this long at a time
+/// since other calls and adjustments may change the bucket in between.
 const MIN_WAIT_SECONDS: f64 = 0.005;
 const MAX_WAIT_SECONDS: f64 = 0.25;
 
 impl TokenBucket {
+    /// Adds the calls that have become available since the last refill.
     fn refill(&mut self, now: Instant) {
         let gained = now
             .saturating_duration_since(self.refilled_at)
             .as_secs_f64()
             * self.rate;
-        self.level = (self.level + gained).min(self.rate);
+        self.available = (self.available + gained).min(self.rate);
         self.refilled_at = now;
     }
 
-    /// The others often use less than their part: what they leave may be used
-    /// until the service says otherwise.
+    /// Adjusts the rate to the demand. Other controllers often use less than their shares:
+    /// while calls wait here, the rate grows beyond the fair share until the service throttles.
     fn adjust_rate(&mut self, now: Instant) {
         if now.saturating_duration_since(self.adjusted_at) < ADJUST_INTERVAL {
             return;
         }
         self.adjusted_at = now;
-        let refused_lately = self
-            .refused_at
+        let recently_throttled = self
+            .throttled_at
             .is_some_and(|at| now.saturating_duration_since(at) < GROWTH_PAUSE);
-        if self.has_delayed_calls && !refused_lately {
+        if self.has_delayed_calls && !recently_throttled {
             self.rate = (self.rate * GROWTH_FACTOR).min(self.max_rate);
         } else if !self.has_delayed_calls {
             self.rate = (self.rate / GROWTH_FACTOR).max(self.fair_rate);
@@ -99,29 +102,29 @@
     }
 }
 
-/// A token bucket of one second's worth, whose rate adjusts itself between a
-/// fair part of the limit and most of it.
+/// A token bucket that holds the calls of one second, with a rate that adapts to the demand
+/// between a fair share of the service's limit and a maximum.
 #[derive(Debug)]
 pub struct RateLimiter(Mutex<TokenBucket>);
 
 impl RateLimiter {
-    /// A limiter of a fixed rate, in calls a second.
+    /// Creates a limiter with a fixed rate, in calls per second.
     pub fn new(rate: f64) -> Self {
-        Self::between(rate, rate)
+        Self::adaptive(rate, rate)
     }
 
-    /// A limiter that begins with the fair rate and adjusts itself up to `max_rate`, both
-    /// in calls a second.
-    pub fn between(fair_rate: f64, max_rate: f64) -> Self {
+    /// Creates a limiter that starts at the fair rate and adapts up to `max_rate`, both in calls
+    /// per second.
+    pub fn adaptive(fair_rate: f64, max_rate: f64) -> Self {
         let now = Instant::now();
         Self(Mutex::new(TokenBucket {
             fair_rate,
             max_rate,
             rate: fair_rate,
-            level: fair_rate,
+            available: fair_rate,
             refilled_at: now,
             has_delayed_calls: false,
-            refused_at: None,
+            throttled_at: None,
             adjusted_at: now,
         }))
     }
@@ -132,60 +135,60 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Sets the fair rate, and the one that is never gone beyond.
+    /// Sets the fair rate and the maximum rate, in calls per second.
     pub fn set_bounds(&self, fair_rate: f64, max_rate: f64) {
         let mut bucket = self.lock();
         bucket.refill(Instant::now());
-        bucket.max_rate = max_rate.max(MIN_RATE);
-        bucket.fair_rate = fair_rate.clamp(MIN_RATE, bucket.max_rate);
+        bucket.max_rate = max_rate.max(MIN_RATE_PER_S);
+        bucket.fair_rate = fair_rate.clamp(MIN_RATE_PER_S, bucket.max_rate);
         bucket.rate = bucket.rate.clamp(bucket.fair_rate, bucket.max_rate);
     }
 
-    /// The service has refused a call as one too many for all of us.
-    pub fn refused(&self) {
+    /// Records that the service has throttled a call: lowers the rate and empties the bucket.
+    pub fn note_throttled(&self) {
         let mut bucket = self.lock();
         let now = Instant::now();
         bucket.refill(now);
-        bucket.refused_at = Some(now);
-        bucket.rate = (bucket.rate * REFUSAL_FACTOR).max(bucket.fair_rate);
-        bucket.level = bucket.level.min(0.0);
+        bucket.throttled_at = Some(now);
+        bucket.rate = (bucket.rate * THROTTLED_FACTOR).max(bucket.fair_rate);
+        bucket.available = bucket.available.min(0.0);
     }
 
-    /// The part of the bucket that is there to be taken.
-    pub fn filled(&self) -> f64 {
+    /// Returns the available fraction of the bucket; negative while it is in debt.
+    pub fn available_fraction(&self) -> f64 {
         let mut bucket = self.lock();
         bucket.refill(Instant::now());
-        bucket.level / bucket.rate
+        bucket.available / bucket.rate
     }
 
-    /// Takes `amount`, going into debt if need be, or tells how long to wait.
-    fn take(&self, amount: f64, priority: RequestPriority) -> Result<(), Duration> {
+    /// Takes `amount` calls from the bucket if at least the priority's reserve is available, or
+    /// returns how long to wait. A large amount may leave the bucket in debt.
+    fn try_acquire(&self, amount: f64, priority: RequestPriority) -> Result<(), Duration> {
         let mut bucket = self.lock();
         let now = Instant::now();
         bucket.refill(now);
         bucket.adjust_rate(now);
-        let floor = priority.reserve() * bucket.rate;
-        if bucket.level >= floor.max(1.0).min(bucket.rate) {
-            bucket.level -= amount;
+        let reserved = priority.reserved_fraction() * bucket.rate;
+        if bucket.available >= reserved.max(1.0).min(bucket.rate) {
+            bucket.available -= amount;
             return Ok(());
         }
         bucket.has_delayed_calls = true;
-        let missing = floor.max(1.0) - bucket.level;
+        let missing = reserved.max(1.0) - bucket.available;
         Err(Duration::from_secs_f64(
             (missing / bucket.rate).clamp(MIN_WAIT_SECONDS, MAX_WAIT_SECONDS),
         ))
     }
 
-    /// How long a call would have to wait now; none: not at all. What is planned
-    /// after the wait is planned on newer knowledge than what waits when it is
-    /// ready to be sent.
+    /// Returns how long a call would have to wait now; `None` if not at all. Callers that wait
+    /// before they plan a call, rather than when it is ready to be sent, plan on newer state.
     pub fn wait(&self, priority: RequestPriority) -> Option<Duration> {
-        self.take(0.0, priority).err()
+        self.try_acquire(0.0, priority).err()
     }
 
-    /// Waits until a call of this priority may be made, and counts it as so many calls.
+    /// Waits until a call of this priority may be made, and counts it as `amount` calls.
     pub async fn acquire(&self, amount: f64, priority: RequestPriority) {
-        while let Err(wait) = self.take(amount, priority) {
+        while let Err(wait) = self.try_acquire(amount, priority) {
             tokio::time::sleep(wait).await;
         }
     }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,6 +1,7 @@
-//! The records behind the keys, as JSON values of the state service.
+//! The records that the keys hold, as JSON values of the state service.
 //!
-//! Stored names stay what they are, by `serde(rename)`; `tests/formats.rs` guards the bytes.
+//! The stored names never change; `serde(rename)` keeps them where a field has another name,
+//! and `tests/formats.rs` checks the stored bytes.
 
 use std::collections::BTreeMap;
 
@@ -14,29 +15,31 @@
     model::*,
 };
 
-/// Where a task is, or may be: it counts until it is proven gone.
+/// The machine on which a task is, or may be. A placement counts until the task is proven to
+/// be gone from the machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// How often the task had been placed, with this placement.
+    /// The number of this placement among the placements of the task.
     #[serde(rename = "a")]
     pub attempt: Attempt,
     /// The machine that it was placed on.
     #[serde(rename = "m")]
     pub machine: MachineId,
-    /// The agent epoch in which the task may be started there.
+    /// The epoch of the machine's agent in which the task may be started.
     #[serde(rename = "s")]
     pub epoch: AgentEpoch,
 }
 
-/// One range of a job's tasks, see [`keys::CHUNK`](crate::storage::keys::CHUNK).
+/// The run record of one range of a job's tasks, see
+/// [`keys::CHUNK`](crate::storage::keys::CHUNK).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
     /// Placed tasks.
     #[serde(rename = "p", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub placed: BTreeMap<u32, Placement>,
-    /// Unplaced tasks that were placed before, with their last attempt.
+    /// The last attempts of tasks that were placed before and are not placed now.
     #[serde(rename = "w", default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub before: BTreeMap<u32, Attempt>,
+    pub last_attempts: BTreeMap<u32, Attempt>,
     /// Completed tasks, as inclusive ranges in order.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<(u32, u32)>,
@@ -50,24 +53,24 @@
             .any(|(from, to)| (*from..=*to).contains(&task))
     }
 
-    /// How many of the tasks have completed.
+    /// Number of the completed tasks.
     pub fn done_count(&self) -> u32 {
         self.done.iter().map(|(from, to)| to - from + 1).sum()
     }
 
-    /// The attempt that the next placement of this task takes.
+    /// Returns the attempt of the task's next placement.
     pub fn next_attempt(&self, task: u32) -> Attempt {
         let last = self
             .placed
             .get(&task)
             .map(|placement| placement.attempt)
-            .or_else(|| self.before.get(&task).copied());
+            .or_else(|| self.last_attempts.get(&task).copied());
         Attempt(last.map_or(1, |attempt| attempt.0 + 1))
     }
 
-    /// The task is placed on this machine, in place of any earlier placement.
+    /// Records that the task is placed on this machine, replacing any earlier placement.
     pub fn place(&mut self, task: u32, machine: MachineId, epoch: AgentEpoch, attempt: Attempt) {
-        self.before.remove(&task);
+        self.last_attempts.remove(&task);
         self.placed.insert(
             task,
             Placement {
@@ -78,17 +81,18 @@
         );
     }
 
-    /// The task is proven gone from its machine and waits again.
+    /// Removes the placement of a task that is proven to be gone from its machine. The task
+    /// waits again.
     pub fn unplace(&mut self, task: u32) {
         if let Some(placement) = self.placed.remove(&task) {
-            self.before.insert(task, placement.attempt);
+            self.last_attempts.insert(task, placement.attempt);
         }
     }
 
-    /// The task has completed.
+    /// Records that the task has completed.
     pub fn complete(&mut self, task: u32) {
         self.placed.remove(&task);
-        self.before.remove(&task);
+        self.last_attempts.remove(&task);
         if self.is_done(task) {
             return;
         }
@@ -108,80 +112,83 @@
 /// How a shard's owner may use a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachineUse {
-    /// Takes any task.
+    /// Accepts any task.
     #[serde(rename = "o")]
     Available,
-    /// Marked draining: takes only tasks ending within its paid period.
+    /// Accepts only tasks that end within its current paid period.
     #[serde(rename = "m")]
     Draining,
-    /// Takes nothing more: to be moved or returned.
+    /// Accepts no new tasks: about to be moved to another shard or returned to the cloud.
     #[serde(rename = "f")]
     Cordoned,
 }
 
-/// What one controller's process may use of the teams' limits, over all its
-/// shards. Every placement of that process is conditional on this record.
+/// The part of each team's limit that one process of a controller may use, over all its
+/// shards. Every placement by that process is conditional on this record.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AllocationRecord {
-    /// The process that may use it, or nobody.
+    /// The process that may use the allocation, if any.
     #[serde(rename = "holder")]
     pub owner: Option<Incarnation>,
-    /// What it may use of each team's limit.
+    /// The part of each team's limit that the process may use.
     pub budgets: BTreeMap<TeamName, Quota>,
 }
 
-/// Machines that are leased together. The record's revision is the token of all
-/// of them. Shards are of bounded size, so that a record keeps within the state
-/// service's limit, and so that a change disturbs few machines.
+/// A shard: machines that are leased to a controller together. The record's revision is the
+/// fencing token of all of them. The size of shards is bounded so that a record stays within
+/// the state service's limit and a change of it affects few machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardRecord {
-    /// The controller that leases it.
+    /// The controller that the shard is leased to.
     #[serde(rename = "node")]
     pub controller: ControllerName,
-    /// The process of that controller which owns it.
+    /// The process of that controller that owns the shard.
     #[serde(rename = "holder")]
     pub owner: Incarnation,
-    /// To be leased to another controller: its machines take nothing more.
+    /// Whether the shard's machines accept no new tasks, because it is about to be leased to
+    /// another controller.
     #[serde(rename = "frozen", default, skip_serializing_if = "std::ops::Not::not")]
     pub cordoned: bool,
     /// Its machines, each with how it may be used.
     pub machines: BTreeMap<MachineId, MachineUse>,
 }
 
-/// A machine that is ours to pay for.
+/// A provisioned machine that is not yet returned, as part of its machine group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineRecord {
     /// Its machine type.
     pub kind: TypeName,
-    /// Where it is.
+    /// Its zone.
     pub zone: ZoneName,
-    /// Whether it may be taken back at any time.
+    /// Whether it is a spot machine, which the cloud may reclaim at any time.
     pub spot: bool,
-    /// Time of day of the machine group, in milliseconds.
+    /// When the machine group was requested, or discovered if no request is known, in Unix
+    /// milliseconds.
     pub provisioned_ms: u64,
-    /// Where its agent listens; known once it has sent a heartbeat.
+    /// The address of its agent; known once the agent has sent a heartbeat.
     pub address: Option<String>,
     /// The machine group whose record lists it.
     pub machine_group: ProvisionId,
 }
 
-/// Machines that came with one request: one record for all of them, since
-/// changes of the state service are scarce.
+/// The machines provisioned by one request. They share a record because the state service
+/// limits the rate of changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineGroupRecord {
-    /// The machine type of all.
+    /// The machine type of all machines in the group.
     #[serde(rename = "t")]
     pub kind: TypeName,
-    /// The zone of all.
+    /// The zone of all machines in the group.
     #[serde(rename = "z")]
     pub zone: ZoneName,
-    /// Whether they may be taken back at any time.
+    /// Whether they are spot machines, which the cloud may reclaim at any time.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// Time of day of the machine group, in milliseconds.
+    /// When the machine group was requested, or discovered if no request is known, in Unix
+    /// milliseconds.
     #[serde(rename = "at")]
     pub provisioned_ms: u64,
-    /// Those not yet returned, each with its agent's address once it is known.
+    /// The machines not yet returned, each with its agent's address once that is known.
     #[serde(rename = "m")]
     pub machines: BTreeMap<MachineId, Option<String>>,
 }
@@ -189,31 +196,33 @@
 /// A provision request, written before it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProvisionRecord {
-    /// The machine type asked for.
+    /// The requested machine type.
     #[serde(rename = "t")]
     pub kind: TypeName,
-    /// The zone asked for.
+    /// The requested zone.
     #[serde(rename = "z")]
     pub zone: ZoneName,
-    /// Whether spot machines are asked for.
+    /// Whether spot machines are requested.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// How many machines are asked for.
+    /// The requested number of machines.
     #[serde(rename = "n")]
     pub count: u32,
-    /// Time of day of the request, in milliseconds.
+    /// When the request was written, in Unix milliseconds.
     #[serde(rename = "at")]
     pub at_ms: u64,
 }
 
-/// A living controller; the key goes with its lease.
+/// The registration of a live controller. The key is deleted when the controller's lease
+/// expires.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ControllerRecord {
-    /// The process that lives.
+    /// The controller's running process.
     pub incarnation: Incarnation,
-    /// Where it runs.
+    /// The zone in which it runs.
     pub zone: ZoneName,
-    /// What it can read; the version before says nothing of it.
+    /// The highest protocol version that it supports; 0 and not stored for releases that
+    /// predate the field.
     #[serde(rename = "dialect", default, skip_serializing_if = "is_zero")]
     pub protocol_version: u64,
 }
@@ -222,19 +231,20 @@
     *number == 0
 }
 
-/// The leader; the key goes with its lease. Its revision fences all it writes.
+/// The leader. The key is deleted when the leader's lease expires. All commits of the leader
+/// are fenced by the revision of this record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The controller that leads.
+    /// The controller that is the leader.
     #[serde(rename = "node")]
     pub controller: ControllerName,
-    /// The process of it that leads.
+    /// The process of that controller that is the leader.
     pub incarnation: Incarnation,
 }
 
-/// What all controllers can read, written by the leader once it has heard each of
-/// them say so; it is never taken back. Until it stands nothing is written or accepted
-/// that the version before could not serve.
+/// The protocol version that all controllers support. The leader writes it once every
+/// controller has reported its support, and it is never lowered. Until it is written, nothing
+/// is written or accepted that the previous version could not handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommonVersionRecord {
     /// The highest protocol version that every controller supports.
@@ -242,17 +252,17 @@
     pub protocol_version: u64,
 }
 
-/// The end of a job, with what a user may still ask about.
+/// The outcome of a job, with the details that users can still query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeRecord {
     /// How it ended.
     #[serde(rename = "fate")]
     pub outcome: JobOutcome,
-    /// Tasks done, for display.
+    /// Number of completed tasks, for display.
     pub done: u32,
 }
 
-/// The cloud's catalog as it was read last.
+/// The cloud's catalog as of the last read.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CatalogRecord {
     /// The machine types on offer.
--- a/src/storage/records/tests.rs
+++ b/src/storage/records/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn attempts_only_rise() {
+fn attempts_never_decrease() {
     let mut run = RunRecord::default();
     let machine = MachineId::new("vm-1");
     assert_eq!(run.next_attempt(3), Attempt(1));
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn done_ranges_merge_whatever_the_order() {
+fn done_ranges_merge_in_any_order() {
     let mut run = RunRecord::default();
     for task in [5, 3, 4, 9, 0, 4] {
         run.complete(task);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_full_record_keeps_within_its_size() {
+fn a_full_run_record_stays_under_2_kib() {
     let mut run = RunRecord::default();
     for task in 99_900..99_900 + super::super::keys::CHUNK {
         run.place(
@@ -35,6 +35,6 @@
             Attempt(99),
         );
     }
-    let text = serde_json::to_string(&run).expect("plain data");
+    let text = serde_json::to_string(&run).expect("run records always serialize");
     assert!(text.len() < 2048, "{}", text.len());
 }
--- a/src/storage/state_cache/cancellations.rs
+++ b/src/storage/state_cache/cancellations.rs
@@ -1,12 +1,12 @@
-//! Which jobs are cancelled, by their records or by the word of a peer that has seen
-//! a cancellation ahead of this cache.
+//! Which jobs are cancelled, according to their records or to a peer that has seen a
+//! cancellation before this cache.
 
 use super::StateCache;
 use crate::storage::ids::{JobId, Revision};
 
 impl StateCache {
-    /// Whether the job's tasks must go and none may start: its user has cancelled
-    /// it, or it is over and its keys are being removed.
+    /// Whether the job's tasks must be stopped and none may start: its user has cancelled it, or
+    /// it is over and its keys are being removed.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
         self.peer_cancelled.contains_key(id)
             || self
@@ -15,13 +15,15 @@
                 .is_some_and(|job| job.cleanup_since.is_some())
     }
 
-    /// Jobs to be stopped on the word of a peer.
+    /// Jobs that peers have reported as cancelled and whose cancellation the watch has not
+    /// delivered yet.
     pub fn peer_cancelled(&self) -> impl Iterator<Item = &JobId> {
         self.peer_cancelled.keys()
     }
 
-    /// A peer that has seen this revision says that these jobs are cancelled. Those
-    /// that we have not heard of have no tasks of ours. Returns how many are new.
+    /// Records that a peer that has seen revision `seen` reports these jobs as cancelled. Jobs
+    /// unknown to this cache are skipped, since this controller has placed none of their tasks.
+    /// Returns how many cancellations are new.
     pub fn note_cancelled(&mut self, jobs: Vec<JobId>, seen: Revision) -> usize {
         let mut new = 0;
         for id in jobs {
@@ -37,14 +39,14 @@
         new
     }
 
-    /// Jobs cancelled by changes after this revision, as long as anything of them is
-    /// left: of the others no task can be anywhere.
+    /// Returns the jobs that were cancelled by changes after this revision and still have
+    /// records; those without records cannot have tasks on any machine.
     pub fn cancelled_since(&self, revision: Revision) -> Vec<JobId> {
-        let cleanup_since = self.pending_cleanup.iter().filter(|id| {
+        let cancelled = self.pending_cleanup.iter().filter(|id| {
             let job = self.jobs.get(*id);
-            job.is_some_and(|job| job.cleanup_since.is_some_and(|changed| changed > revision))
+            job.is_some_and(|job| job.cleanup_since.is_some_and(|since| since > revision))
         });
-        cleanup_since
+        cancelled
             .chain(self.peer_cancelled.keys())
             .cloned()
             .collect()
--- a/src/storage/state_cache/changes.rs
+++ b/src/storage/state_cache/changes.rs
@@ -1,4 +1,4 @@
-//! Applies changes of keys to the cache, each only if it is newer than what is known.
+//! Applies changes of keys to the cache, each only if it is newer than the cached value.
 
 use std::collections::BTreeMap;
 
@@ -11,12 +11,13 @@
     keys::Key,
 };
 
-/// Own deletions remembered until the watch has passed them.
+/// Maximum number of this controller's own deletions that are remembered until the watch has
+/// passed them.
 const MAX_DELETIONS: usize = 4_096;
 
 impl StateCache {
-    /// Sets a key to the value that it has had since `revision`. A change that is older
-    /// than what is known, an unknown key and an unreadable value have no effect.
+    /// Sets a key to the value that it has had since `revision`. Has no effect if the change is
+    /// older than the cached value, the key is unknown or the value is unreadable.
     pub fn set(&mut self, key: &str, value: Value, revision: Revision) {
         if self
             .own_deletions
@@ -136,8 +137,9 @@
         self.forget_if_empty(id);
     }
 
-    /// A deletion of our own, ahead of the watch: the watch may still deliver
-    /// older values of the key, which must not bring it back.
+    /// Applies a deletion by this controller before the watch delivers it. The deletion is
+    /// remembered, since the watch may still deliver older values of the key, which must not
+    /// restore it.
     pub fn delete_ahead(&mut self, key: &str, revision: Revision) {
         self.delete(key, revision);
         if revision > self.revision && self.own_deletions.len() < MAX_DELETIONS {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// The watch has delivered every change up to `revision`.
+    /// Records that the watch has delivered every change up to `revision`.
     pub fn advance(&mut self, revision: Revision) {
         if revision > self.revision {
             self.peer_cancelled.retain(|_, seen| *seen > revision);
@@ -164,6 +166,7 @@
 }
 
 impl ValueChange<'_> {
+    /// Deserializes the value; `None` if it is unreadable.
     fn read<T: DeserializeOwned>(self) -> Option<T> {
         match serde_json::from_value(self.value) {
             Ok(record) => Some(record),
@@ -174,11 +177,13 @@
         }
     }
 
+    /// Deserializes the value, with its revision.
     fn read_versioned<T: DeserializeOwned>(self) -> Option<Versioned<T>> {
         let revision = self.revision;
         self.read().map(|value| Versioned { revision, value })
     }
 
+    /// Deserializes the value if the change is newer than the cached entry.
     fn read_if_newer<T: DeserializeOwned>(
         self,
         known: Option<&Versioned<T>>,
@@ -189,14 +194,15 @@
         self.read_versioned()
     }
 
-    /// Sets one entry of a map.
+    /// Sets an entry of a map, if the change is newer and readable.
     fn set_in<K: Ord, T: DeserializeOwned>(self, map: &mut BTreeMap<K, Versioned<T>>, name: K) {
         if let Some(entry) = self.read_if_newer(map.get(&name)) {
             map.insert(name, entry);
         }
     }
 
-    /// Sets a record of which there is only one; an unreadable one counts as none.
+    /// Sets a record of which there is only one, if the change is newer. An unreadable value
+    /// clears it.
     fn set_single<T: DeserializeOwned>(self, known: &mut Option<Versioned<T>>) {
         if is_newer(known.as_ref(), self.revision) {
             *known = self.read_versioned();
@@ -204,11 +210,12 @@
     }
 }
 
-/// Whether a change at `revision` comes after what is known of its key.
+/// Whether a change at `revision` is newer than the cached entry of its key.
 fn is_newer<T>(known: Option<&Versioned<T>>, revision: Revision) -> bool {
     known.is_none_or(|entry| entry.revision < revision)
 }
 
+/// Removes an entry that was set before `revision`.
 fn remove_older<K: Ord, T>(map: &mut BTreeMap<K, Versioned<T>>, name: &K, revision: Revision) {
     if map.get(name).is_some_and(|entry| entry.revision < revision) {
         map.remove(name);
--- a/src/storage/state_cache/job.rs
+++ b/src/storage/state_cache/job.rs
@@ -1,6 +1,6 @@
-//! A job as the cache shows it: its spec and run records, and what follows from them.
+//! A cached job: its spec and run records, and the figures derived from them.
 //!
-//! The cache fills the fields and keeps `placed`, `done` and `lost` in step with the
+//! The cache sets the fields and keeps `placed`, `done` and `lost` consistent with the
 //! records; planning, placement and the status of jobs read them.
 
 use std::{
@@ -16,53 +16,54 @@
     records::{Placement, RunRecord},
 };
 
-/// A job that is not over, or still has something to clean up.
+/// A job that is not over, or whose records are not all removed.
 #[derive(Clone, Debug, Default)]
 pub struct Job {
-    /// What was asked for; none: its key is gone, or has not been read yet.
+    /// Its spec; `None` if the key is deleted or has not been read yet.
     pub spec: Option<Versioned<Arc<JobSpec>>>,
     /// Its run records, by the number of the range of tasks (see [`keys::CHUNK`]).
     pub chunks: BTreeMap<u32, Versioned<RunRecord>>,
-    /// Its user has cancelled it: tasks are to go, none may start.
+    /// Revision of the cleanup mark, if there is one: the job is cancelled, or over. Its tasks
+    /// must be stopped and none may start.
     pub cleanup_since: Option<Revision>,
-    /// Tasks that its run records call placed.
+    /// Number of tasks that are placed according to its run records.
     pub placed: u32,
-    /// Completed tasks.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Placed tasks whose machines are gone: they went out of their machine group only
-    /// after their return was answered, or are known to be no more.
+    /// Placed tasks whose machines are gone. A machine is removed from its machine group only
+    /// after the cloud has confirmed its return, or when it is known not to exist any more.
     pub lost: BTreeSet<u32>,
 }
 
 impl Job {
-    /// What was asked for, if it is known.
+    /// Its spec, if it is known.
     pub fn spec(&self) -> Option<&Arc<JobSpec>> {
         self.spec.as_ref().map(|entry| &entry.value)
     }
 
-    /// Revision of one of its run records; 0: there is no such record.
+    /// Revision of one of its run records; 0 if there is no such record.
     pub fn run_revision(&self, chunk: u32) -> Revision {
         self.chunks
             .get(&chunk)
             .map_or(Revision(0), |entry| entry.revision)
     }
 
-    /// Placed tasks that are, or may be, on a machine.
+    /// Number of placed tasks that are, or may be, on a machine.
     pub fn present(&self) -> u32 {
         self.placed.saturating_sub(self.lost.len() as u32)
     }
 
-    /// Where a task is, or may be. One that is gone with its machine waits again:
-    /// its next placement replaces the old one with one change of its record.
+    /// The machine on which a task is, or may be. A task whose machine is gone has none and waits
+    /// again: its next placement replaces the recorded one in a single change of the record.
     pub fn placement(&self, task: u32) -> Option<&Placement> {
         if self.lost.contains(&task) {
             return None;
         }
-        self.recorded(task)
+        self.recorded_placement(task)
     }
 
-    /// What the record says of a task, wherever that machine is now.
-    pub fn recorded(&self, task: u32) -> Option<&Placement> {
+    /// The placement of a task in its run record, even if the machine is gone.
+    pub fn recorded_placement(&self, task: u32) -> Option<&Placement> {
         self.chunks
             .get(&(task / keys::CHUNK))?
             .value
@@ -77,7 +78,7 @@
             .is_some_and(|entry| entry.value.is_done(task))
     }
 
-    /// How many of its tasks are neither placed nor done; 0 for a cancelled job.
+    /// Number of its tasks that are neither present nor done; 0 for a cancelled job.
     pub fn waiting(&self) -> u32 {
         match (&self.spec, self.cleanup_since) {
             (Some(spec), None) => spec.value.tasks.saturating_sub(self.present() + self.done),
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Up to `limit` tasks that are neither placed nor done, lowest first.
+    /// Returns up to `limit` tasks that are neither present nor done, lowest first.
     pub fn waiting_tasks(&self, limit: usize) -> Vec<u32> {
         let Some(spec) = self.spec() else {
             return Vec::new();
@@ -94,24 +95,24 @@
             return Vec::new();
         }
         let empty = RunRecord::default();
-        let mut found = Vec::new();
+        let mut waiting = Vec::new();
         for chunk in 0..spec.tasks.div_ceil(keys::CHUNK) {
             let record = self.chunks.get(&chunk).map_or(&empty, |entry| &entry.value);
             let first_task = chunk * keys::CHUNK;
             for task in first_task..(first_task + keys::CHUNK).min(spec.tasks) {
-                if found.len() >= limit {
-                    return found;
+                if waiting.len() >= limit {
+                    return waiting;
                 }
                 let is_present = record.placed.contains_key(&task) && !self.lost.contains(&task);
                 if !is_present && !record.is_done(task) {
-                    found.push(task);
+                    waiting.push(task);
                 }
             }
         }
-        found
+        waiting
     }
 
-    /// The tasks of a gang that are, or may be, on a machine.
+    /// The tasks that are, or may be, on a machine, with their placements.
     pub fn present_placements(&self) -> impl Iterator<Item = (u32, &Placement)> {
         self.records()
             .flat_map(|record| &record.placed)
@@ -119,10 +120,11 @@
             .filter(|(task, _)| !self.lost.contains(task))
     }
 
-    /// Whether a gang's waiting tasks may be placed: when none of it is anywhere, or
-    /// when they only complete an attempt that can't have begun, since one part found
-    /// no room while the others wait for it. Not when a task of the attempt has ended
-    /// or is lost: the other tasks of the gang leave first, and all get the next one.
+    /// Whether a gang's waiting tasks may be placed. They may if no task of the gang is present,
+    /// or if they complete an attempt that cannot have started: some of its tasks found no
+    /// room, and the others wait for them. They may not if a task of the attempt has ended or is
+    /// lost: then the remaining tasks must leave their machines first, and all tasks are placed
+    /// again with the next attempt.
     pub fn may_join(&self) -> bool {
         let Some(attempt) = self.present_placements().map(|(_, p)| p.attempt).min() else {
             return true;
@@ -132,8 +134,8 @@
             && self.last_ended_attempt().is_none_or(|last| last < attempt)
     }
 
-    /// The attempt that a gang's next placements take: the one of those that are
-    /// there, else one that no task of it has had. Its tasks find each other by it.
+    /// Returns the attempt of a gang's next placements: that of its present tasks, or else one
+    /// above those of all earlier placements. The gang's tasks recognize each other by it.
     pub fn gang_attempt(&self) -> Attempt {
         if let Some((_, placement)) = self.present_placements().next() {
             return placement.attempt;
@@ -144,10 +146,10 @@
         Attempt(last.map_or(0, |attempt| attempt.0) + 1)
     }
 
-    /// The latest attempt of its tasks that were placed before and now are not.
+    /// The highest attempt of its tasks that were placed before and are not placed now.
     fn last_ended_attempt(&self) -> Option<Attempt> {
         self.records()
-            .flat_map(|record| record.before.values())
+            .flat_map(|record| record.last_attempts.values())
             .max()
             .copied()
     }
@@ -163,7 +165,7 @@
             .is_some_and(|spec| self.done >= spec.value.tasks)
     }
 
-    /// Counts the placed and the completed tasks of its records.
+    /// Updates the counts of placed and completed tasks from the records.
     pub(super) fn recount(&mut self) {
         self.placed = 0;
         self.done = 0;
--- a/src/storage/state_cache/machine_load.rs
+++ b/src/storage/state_cache/machine_load.rs
@@ -1,6 +1,6 @@
-//! What the placements on one machine take of it, as running sums.
+//! The resources that the tasks on one machine use, as precomputed sums.
 //!
-//! The cache changes the tasks and has the sums counted anew with each change.
+//! The cache updates the tasks and recomputes the sums with each change.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -10,17 +10,17 @@
     records::Placement,
 };
 
-/// What is placed on one machine.
+/// The tasks on one machine, with the sums of their resources.
 #[derive(Clone, Debug, Default)]
 pub struct MachineLoad {
     /// The tasks that are, or may be, on it.
     pub tasks: BTreeMap<TaskId, PlacedTask>,
-    /// What the tasks take of it.
+    /// The machine's resources that the tasks use.
     pub taken: Resources,
-    /// What they use of each team's limit.
+    /// The quota that the tasks use, by team.
     pub teams: Vec<(TeamName, Quota)>,
-    /// Whether a replica of a service is among them.
-    pub service: bool,
+    /// Whether a replica of a service is among the tasks.
+    pub has_service: bool,
 }
 
 /// A task that is, or may be, on a machine.
@@ -28,21 +28,21 @@
 pub struct PlacedTask {
     /// Its placement, as recorded.
     pub placement: Placement,
-    /// Its job's spec. None: the job's other keys are gone, or have not been read yet.
+    /// Its job's spec; `None` if the spec's key is deleted or has not been read yet.
     pub spec: Option<Arc<JobSpec>>,
 }
 
 impl MachineLoad {
-    /// Sums anew. A machine has few tasks, and sums that are only added to
-    /// would drift.
+    /// Recomputes the sums from the tasks. This is cheap, as a machine has few tasks, and
+    /// incremental updates would accumulate rounding errors.
     pub(super) fn recount(&mut self) {
         self.taken = Resources::default();
         self.teams.clear();
-        self.service = false;
+        self.has_service = false;
         for placed in self.tasks.values() {
             let Some(spec) = &placed.spec else { continue };
             self.taken += spec.per_task;
-            self.service |= spec.kind == JobKind::Service;
+            self.has_service |= spec.kind == JobKind::Service;
             let quota = Quota::from(&spec.per_task);
             match self.teams.iter_mut().find(|(team, _)| *team == spec.team) {
                 Some((_, sum)) => *sum = sum.plus(&quota),
--- a/src/storage/state_cache/machines.rs
+++ b/src/storage/state_cache/machines.rs
@@ -1,5 +1,5 @@
-//! Changes of shards and machine groups, and what follows for their machines: which
-//! shard leases each, and whether the tasks on it count as lost.
+//! Changes of shards and machine groups, and the state of their machines that follows from
+//! them: the shard of each machine, and whether the tasks on it count as lost.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 type GroupMachines = BTreeMap<MachineId, Option<String>>;
 
 impl StateCache {
-    /// Sets or removes a shard, and the leases of its machines with it.
+    /// Sets or removes a shard, together with the leases of its machines.
     pub(super) fn replace_shard(&mut self, id: ShardId, record: Option<Versioned<ShardRecord>>) {
         let old = self.shards.remove(&id);
         if let Some(record) = record {
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Sets or removes a machine group, and its machines with it. The tasks on machines
-    /// that go wait again, those on machines that become known do not.
+    /// Sets or removes a machine group, together with its machines. The tasks on removed machines
+    /// count as lost and wait again; those on added machines no longer count as lost.
     pub(super) fn replace_machine_group(
         &mut self,
         provision_id: ProvisionId,
@@ -93,8 +93,7 @@
         }
     }
 
-    /// The tasks of a machine that has gone wait again; those of one that has become
-    /// known do not.
+    /// Sets whether the tasks placed on a machine count as lost, so that they wait again.
     fn set_machine_lost(&mut self, machine: &MachineId, lost: bool) {
         let load = self.on_machine.get(machine).into_iter();
         let tasks: Vec<TaskId> = load.flat_map(|load| load.tasks.keys().cloned()).collect();
@@ -111,7 +110,7 @@
     }
 }
 
-/// The machines of one version of a machine group that the other one lacks.
+/// Returns the machines that are in one version of a machine group and not in the other.
 fn machines_only_in(one: Option<&GroupMachines>, other: Option<&GroupMachines>) -> Vec<MachineId> {
     one.into_iter()
         .flat_map(BTreeMap::keys)
--- a/src/storage/state_cache/mod.rs
+++ b/src/storage/state_cache/mod.rs
@@ -1,8 +1,8 @@
 //! The replica of the state service's live set that every controller keeps.
 //!
-//! Changes arrive from the watch, and from the controller's own commits ahead
-//! of it. Each key remembers its revision, so that the two sources may come in
-//! any order and twice. `Store` applies the changes; all duties read.
+//! Changes arrive from the watch, and earlier from the controller's own commits. Each entry
+//! keeps its revision, so that changes from the two sources may arrive in any order and more
+//! than once. `Store` applies the changes; all background tasks read the cache.
 
 mod cancellations;
 mod changes;
@@ -29,35 +29,35 @@
     },
 };
 
-/// A map whose order is the same in every run: plans depend on it, and verdicts of
-/// tests are to repeat.
+/// A map whose iteration order is the same in every run. Plans depend on the order, so a
+/// randomly seeded map would make test results irreproducible.
 type HashMap<K, V> = std::collections::HashMap<K, V, BuildHasherDefault<DefaultHasher>>;
 
 /// A value with the revision of its last change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Versioned<T> {
-    /// The change that set the value.
+    /// The revision of the change that set the value.
     pub revision: Revision,
     /// The value.
     pub value: T,
 }
 
-/// Who leases a machine.
+/// The shard that a machine is in, with its owner.
 #[derive(Clone, Debug)]
 struct ShardLease {
     shard: ShardId,
     controller: ControllerName,
     owner: Incarnation,
-    /// The change with which it came to this owner.
+    /// The revision of the change that gave the machine to this owner.
     since: Revision,
 }
 
-/// The live set, with indexes over it.
+/// The replica of the live set, with indexes over it.
 #[derive(Debug, Default)]
 pub struct StateCache {
-    /// The watch has delivered every change up to here.
+    /// The revision up to which the watch has delivered every change.
     pub revision: Revision,
-    /// Jobs of which any key is left.
+    /// Jobs that have any key in the live set.
     pub jobs: HashMap<JobId, Job>,
     /// The controllers' quota allocations.
     pub allocations: BTreeMap<ControllerName, Versioned<AllocationRecord>>,
@@ -69,30 +69,31 @@
     pub machines: BTreeMap<MachineId, MachineRecord>,
     /// Provision requests that are not concluded.
     pub provision_requests: BTreeMap<ProvisionId, Versioned<ProvisionRecord>>,
-    /// The controllers that live.
+    /// The live controllers.
     pub controllers: BTreeMap<ControllerName, Versioned<ControllerRecord>>,
     /// The leader, while its lease lasts.
     pub leader: Option<Versioned<LeaderRecord>>,
     /// The machine types that the cloud offers.
     pub catalog: Option<Versioned<CatalogRecord>>,
-    /// What all controllers can read; none: nobody has said yet.
+    /// The protocol version that all controllers support; `None` if none has been written yet.
     pub common_version: Option<Versioned<CommonVersionRecord>>,
-    /// Placements by machine, with running sums.
+    /// Placed tasks by machine, with the sums of their resources.
     pub on_machine: HashMap<MachineId, MachineLoad>,
-    /// Jobs with tasks that are neither placed nor done.
+    /// Jobs with tasks that are neither present nor done.
     pub waiting: BTreeSet<JobId>,
-    /// Jobs that are cancelled, or done with keys still to be removed.
+    /// Jobs that are cancelled, or done, and whose keys are still to be removed.
     pub pending_cleanup: BTreeSet<JobId>,
-    /// The lease of each machine that is in a shard.
+    /// The shard and owner of each machine that is in a shard.
     leases: HashMap<MachineId, ShardLease>,
-    /// Jobs that are cancelled by the word of a peer which has seen this revision;
-    /// the watch has not brought it yet.
+    /// Jobs that a peer has reported as cancelled, with the revision that the peer had seen.
+    /// Kept until the watch has delivered that revision.
     peer_cancelled: BTreeMap<JobId, Revision>,
-    /// Outcomes that were seen or looked up.
+    /// Outcomes that were delivered or looked up.
     outcomes: HashMap<JobId, OutcomeRecord>,
-    /// The same jobs, the oldest first.
+    /// The jobs in `outcomes`, oldest entry first.
     outcome_order: VecDeque<JobId>,
-    /// Keys that we have deleted at a revision which the watch has not passed yet.
+    /// Keys that this controller has deleted, with the revision of the deletion. Kept until the
+    /// watch has passed that revision.
     own_deletions: HashMap<String, Revision>,
 }
 
--- a/src/storage/state_cache/queries.rs
+++ b/src/storage/state_cache/queries.rs
@@ -1,5 +1,4 @@
-//! What the rest of the program reads off the cache: owners of machines, room, and
-//! the quota in use.
+//! Queries of the cache: owners of machines, resources in use, and quota in use.
 
 use std::collections::BTreeMap;
 
@@ -17,16 +16,16 @@
         Some((id, self.shards.get(&id)?))
     }
 
-    /// The change with which a machine came to its present owner: whatever
-    /// earlier owners told it carries a lower token.
+    /// The revision with which a machine came to its present owner. Commands of earlier owners
+    /// carry a lower fencing token.
     pub fn owned_since(&self, machine: &MachineId) -> Revision {
         self.leases
             .get(machine)
             .map_or(Revision(0), |lease| lease.since)
     }
 
-    /// Whether the process that the shard's record names may still act: its
-    /// controller's allocation has not passed to another one, or to nobody.
+    /// Whether the owner in the shard's record may still act, that is, whether its controller's
+    /// quota allocation still names that process.
     pub fn has_current_owner(&self, shard: &ShardRecord) -> bool {
         self.allocations
             .get(&shard.controller)
@@ -44,7 +43,7 @@
             .flat_map(|entry| entry.value.machines.keys())
     }
 
-    /// A machine type of the catalog.
+    /// The machine type with this name in the catalog.
     pub fn machine_type(&self, name: &TypeName) -> Option<&MachineType> {
         self.catalog
             .as_ref()?
@@ -54,7 +53,7 @@
             .find(|machine_type| machine_type.name == *name)
     }
 
-    /// What the placements on a machine take of it.
+    /// The resources of a machine that the tasks placed on it use.
     pub fn taken(&self, machine: &MachineId) -> Resources {
         self.on_machine
             .get(machine)
@@ -62,7 +61,7 @@
             .unwrap_or_default()
     }
 
-    /// What the placements on these machines use of each team's limit.
+    /// The quota that the tasks placed on these machines use, by team.
     pub fn quota_used<'a>(
         &self,
         machines: impl Iterator<Item = &'a MachineId>,
@@ -86,7 +85,7 @@
         used
     }
 
-    /// What each controller's machines use of each team's limit.
+    /// The quota that the tasks on each controller's machines use, by team.
     pub fn quota_by_controller(&self) -> BTreeMap<ControllerName, BTreeMap<TeamName, Quota>> {
         self.allocations
             .keys()
--- a/src/storage/state_cache/runs.rs
+++ b/src/storage/state_cache/runs.rs
@@ -1,5 +1,5 @@
-//! Changes of jobs' run records and specs, and what follows from them: the load of the
-//! machines, the counts of the job, and the sets of jobs that somebody has to look at.
+//! Changes of jobs' run records and specs, and the derived state that follows from them: the
+//! load of the machines, the counts of the job, and the sets of jobs that need attention.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,7 +14,7 @@
     records::{Placement, RunRecord},
 };
 
-/// Two versions of the placements in one run record of a job.
+/// The placements in one run record of a job, before and after a change.
 struct PlacementChange<'a> {
     id: &'a JobId,
     spec: Option<Arc<JobSpec>>,
@@ -23,8 +23,9 @@
 }
 
 impl PlacementChange<'_> {
-    /// Moves the tasks between the machines, and counts the sums of those anew. Most
-    /// entries of a record stay as they are; only the others are moved.
+    /// Moves the tasks between the machines' loads and recomputes the sums of these. Only the
+    /// entries that differ are moved, since a change leaves most of a record's entries as they
+    /// are.
     fn apply(&self, loads: &mut HashMap<MachineId, MachineLoad>) {
         let mut changed: Vec<&MachineId> = Vec::new();
         for (task, placement) in self.before {
@@ -61,7 +62,8 @@
 }
 
 impl StateCache {
-    /// The job's spec has come after its runs: their use is counted now.
+    /// Adds the job's spec to its placed tasks and recomputes the loads of their machines. Needed
+    /// because the spec may arrive after the run records.
     pub(super) fn reload_runs(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec().cloned();
@@ -114,7 +116,7 @@
         self.forget_if_empty(&id);
     }
 
-    /// Forgets a job of which no key is left.
+    /// Removes a job that has no key left in the live set.
     pub(super) fn forget_if_empty(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get(id)
             && job.spec.is_none()
@@ -126,7 +128,7 @@
         self.index(id);
     }
 
-    /// Keeps the sets of jobs that somebody has to look at.
+    /// Updates the job's membership in the sets `waiting` and `pending_cleanup`.
     pub(super) fn index(&mut self, id: &JobId) {
         let job = self.jobs.get(id);
         set_member(
@@ -139,8 +141,9 @@
     }
 }
 
-fn set_member(set: &mut BTreeSet<JobId>, id: &JobId, member: bool) {
-    if member {
+/// Adds or removes a job, so that the set contains it if and only if `is_member`.
+fn set_member(set: &mut BTreeSet<JobId>, id: &JobId, is_member: bool) {
+    if is_member {
         if !set.contains(id) {
             set.insert(id.clone());
         }
--- a/src/storage/state_cache/tests.rs
+++ b/src/storage/state_cache/tests.rs
@@ -34,8 +34,8 @@
     assert!(cache.own_deletions.is_empty());
 }
 
-/// Guards against taking a machine that went away and came back for one that
-/// was held all the time: what the owner in between told it may be under way.
+/// Guards against treating a machine that left its owner and came back as owned without a break:
+/// commands of the owner in between may still be in flight.
 #[test]
 fn a_machine_that_came_back_is_owned_anew() {
     let mut cache = StateCache::default();
@@ -60,7 +60,7 @@
     assert_eq!(cache.owned_since(&vm), Revision(7));
 }
 
-/// A job's specification as it is stored.
+/// A job's spec as stored.
 fn spec(team: &str, cpus: f64) -> Value {
     json!({"class": "c", "team": team, "kind": "Array", "priority": "Normal",
         "tasks": 9, "per_task": {"cpus": cpus, "gpus": 0.0, "memory": 0.7},
@@ -69,14 +69,14 @@
         "accepted_ms": 0})
 }
 
-/// A group of this many machines as it is stored.
+/// A group of this many machines as stored.
 fn machine_group(machines: u32) -> Value {
     let names = (0..machines).map(|n| (format!("vm-{n}"), Value::Null));
     json!({"t": "x", "z": "z", "s": false, "at": 0,
         "m": names.collect::<serde_json::Map<_, _>>()})
 }
 
-/// Changes one record of six jobs and one machine group.
+/// Changes a random record of one of six jobs or of one machine group.
 fn change_at_random(cache: &mut StateCache, rng: &mut StdRng, revision: Revision) {
     let job = rng.random_range(0..6);
     match rng.random_range(0..5) {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Recounts what the cache keeps as running sums and sets.
+/// Asserts that the sums and sets of the cache equal those recomputed from its records.
 fn assert_agrees_with_recount(cache: &StateCache) {
     let mut cpus: BTreeMap<MachineId, f64> = BTreeMap::new();
     for job in cache.jobs.values() {
@@ -123,15 +123,15 @@
     }
     for (id, job) in &cache.jobs {
         let placed = job.chunks.values().flat_map(|k| k.value.placed.values());
-        let there = placed.filter(|p| cache.machines.contains_key(&p.machine));
-        assert_eq!(there.count() as u32, job.present());
+        let present = placed.filter(|p| cache.machines.contains_key(&p.machine));
+        assert_eq!(present.count() as u32, job.present());
         assert_eq!(cache.waiting.contains(id), job.waiting() > 0);
     }
 }
 
-/// The running sums against a plain recount, over random changes of records.
+/// Compares the cached sums and sets with recomputed ones, over random changes of records.
 #[test]
-fn running_sums_and_sets_agree_with_a_recount() {
+fn cached_sums_and_sets_agree_with_a_recount() {
     let mut rng = StdRng::seed_from_u64(7);
     let mut cache = StateCache::default();
     for revision in 1..600 {
@@ -140,8 +140,8 @@
     }
 }
 
-/// Guards against tasks that wait for a change of their own, which only says
-/// that their machine is gone, before they are placed elsewhere.
+/// Guards against tasks of a removed machine that are placed elsewhere only after a separate
+/// change of their run record, which would say no more than that the machine is gone.
 #[test]
 fn tasks_of_a_machine_that_is_gone_wait_at_once() {
     let mut cache = StateCache::default();
@@ -153,7 +153,7 @@
         json!({"t": "x", "z": "z", "s": false, "at": 0, "m": machines})
     };
     let id = JobId::new("job-1");
-    // Runs are read before machine groups at a start.
+    // A full read delivers run records before machine groups.
     cache.set(
         "run/job-1/0",
         json!({"p": {"0": {"a": 1, "m": "vm-1", "s": 1}, "1": {"a": 4, "m": "vm-2", "s": 1}}}),
@@ -167,12 +167,12 @@
     assert_eq!(cache.jobs[&id].present(), 1);
     assert!(cache.jobs[&id].placement(1).is_none());
     assert!(cache.jobs[&id].placement(0).is_some());
-    // The next placement takes the place of the old one, with a new attempt.
+    // The next placement replaces the old one, with a new attempt.
     let mut record = cache.jobs[&id].chunks[&0].value.clone();
     let attempt = record.next_attempt(1);
     assert_eq!(attempt, Attempt(5));
     record.place(1, MachineId::new("vm-1"), AgentEpoch(1), attempt);
-    let value = serde_json::to_value(&record).expect("plain data");
+    let value = serde_json::to_value(&record).expect("run records always serialize");
     cache.set("run/job-1/0", value, Revision(8));
     assert_eq!(cache.jobs[&id].present(), 2);
     cache.delete("machine/r-1", Revision(9));
@@ -189,7 +189,10 @@
     );
     let machine_group = json!({"t": "x", "z": "z", "s": false, "at": 0, "m": {"vm-1": null}});
     cache.set("machine/r-1", machine_group, Revision(4));
-    let job = cache.jobs.get_mut(&JobId::new("job-1")).expect("a job");
+    let job = cache
+        .jobs
+        .get_mut(&JobId::new("job-1"))
+        .expect("the job has a run record");
     job.spec = Some(Versioned {
         revision: Revision(1),
         value: Arc::new(JobSpec {
