--- a/src/storage/client/reads.rs
+++ b/src/storage/client/reads.rs
@@ -41,8 +41,8 @@
         let Some(item) = self.get(&keys::outcome(job)).await? else {
             return Ok(None);
         };
-        // Must precede the return of the outcome to anybody: peers ask for the highest revision
-        // that this controller has seen.
+        // Recorded before the outcome is returned: peers ask for the highest revision that this
+        // controller has seen, which must cover every outcome reported to users.
         self.note_revision(item.revision);
         self.looked_up_revision
             .fetch_max(item.revision.0, Ordering::Relaxed);
--- a/src/storage/rate_limiter.rs
+++ b/src/storage/rate_limiter.rs
@@ -60,15 +60,15 @@
 /// Factor by which an adjustment raises the rate if calls had to wait, and lowers it if none
 /// had to.
 const GROWTH_FACTOR: f64 = 1.25;
-/// Factor by which a throttled call lowers the rate.
+/// Factor that is applied to the rate when the service throttles a call.
 const THROTTLED_FACTOR: f64 = 0.6;
 /// Lower bound of the rates set by [`RateLimiter::set_bounds`], in calls per second.
 const MIN_RATE_PER_S: f64 = 2.0;
 /// Time after a throttled call during which the rate does not grow.
 const GROWTH_PAUSE: Duration = Duration::from_secs(2);
 
-/// Bounds of the wait before a delayed call tries again. It waits at most this long at a time
-/// since other calls and adjustments may change the bucket in between.
+/// Bounds of the wait before a delayed call tries again. The wait is only an estimate, since
+/// other calls may take from the bucket in between.
 const MIN_WAIT_SECONDS: f64 = 0.005;
 const MAX_WAIT_SECONDS: f64 = 0.25;
 
--- a/src/storage/state_cache/cancellations.rs
+++ b/src/storage/state_cache/cancellations.rs
@@ -21,9 +21,9 @@
         self.peer_cancelled.keys()
     }
 
-    /// Records that a peer that has seen revision `seen` reports these jobs as cancelled. Jobs
-    /// unknown to this cache are skipped, since this controller has placed none of their tasks.
-    /// Returns how many cancellations are new.
+    /// Records that a peer that has seen revision `seen` reports these jobs as cancelled. Has no
+    /// effect if this cache has reached that revision. Jobs unknown to the cache are skipped,
+    /// since this controller has no tasks of theirs. Returns how many cancellations are new.
     pub fn note_cancelled(&mut self, jobs: Vec<JobId>, seen: Revision) -> usize {
         let mut new = 0;
         for id in jobs {
@@ -39,8 +39,9 @@
         new
     }
 
-    /// Returns the jobs that were cancelled by changes after this revision and still have
-    /// records; those without records cannot have tasks on any machine.
+    /// Returns the jobs that were cancelled by changes after this revision, according to their
+    /// records or to peers, and that still have records. Jobs without records cannot have tasks
+    /// on any machine.
     pub fn cancelled_since(&self, revision: Revision) -> Vec<JobId> {
         let cancelled = self.pending_cleanup.iter().filter(|id| {
             let job = self.jobs.get(*id);
