--- a/src/coordination/leader/fleet/provisioning_options/demand.rs
+++ b/src/coordination/leader/fleet/provisioning_options/demand.rs
@@ -118,7 +118,7 @@
                     continue;
                 };
                 let tasks_per_machine = spec.per_task.count_in(&kind.size).max(1);
-                if self.may_underfill_machine(waiting, spec, kind.rate(pool.spot)) {
+                if self.may_underfill_machine(waiting, spec, kind.hourly_price(pool.spot)) {
                     may_be_underfilled.insert(pool.clone());
                 }
                 let machines = f64::from(tasks) / f64::from(tasks_per_machine);
--- a/src/coordination/policy/zone_constraint.rs
+++ b/src/coordination/policy/zone_constraint.rs
@@ -32,7 +32,7 @@
     /// Returns the scope of a job's placements, given the maximum number of changes per
     /// transaction.
     pub fn of(spec: &JobSpec, changes_per_transaction: usize) -> Self {
-        let conditions = spec.records() as usize + NON_RECORD_CONDITIONS;
+        let conditions = spec.run_record_count() as usize + NON_RECORD_CONDITIONS;
         if spec.is_zone_bound() && conditions > CONDITIONS_PER_CHANGE * changes_per_transaction {
             ZoneScope::PerRecord
         } else {
