--- a/build.rs
+++ b/build.rs
@@ -1,4 +1,4 @@
-//! Generates the typed reader of the operators' settings (protobuf text format).
+//! Generates the Rust types of the operators' settings from `proto/operator.proto`.
 fn main() {
     protobuf_codegen::Codegen::new()
         .pure()
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -242,7 +242,7 @@
                     }
                     return Err(SendError::NoAnswer("closed".into()));
                 }
-                let answer = peer_connections::answer(&controller, &frame).await;
+                let answer = peer_connections::handle_frame(&controller, &frame).await;
                 tokio::time::sleep(jitter::millis(1, 3)).await;
                 answer.ok_or_else(|| SendError::NoAnswer("closed".into()))
             };
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: command line, settings, logging, and the controller's tasks.
+//! The program: command line, settings, logging, and the controller's background tasks.
 
 use std::{collections::HashMap, process::ExitCode, str::FromStr, sync::Arc, time::Duration};
 
@@ -24,24 +24,24 @@
 use tokio_util::sync::CancellationToken;
 use tracing_subscriber::{layer::SubscriberExt, util::SubscriberInitExt};
 
-/// Exit code of a process whose settings cannot be used.
+/// Exit code of a process whose settings are invalid.
 const EXIT_INVALID_SETTINGS: u8 = 2;
-/// Exit code after a panic, as that of a panic in the main thread.
+/// Exit code after a panic in any thread, the same as after one in the main thread.
 const EXIT_PANIC: i32 = 101;
-/// How often the sockets in use are logged.
+/// Interval at which the number of sockets in use is logged.
 const SOCKET_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A cluster scheduler: a few controllers, one program.
+/// A controller of a cluster scheduler.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
-    /// The platform's settings file (JSON)
+    /// Settings file that the platform provides (JSON)
     #[arg(long, value_name = "FILE")]
     config: String,
-    /// The operators' own settings (protobuf text format)
+    /// Settings file of the operators (protobuf text format)
     #[arg(long, value_name = "FILE")]
     operator: Option<String>,
-    /// Check the settings files and end
+    /// Check the settings files and exit
     #[arg(long)]
     check: bool,
 }
@@ -49,7 +49,8 @@
 fn start_logging() {
     let requested = std::env::var("LOG_LEVEL").unwrap_or_default();
     let level = tracing::Level::from_str(&requested).unwrap_or(tracing::Level::INFO);
-    // Our own log lines at the level asked for; of the libraries' only errors.
+    // The program's own log lines are written from the requested level on, those of
+    // libraries only if they are errors.
     let filter = tracing_subscriber::filter::Targets::new()
         .with_default(tracing::Level::ERROR)
         .with_target("stallcove", level);
@@ -77,12 +78,12 @@
         address: String,
         source: std::io::Error,
     },
-    #[error("the duty \"{0}\" has ended")]
-    DutyEnded(&'static str),
-    #[error("a duty has failed: {0}")]
-    DutyFailed(JoinError),
-    #[error("no duty runs")]
-    NoDuty,
+    #[error("the background task \"{0}\" has ended unexpectedly")]
+    BackgroundTaskEnded(&'static str),
+    #[error("a background task has failed: {0}")]
+    BackgroundTaskFailed(JoinError),
+    #[error("no background task is running")]
+    NoBackgroundTask,
 }
 
 fn main() -> ExitCode {
@@ -101,14 +102,14 @@
     start_logging();
     for warning in &warnings {
         let warning = warning.to_string();
-        tracing::warn!(warning, "settings that cannot be kept to");
+        tracing::warn!(warning, "mistake in the settings");
     }
     exit_on_panic();
     match run_controller(settings, tuning) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             let error = error.to_string();
-            tracing::error!(error, "ending");
+            tracing::error!(error, "exiting");
             ExitCode::FAILURE
         }
     }
@@ -134,11 +135,11 @@
     ExitCode::SUCCESS
 }
 
-/// A panic anywhere means that a duty is broken: better to end, and be
-/// started again, than to go on half alive.
+/// Makes the process exit after a panic in any thread, so that it can be restarted. Without the
+/// hook the process would continue without the background task that panicked.
 fn exit_on_panic() {
     std::panic::set_hook(Box::new(|info| {
-        tracing::error!(%info, "ending after a panic");
+        tracing::error!(%info, "exiting after a panic");
         std::process::exit(EXIT_PANIC);
     }));
 }
@@ -158,28 +159,35 @@
     let sockets = SocketBudget::new(config.max_connections);
     let stop = CancellationToken::new();
     let network = Arc::new(HttpNetwork::new(sockets.clone()));
-    let public = bind(&settings.serve_on).await?;
-    let private = bind(&settings.peer_bind).await?;
+    let public_listener = bind(&settings.serve_on).await?;
+    let peer_listener = bind(&settings.peer_bind).await?;
     let clients = network_clients::clients(network, addresses(&settings));
     let controller = Controller::new(config, clients, stop.clone());
     let config = &controller.context.config;
     tracing::info!(controller = %config.name, zone = %config.zone, %incarnation, "started");
     log_teams(&config.teams);
-    let mut duties: JoinSet<&'static str> = JoinSet::new();
-    controller.start(&mut duties);
-    start_servers(&mut duties, &controller, public, private, &sockets, &stop);
-    duties.spawn(async move {
+    let mut background_tasks: JoinSet<&'static str> = JoinSet::new();
+    controller.start(&mut background_tasks);
+    start_servers(
+        &mut background_tasks,
+        &controller,
+        public_listener,
+        peer_listener,
+        &sockets,
+        &stop,
+    );
+    background_tasks.spawn(async move {
         log_sockets(&sockets).await;
-        "log of sockets"
+        "socket log"
     });
-    // Duties go on until the process is told to stop, which nobody does here:
-    // one that ends has failed.
-    let ended = duties.join_next().await;
+    // Background tasks run until `stop` is cancelled, which does not happen before this
+    // point: a background task that ends has failed.
+    let ended = background_tasks.join_next().await;
     stop.cancel();
     Err(match ended {
-        Some(Ok(duty)) => ProcessError::DutyEnded(duty),
-        Some(Err(error)) => ProcessError::DutyFailed(error),
-        None => ProcessError::NoDuty,
+        Some(Ok(name)) => ProcessError::BackgroundTaskEnded(name),
+        Some(Err(error)) => ProcessError::BackgroundTaskFailed(error),
+        None => ProcessError::NoBackgroundTask,
     })
 }
 
@@ -191,26 +199,30 @@
     })
 }
 
-/// Starts the server for users and agents, and the one for the other controllers.
+/// Starts the server for users and agents, and the server for the other controllers.
 fn start_servers(
-    duties: &mut JoinSet<&'static str>,
+    background_tasks: &mut JoinSet<&'static str>,
     controller: &Arc<Controller>,
-    public: TcpListener,
-    private: TcpListener,
+    public_listener: TcpListener,
+    peer_listener: TcpListener,
     sockets: &SocketBudget,
     stop: &CancellationToken,
 ) {
     let router = server::router(controller.clone(), sockets.clone());
-    let serving = server::serve(router, public, sockets.clone(), stop.clone());
-    duties.spawn(async move {
+    let serving = server::serve(router, public_listener, sockets.clone(), stop.clone());
+    background_tasks.spawn(async move {
         serving.await;
         "server"
     });
-    let serving =
-        peer_connections::serve(controller.clone(), private, sockets.clone(), stop.clone());
-    duties.spawn(async move {
+    let serving = peer_connections::serve(
+        controller.clone(),
+        peer_listener,
+        sockets.clone(),
+        stop.clone(),
+    );
+    background_tasks.spawn(async move {
         serving.await;
-        "peer links"
+        "peer connections"
     });
 }
 
@@ -232,7 +244,7 @@
         .collect()
 }
 
-/// What each team is guaranteed, and what it may use at most.
+/// Logs the guaranteed resources and the limit of each team.
 fn log_teams(teams: &[Team]) {
     for team in teams {
         tracing::info!(team = %team.name, guaranteed = ?team.guaranteed, limit = ?team.limit, "team");
--- a/src/protocol/agents.rs
+++ b/src/protocol/agents.rs
@@ -1,6 +1,6 @@
-//! Messages of the agents: heartbeats with the statuses of their tasks, and the commands
-//! they get in answer to these or straight from a shard's owner. The HTTP server and the
-//! transport layer's agent client read and write them.
+//! Messages of the agents: heartbeats with the statuses of their tasks, and commands, which
+//! agents receive in responses to heartbeats or directly from the owner of their shard. The
+//! HTTP server and the transport layer's agent client read and write them.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,23 +10,23 @@
     storage::{AgentEpoch, Attempt, ControllerName, MachineId, TaskId, Token, TypeName, ZoneName},
 };
 
-/// Where agents send heartbeats.
+/// Path on a controller that accepts heartbeats of agents.
 pub const HEARTBEAT_PATH: &str = "/hello";
-/// Where an agent takes commands.
+/// Path on an agent that accepts commands.
 pub const COMMAND_PATH: &str = "/orders";
-/// Where an agent shows its status.
+/// Path on an agent that returns its status.
 pub const INSPECT_PATH: &str = "/inspect";
 
-/// Longest machine id and address, in bytes.
+/// Maximum length of a machine id and of an address, in bytes.
 const MAX_IDENTIFIER_BYTES: usize = 100;
 
-/// A heartbeat; also an agent's answer to commands and inspections.
+/// A heartbeat; also an agent's response to commands and inspections.
 #[derive(Debug, Deserialize)]
 pub struct HeartbeatRequest {
     /// Id of the machine.
     #[serde(rename = "mount")]
     pub machine: String,
-    /// Where the agent takes commands, as IP:PORT.
+    /// Address at which the agent accepts commands, as IP:PORT.
     #[serde(rename = "addr")]
     pub address: String,
     /// Type of the machine.
@@ -38,16 +38,17 @@
     /// Whether it is a spot machine.
     #[serde(default, rename = "loaners")]
     pub spot: bool,
-    /// Which life of the agent.
+    /// The agent's epoch, which rises whenever its lease expires.
     #[serde(rename = "tenure")]
     pub epoch: u64,
-    /// Rises with every heartbeat and every answer of the agent within the epoch.
+    /// Sequence number within the epoch; rises with every heartbeat and every response of the
+    /// agent.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// Highest fencing token that the agent has obeyed.
+    /// Highest fencing token that the agent has accepted.
     #[serde(rename = "bridle")]
     pub token: u64,
-    /// Seconds until the cloud takes the spot machine back; absent: it was not announced.
+    /// Seconds until the cloud reclaims the spot machine; absent if no reclaim was announced.
     #[serde(default, rename = "recall_s")]
     pub notice_seconds: Option<f64>,
     /// All tasks that the agent knows of.
@@ -61,36 +62,36 @@
     /// Id of the task, as JOB/INDEX.
     #[serde(rename = "stride")]
     pub task: String,
-    /// Which attempt at the task.
+    /// Attempt of the task.
     #[serde(rename = "heat")]
     pub attempt: u64,
-    /// The task's state.
+    /// State of the task.
     #[serde(rename = "stance")]
     pub state: String,
-    /// Why the task has exited.
+    /// Reason of the exit, if the task has exited.
     #[serde(default)]
     pub cause: Option<String>,
 }
 
-/// Why a message is no heartbeat. Taking the part of it that is understood would lose
-/// tasks.
+/// Why a heartbeat is rejected. It is rejected as a whole: if only the valid part of it were
+/// applied, its other tasks would count as lost.
 #[derive(Debug, thiserror::Error)]
 pub enum HeartbeatError {
-    /// Not JSON, or not of the fields expected.
+    /// The message is not JSON, or its fields or their types are wrong.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Not the id of a task.
+    /// A task id is malformed.
     #[error("stride {0:?} is no task")]
     TaskId(String),
-    /// A state that this version does not know.
+    /// A task's state is unknown to this version.
     #[error("stance {0:?} is unknown")]
     TaskState(String),
-    /// A machine id or an address that is empty or too long.
+    /// The machine id is empty or too long, or the address is too long.
     #[error("mount or addr is too long or empty")]
     Identifier,
 }
 
-/// Reads a heartbeat.
+/// Parses a heartbeat.
 pub fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, HeartbeatError> {
     serde_json::from_slice::<HeartbeatRequest>(body)?.try_into()
 }
@@ -140,7 +141,7 @@
     }
 }
 
-/// None: a state that this version does not know.
+/// Converts a task's state on the wire. Returns `None` for an unknown state.
 fn task_state(state: &str, cause: Option<&str>) -> Option<TaskState> {
     match state {
         "fetching" | "waiting" => Some(TaskState::Fetching),
@@ -163,7 +164,7 @@
     }
 }
 
-/// What a command asks for.
+/// What an agent does with a task on a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CommandAction {
@@ -172,23 +173,24 @@
     /// Save the task's progress and stop it.
     #[serde(rename = "kill")]
     Stop,
-    /// Forget the task, which has exited.
+    /// Remove the exited task from the list of tasks in the agent's heartbeats.
     Clear,
 }
 
 /// A command about one task.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CommandMessage {
-    /// What to do.
+    /// What to do with the task.
     #[serde(rename = "call")]
     pub action: CommandAction,
     /// Id of the task, as JOB/INDEX.
     #[serde(rename = "stride")]
     pub task: String,
-    /// Which attempt at the task.
+    /// Attempt of the task.
     #[serde(rename = "heat")]
     pub attempt: u64,
-    /// Seconds that a task which is stopped has to save its progress.
+    /// Seconds that the task has to save its progress before it is stopped; absent unless the
+    /// command stops the task.
     #[serde(
         rename = "cooldown_s",
         default,
@@ -217,19 +219,19 @@
     }
 }
 
-/// Answer to a heartbeat by the owner of the machine's shard.
+/// Response to a heartbeat by the owner of the machine's shard.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HeartbeatReply {
     /// The owner's fencing token.
     #[serde(rename = "bridle")]
     pub token: u64,
-    /// To be executed in this order.
+    /// Commands, to be executed in this order.
     #[serde(rename = "calls")]
     pub commands: Vec<CommandMessage>,
 }
 
 impl HeartbeatReply {
-    /// An answer with the owner's token.
+    /// Creates a response with the owner's fencing token.
     pub fn new(token: Token, commands: &[Command]) -> Self {
         Self {
             token: token.0,
@@ -238,22 +240,24 @@
     }
 }
 
-/// Commands sent straight to an agent.
+/// Commands that a shard's owner sends directly to an agent.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CommandRequest {
-    /// The owner's fencing token: commands of a lower one than the agent knows are refused.
+    /// The owner's fencing token. An agent refuses commands with a lower token than the highest
+    /// that it has accepted.
     #[serde(rename = "bridle")]
     pub token: u64,
-    /// The life of the agent that the commands are for: another one refuses them.
+    /// The agent's epoch for which the commands are meant. In any other epoch the agent refuses
+    /// them.
     #[serde(rename = "tenure")]
     pub epoch: u64,
-    /// To be executed in this order.
+    /// Commands, to be executed in this order.
     #[serde(rename = "calls")]
     pub commands: Vec<CommandMessage>,
 }
 
 impl CommandRequest {
-    /// Commands of the owner with this token to this life of the agent.
+    /// Creates a request of the owner with this token for an agent in this epoch.
     pub fn new(token: Token, epoch: AgentEpoch, commands: &[Command]) -> Self {
         Self {
             token: token.0,
@@ -263,10 +267,10 @@
     }
 }
 
-/// Answer to a heartbeat by a controller that does not own the machine's shard.
+/// Response to a heartbeat by a controller that does not own the machine's shard.
 #[derive(Debug, Serialize)]
 pub struct Redirect<'a> {
-    /// The owner, if it is known.
+    /// Name of the shard's owner, if it is known.
     #[serde(rename = "groom", skip_serializing_if = "Option::is_none")]
     pub owner: Option<&'a str>,
 }
--- a/src/protocol/agents/tests.rs
+++ b/src/protocol/agents/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_heartbeat_is_read() {
+fn a_heartbeat_is_parsed() {
     let request: HeartbeatRequest = serde_json::from_str(
         r#"{"mount":"vm-000231","addr":"10.1.0.232:9000","breed":"g8","paddock":"a",
         "loaners":true,"tenure":1,"tally":88,"bridle":41,"recall_s":null,
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_heartbeat_with_an_unknown_state_is_not_applied_in_part() {
+fn a_heartbeat_with_an_unknown_task_state_is_rejected_as_a_whole() {
     let request: HeartbeatRequest = serde_json::from_str(
         r#"{"mount":"vm-1","addr":"a","breed":"b","paddock":"p","tenure":1,"tally":1,
         "bridle":0,"strides":[{"stride":"job-1/0","heat":1,"stance":"dancing"}]}"#,
@@ -27,10 +27,11 @@
     assert!(matches!(error, HeartbeatError::TaskState(state) if state == "dancing"));
 }
 
-/// A gang's task that waits for its mates has not begun; one whose mates are gone, or did
-/// not come, says nothing against its machine or its job.
+/// A gang task that waits for the gang's other tasks is not running yet. The exit of one whose
+/// other tasks have ended or did not arrive must not count as a failure of its machine or its
+/// job.
 #[test]
-fn a_gangs_states_are_read() {
+fn gang_task_states_are_parsed() {
     let request: HeartbeatRequest = serde_json::from_str(
         r#"{"mount":"vm-1","addr":"a","breed":"b","paddock":"p","tenure":1,"tally":1,
         "bridle":0,"strides":[{"stride":"job-1/0","heat":1,"stance":"waiting"},
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,5 +1,6 @@
-//! Messages of the cloud: its catalog of machine types, provisioning and release of
-//! machines, and its inventory. The transport layer's cloud client reads and writes them.
+//! Requests to the cloud and their responses: its catalog of machine types, provisioning and
+//! release of machines, and its inventory. The transport layer's cloud client reads and writes
+//! them.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,16 +10,17 @@
     storage::{MachineId, MachineType, ProvisionId, Resources, TypeName, ZoneName},
 };
 
-/// Where the catalog of machine types is.
+/// Path that returns the catalog of machine types.
 pub const CATALOG_PATH: &str = "/catalog";
-/// Where machines are provisioned, and listed.
+/// Path that provisions machines, and lists them.
 pub const MACHINES_PATH: &str = "/machines";
-/// Where machines are released.
+/// Path that releases machines.
 pub const RELEASE_PATH: &str = "/machines/return";
-/// Machines in a page of the inventory, at most.
+/// Maximum number of machines in a page of the inventory.
 const INVENTORY_PAGE_SIZE: usize = 500;
 
-/// Where the page of the inventory is that follows a machine; without one, the first.
+/// Path that returns a page of the inventory: the page that starts after the machine `after`, or
+/// the first page.
 pub fn inventory_path(after: Option<&MachineId>) -> String {
     let mut path = format!("{MACHINES_PATH}?most={INVENTORY_PAGE_SIZE}");
     if let Some(machine) = after {
@@ -28,7 +30,7 @@
     path
 }
 
-/// The catalog.
+/// The catalog of machine types.
 #[derive(Debug, Deserialize)]
 pub struct CatalogResponse {
     /// All machine types that can be provisioned.
@@ -39,7 +41,7 @@
 /// A machine type with its size, price and zones.
 #[derive(Debug, Deserialize)]
 pub struct MachineTypeMessage {
-    /// Unique among the types.
+    /// Unique name of the type.
     #[serde(rename = "label")]
     pub name: String,
     /// Processor cores.
@@ -47,16 +49,16 @@
     /// Accelerators.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory.
+    /// Memory, in GB.
     pub ram_gb: f64,
-    /// Local storage for images.
+    /// Local storage for images, in GB.
     pub cache_gb: f64,
-    /// Speed at which images are fetched.
+    /// Speed at which images are fetched, in GB per second.
     pub fetch_gb_per_s: f64,
     /// Price of an on-demand machine.
     #[serde(rename = "rate")]
     pub price: f64,
-    /// Price of a spot machine; absent: that of an on-demand one.
+    /// Price of a spot machine; if absent, the price of an on-demand machine.
     #[serde(default, rename = "market_price")]
     pub spot_price: Option<f64>,
     /// Usual time from the provision request to the first heartbeat, in seconds.
@@ -67,7 +69,7 @@
     pub zones: Vec<String>,
 }
 
-/// The cloud names no usable boot time for a machine type.
+/// The boot time of a machine type in the catalog is not a valid duration.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("boot_s is not a duration in seconds")]
 pub struct InvalidBootTime;
@@ -93,28 +95,28 @@
     }
 }
 
-/// Body of a request to provision machines.
+/// Body of a request that provisions machines.
 #[derive(Debug, Serialize)]
 pub struct ProvisionRequestBody {
-    /// Makes the request idempotent.
+    /// Idempotency key of the request.
     #[serde(rename = "hire")]
     pub id: String,
-    /// Type of all machines asked for.
+    /// Type of the machines.
     #[serde(rename = "breed")]
     pub machine_type: String,
-    /// Zone of all machines asked for.
+    /// Zone of the machines.
     #[serde(rename = "paddock")]
     pub zone: String,
-    /// Spot machines in place of on-demand ones.
+    /// Whether to provision spot machines instead of on-demand ones.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many machines.
+    /// Number of machines.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
 impl ProvisionRequestBody {
-    /// The body of a request under its idempotency key.
+    /// Creates the body of a request with its idempotency key.
     pub fn new(id: &ProvisionId, request: &ProvisionRequest) -> Self {
         Self {
             id: id.to_string(),
@@ -126,10 +128,10 @@
     }
 }
 
-/// Machines by id: those provisioned, or those to be released.
+/// Ids of machines: the response to a provision request, or the body of a release request.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct MachineIdsMessage {
-    /// Ids of the machines provisioned or to be released.
+    /// Ids of the provisioned machines, or of those to be released.
     #[serde(rename = "mounts")]
     pub machines: Vec<String>,
 }
@@ -137,15 +139,15 @@
 /// A page of the inventory.
 #[derive(Debug, Deserialize)]
 pub struct InventoryPage {
-    /// In the order that `from` continues: after the last one's id.
+    /// Machines, ordered by id: the next page starts after the id of the last one.
     #[serde(rename = "mounts")]
     pub machines: Vec<ListedMachineMessage>,
-    /// More machines follow the last one.
+    /// Whether there are more machines after the last one.
     #[serde(default, rename = "truncated")]
     pub has_more: bool,
 }
 
-/// A machine of the inventory.
+/// A machine in the inventory.
 #[derive(Debug, Deserialize)]
 pub struct ListedMachineMessage {
     /// Id of the machine.
@@ -160,7 +162,7 @@
     /// Whether it is a spot machine.
     #[serde(default, rename = "loaners")]
     pub spot: bool,
-    /// Stage of its life; unknown words count as running.
+    /// Stage of the machine's life cycle; an unknown stage is treated as running.
     #[serde(rename = "stance")]
     pub stage: String,
     /// Seconds since the provision request.
@@ -185,14 +187,14 @@
     }
 }
 
-/// Body of the cloud's error answers.
+/// Body of the cloud's error responses.
 #[derive(Debug, Deserialize)]
 pub struct CloudErrorBody {
-    /// What is wrong.
+    /// Description of the error.
     pub error: String,
 }
 
 impl CloudErrorBody {
-    /// The error of a cloud that has no machines of the type left in the zone.
+    /// Error of a provision request if the zone has no machines of the type left.
     pub const NO_CAPACITY: &str = "no capacity";
 }
--- a/src/protocol/key_value_store.rs
+++ b/src/protocol/key_value_store.rs
@@ -1,5 +1,5 @@
-//! Messages of the key-value store. The transport layer's client of the store reads and
-//! writes them; the simulator's store is the other side.
+//! Requests and responses of the key-value store. The transport layer's client of the store
+//! reads and writes them; the simulator implements the store's side.
 
 use std::time::Duration;
 
@@ -11,19 +11,20 @@
     *,
 };
 
-/// Where transactions are executed.
+/// Path that executes transactions.
 pub const TRANSACTION_PATH: &str = "/commit";
-/// Where leases are granted.
+/// Path that grants leases.
 pub const LEASES_PATH: &str = "/grants";
-/// Keys in a page of a range, at most.
+/// Maximum number of keys in a page of a range.
 const RANGE_PAGE_SIZE: usize = 500;
 
-/// Where a key is read.
+/// Path that reads a key.
 pub fn key_path(key: &str) -> String {
     format!("/kv/{key}")
 }
 
-/// Where the page of the keys with a prefix is that follows a key; without one, the first.
+/// Path that reads a page of the keys with a prefix: the page that starts after the key
+/// `after`, or the first page.
 pub fn range_path(prefix: &str, after: Option<&str>) -> String {
     let mut path = format!("/kv?starts={prefix}&most={RANGE_PAGE_SIZE}");
     if let Some(after) = after {
@@ -33,16 +34,16 @@
     path
 }
 
-/// Where a lease is renewed.
+/// Path that renews a lease.
 pub fn renewal_path(lease: LeaseId) -> String {
     format!("{LEASES_PATH}/{}/touch", lease.0)
 }
 
-/// Where all changes after a revision are watched; without any, the answer comes after
-/// `max_wait`.
-pub fn watch_path(from: Revision, max_wait: Duration) -> String {
+/// Path that watches all changes after a revision. The store responds when there is a change,
+/// and after `max_wait` without one.
+pub fn watch_path(after: Revision, max_wait: Duration) -> String {
     let max_wait_ms = max_wait.as_millis();
-    format!("/follow?starts=&from={from}&hold_ms={max_wait_ms}")
+    format!("/follow?starts=&from={after}&hold_ms={max_wait_ms}")
 }
 
 /// A key with its value.
@@ -72,12 +73,12 @@
 /// A page of keys with a common prefix.
 #[derive(Debug, Deserialize)]
 pub struct RangeResponse {
-    /// In the order of their keys.
+    /// The keys with their values, ordered by key.
     pub entries: Vec<KeyValueMessage>,
-    /// More keys follow the last one.
+    /// Whether there are more keys after the last entry.
     #[serde(default, rename = "truncated")]
     pub has_more: bool,
-    /// Revision of the store that the page shows.
+    /// Revision of the store at which the page was read.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
@@ -92,18 +93,18 @@
     }
 }
 
-/// A condition of a transaction: the key's revision is still this one.
+/// A condition of a transaction: the key still has this revision.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Comparison {
-    /// The key compared.
+    /// The key whose revision is compared.
     #[serde(rename = "k")]
     pub key: String,
-    /// Expected revision; zero: the key does not exist.
+    /// Expected revision; zero means that the key must not exist.
     #[serde(rename = "mark")]
     pub revision: u64,
 }
 
-/// A change that a transaction makes.
+/// A write of a transaction.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum OperationMessage {
@@ -140,13 +141,13 @@
     }
 }
 
-/// A compare-and-swap.
+/// A compare-and-swap request over several keys.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TransactionRequest {
-    /// All must hold, or nothing is changed.
+    /// Conditions that must all hold; otherwise no operation is applied.
     #[serde(rename = "if", default)]
     pub conditions: Vec<Comparison>,
-    /// Made together.
+    /// Operations that are applied atomically.
     #[serde(rename = "then", default)]
     pub operations: Vec<OperationMessage>,
 }
@@ -166,23 +167,23 @@
     }
 }
 
-/// Answer to a transaction that was executed.
+/// Response to a transaction that was committed.
 #[derive(Debug, Deserialize)]
 pub struct TransactionResponse {
-    /// Revision of its changes.
+    /// Revision of the transaction's changes.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
 
-/// Answer to a transaction whose conditions did not hold.
+/// Response to a transaction of which a condition did not hold.
 #[derive(Debug, Deserialize)]
 pub struct ConflictResponse {
-    /// Keys with another revision than expected.
+    /// Keys whose revision differs from the expected one.
     #[serde(rename = "failed")]
     pub keys: Vec<String>,
 }
 
-/// Request for a lease.
+/// Request to grant a lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// Time to live after each renewal, in milliseconds.
@@ -190,7 +191,7 @@
     pub ttl_ms: u64,
 }
 
-/// The lease that was granted.
+/// Response to a request for a lease.
 #[derive(Debug, Deserialize)]
 pub struct LeaseResponse {
     /// Id of the new lease.
@@ -198,18 +199,18 @@
     pub lease: u64,
 }
 
-/// Changes that a watch has found.
+/// Response to a watch: the changes after the requested revision.
 #[derive(Debug, Deserialize)]
 pub struct WatchResponse {
-    /// Revision up to which the events are complete.
+    /// Revision up to which the events include all changes.
     #[serde(rename = "ledger")]
     pub revision: u64,
-    /// In the order of their revisions.
+    /// The changes, ordered by revision.
     #[serde(default)]
     pub events: Vec<WatchEventMessage>,
 }
 
-/// A change to a key.
+/// A change to a key that a watch reports.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 pub enum WatchEventMessage {
@@ -225,7 +226,7 @@
         #[serde(rename = "mark")]
         revision: u64,
     },
-    /// A key was removed, by a transaction or with its lease.
+    /// A key was removed by a transaction or because its lease ended.
     Delete {
         /// The key removed.
         #[serde(rename = "drop")]
@@ -256,14 +257,14 @@
     }
 }
 
-/// Body of the store's error answers.
+/// Body of the store's error responses.
 #[derive(Debug, Deserialize)]
 pub struct StoreErrorBody {
-    /// What is wrong.
+    /// Description of the error.
     pub error: String,
 }
 
 impl StoreErrorBody {
-    /// The error of a transaction that names a lease which has expired.
+    /// Error of a transaction that attaches a key to a lease that has expired.
     pub const NO_SUCH_LEASE: &str = "no such lease";
 }
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -1,5 +1,5 @@
-//! The operators' own settings: an optional file in protobuf text format over
-//! compiled-in defaults. An unknown field is an error. The program reads it once, when it
+//! The operators' settings: an optional file in protobuf text format that overrides
+//! compiled-in defaults. An unknown field is an error. The program reads the file once, when it
 //! starts.
 
 use std::time::Duration;
@@ -15,7 +15,7 @@
     include!(concat!(env!("OUT_DIR"), "/operator/mod.rs"));
 }
 
-/// Shortest lease of a controller.
+/// Minimum duration of a controller's lease.
 const MIN_CONTROLLER_LEASE: Duration = Duration::from_secs(1);
 
 /// Reads and checks an operators' file.
@@ -46,7 +46,7 @@
     if let Some(quota) = operator.quota.as_ref() {
         tuning.quota_transfers = quota.transfers.unwrap_or(tuning.quota_transfers);
     }
-    check_together(&tuning)?;
+    check_tuning(&tuning)?;
     Ok(tuning)
 }
 
@@ -118,8 +118,8 @@
     Ok(())
 }
 
-/// Checks that concern the defaults as well, or several fields.
-fn check_together(tuning: &Tuning) -> Result<(), FieldError> {
+/// Checks that concern several fields, or a default as well as a value in the file.
+fn check_tuning(tuning: &Tuning) -> Result<(), FieldError> {
     if tuning.alpha > tuning.beta {
         let requirement = Requirement::NotAbove("band.beta");
         return Err(FieldError::new("band.alpha", requirement));
@@ -134,7 +134,7 @@
     Ok(())
 }
 
-/// Replaces a default if the file has the field.
+/// Replaces a default, a number from 0 to 1, if the file has the field.
 fn set_share(field: &str, value: Option<f64>, target: &mut f64) -> Result<(), FieldError> {
     let Some(value) = value else {
         return Ok(());
@@ -146,7 +146,7 @@
     Ok(())
 }
 
-/// Replaces a default if the file has the field.
+/// Replaces a default, a positive number, if the file has the field.
 fn set_positive(field: &str, value: Option<f64>, target: &mut f64) -> Result<(), FieldError> {
     let Some(value) = value else {
         return Ok(());
@@ -158,7 +158,7 @@
     Ok(())
 }
 
-/// Replaces a default if the file has the field, in seconds.
+/// Replaces a default duration if the file has the field, which is in seconds.
 fn set_duration(field: &str, value: Option<f64>, target: &mut Duration) -> Result<(), FieldError> {
     if let Some(value) = value {
         *target = positive_duration(field, value)?;
--- a/src/protocol/operator/tests.rs
+++ b/src/protocol/operator/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn an_empty_file_changes_nothing() {
+fn an_empty_file_keeps_all_defaults() {
     assert_eq!(parse("").expect("valid"), Tuning::default());
 }
 
@@ -18,7 +18,7 @@
 
 /// Operators see these texts.
 #[test]
-fn what_is_wrong_is_named() {
+fn errors_contain_the_field_and_its_requirement() {
     for (bad, expected) in [
         (
             "band { alpha: 1.5 }",
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_an_error() {
+fn invalid_files_are_rejected() {
     for bad in [
         "bund { alpha: 0.1 }",
         "band { alfa: 0.1 }",
--- a/src/protocol/peer_frames/quota.rs
+++ b/src/protocol/peer_frames/quota.rs
@@ -1,4 +1,4 @@
-//! Amounts of quota in frames.
+//! Frames of the teams' quota.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::storage::{Quota, TeamName};
 
-/// An amount of a team's limit.
+/// Quota of one team.
 #[derive(Archive, Serialize, Deserialize, Debug)]
 pub(super) struct TeamQuotaFrame {
     team: String,
@@ -14,7 +14,7 @@
     gpus: f64,
 }
 
-/// Amounts as they are sent, in the order of the teams.
+/// Converts quota to frames, ordered by team.
 pub(super) fn quotas_to_frames(quotas: BTreeMap<TeamName, Quota>) -> Vec<TeamQuotaFrame> {
     let frames = quotas.into_iter().map(|(team, quota)| TeamQuotaFrame {
         team: team.to_string(),
@@ -24,7 +24,7 @@
     frames.collect()
 }
 
-/// Amounts as they were sent.
+/// Converts frames to quota by team.
 pub(super) fn quotas_from_frames(frames: Vec<TeamQuotaFrame>) -> BTreeMap<TeamName, Quota> {
     let quotas = frames.into_iter().map(|frame| {
         let quota = Quota {
--- a/src/protocol/peer_frames/request.rs
+++ b/src/protocol/peer_frames/request.rs
@@ -20,33 +20,35 @@
     Offers(Vec<OfferFrame>),
     /// Tasks to stop.
     Preempt(Vec<TaskFrame>),
-    /// Address of an agent to look for.
+    /// Address of an agent that the receiver should try to reach.
     Probe(String),
-    // From here on only to peers whose protocol version has it. A variant must not be larger
-    // than `Status`: the root of an archive is found from its end.
-    /// Revision after which cancellations are asked for.
+    // The following variants are sent only to peers whose protocol version supports them. No
+    // variant may be larger than `Status`: a reader locates an archive's root by the size of
+    // this enum, counted back from the end of the frame, so a larger variant would make all
+    // frames unreadable for older peers.
+    /// Request for the jobs that were cancelled after a revision.
     CancelledSince(u64),
     /// Request for quota.
     Quota(QuotaRequestFrame),
-    /// What the receiver's quota should be.
+    /// The receiver's planned quota.
     QuotaTargets(QuotaTargetsFrame),
 }
 
-/// Tasks of a job.
+/// Tasks of a job, see [`Offer`].
 #[derive(Archive, Serialize, Deserialize, Debug)]
 pub(super) struct OfferFrame {
     job: String,
     tasks: Vec<u32>,
 }
 
-/// A task.
+/// A task, see [`TaskId`].
 #[derive(Archive, Serialize, Deserialize, Debug)]
 pub(super) struct TaskFrame {
     job: String,
     index: u32,
 }
 
-/// A request for quota.
+/// A request for quota, see [`QuotaRequest`].
 #[derive(Archive, Serialize, Deserialize, Debug)]
 pub(super) struct QuotaRequestFrame {
     recipient: String,
@@ -55,7 +57,7 @@
     wanted: Vec<TeamQuotaFrame>,
 }
 
-/// The leader's plan for the receiver's quota.
+/// The leader's plan for the receiver's quota, see [`QuotaTargets`].
 #[derive(Archive, Serialize, Deserialize, Debug)]
 pub(super) struct QuotaTargetsFrame {
     leader: u64,
@@ -81,16 +83,22 @@
 }
 
 impl From<RequestFrame> for PeerRequest {
-    /// Names that are no job's are left out.
+    /// Skips offers and tasks with an invalid job id.
     fn from(frame: RequestFrame) -> Self {
         match frame {
             RequestFrame::Status(status) => Self::Status(status.into()),
-            RequestFrame::Offers(offers) => {
-                Self::Offers(offers.into_iter().filter_map(OfferFrame::offer).collect())
-            }
-            RequestFrame::Preempt(tasks) => {
-                Self::Preempt(tasks.into_iter().filter_map(TaskFrame::task).collect())
-            }
+            RequestFrame::Offers(offers) => Self::Offers(
+                offers
+                    .into_iter()
+                    .filter_map(OfferFrame::into_offer)
+                    .collect(),
+            ),
+            RequestFrame::Preempt(tasks) => Self::Preempt(
+                tasks
+                    .into_iter()
+                    .filter_map(TaskFrame::into_task_id)
+                    .collect(),
+            ),
             RequestFrame::Probe(address) => Self::Probe(address),
             RequestFrame::CancelledSince(revision) => Self::CancelledSince(Revision(revision)),
             RequestFrame::Quota(request) => Self::RequestQuota(request.into()),
@@ -109,7 +117,7 @@
 }
 
 impl OfferFrame {
-    fn offer(self) -> Option<Offer> {
+    fn into_offer(self) -> Option<Offer> {
         Some(Offer {
             job: JobId::parse(&self.job)?,
             tasks: self.tasks,
@@ -127,7 +135,7 @@
 }
 
 impl TaskFrame {
-    fn task(self) -> Option<TaskId> {
+    fn into_task_id(self) -> Option<TaskId> {
         Some(TaskId::new(JobId::parse(&self.job)?, self.index))
     }
 }
--- a/src/protocol/peer_frames/response.rs
+++ b/src/protocol/peer_frames/response.rs
@@ -17,29 +17,29 @@
 pub(super) enum ResponseFrame {
     /// The answering controller's status.
     Status(StatusFrame),
-    /// The request was taken over.
+    /// The receiver has accepted the request.
     Accepted,
-    /// Whether an agent answered.
+    /// Whether an agent answered at the probed address.
     ProbeResult(bool),
-    // As in requests: only to peers whose protocol version has it, and not larger than
-    // `Status`.
-    /// Cancelled jobs.
+    // As with requests, the following variants are sent only to peers whose protocol version
+    // supports them, and must not be larger than `Status`.
+    /// The cancelled jobs that the receiver knows.
     CancelledSince(CancellationsFrame),
-    /// The request is not known to this version.
+    /// The receiver's version cannot decode the request.
     Unknown,
-    /// Quota that was transferred.
+    /// The quota that was transferred.
     QuotaGranted(Vec<TeamQuotaFrame>),
-    /// Code of the reason why no quota was transferred.
+    /// No quota was transferred, with the code of the [`Refusal`].
     QuotaRefused(u8),
-    /// The transfer is not decided yet.
+    /// The outcome of the transfer is not known yet.
     QuotaUndecided,
 }
 
-/// Cancelled jobs beyond a revision.
+/// Jobs cancelled after the requested revision, see [`Cancellations`].
 #[derive(Archive, Serialize, Deserialize, Debug)]
 pub(super) struct CancellationsFrame {
     seen: u64,
-    /// Whether all of them could be named; if not, none is.
+    /// Whether `jobs` contains all cancelled jobs; otherwise it is empty.
     is_complete: bool,
     jobs: Vec<String>,
 }
@@ -54,8 +54,8 @@
                 Self::CancelledSince(cancellations.into())
             }
             PeerResponse::Unknown => Self::Unknown,
-            PeerResponse::Quota(QuotaResponse::Granted(amounts)) => {
-                Self::QuotaGranted(quotas_to_frames(amounts))
+            PeerResponse::Quota(QuotaResponse::Granted(quotas)) => {
+                Self::QuotaGranted(quotas_to_frames(quotas))
             }
             PeerResponse::Quota(QuotaResponse::Refused(refusal)) => {
                 Self::QuotaRefused(refusal.code())
@@ -75,10 +75,10 @@
                 Self::CancelledSince(cancellations.into())
             }
             ResponseFrame::Unknown => Self::Unknown,
-            ResponseFrame::QuotaGranted(amounts) => {
-                Self::Quota(QuotaResponse::Granted(quotas_from_frames(amounts)))
+            ResponseFrame::QuotaGranted(quotas) => {
+                Self::Quota(QuotaResponse::Granted(quotas_from_frames(quotas)))
             }
-            // A later version's refusal is a refusal.
+            // An unknown code comes from a later version and still means a refusal.
             ResponseFrame::QuotaRefused(code) => Self::Quota(QuotaResponse::Refused(
                 Refusal::of_code(code).unwrap_or(Refusal::NotReady),
             )),
@@ -100,7 +100,7 @@
 }
 
 impl From<CancellationsFrame> for Cancellations {
-    /// With a name that is no job's, none of them counts as named.
+    /// Treats the list of jobs as incomplete if it contains an invalid job id.
     fn from(frame: CancellationsFrame) -> Self {
         let jobs = frame.jobs.iter().map(|name| JobId::parse(name));
         let jobs: Option<Vec<JobId>> = jobs.collect();
--- a/src/protocol/peer_frames/status.rs
+++ b/src/protocol/peer_frames/status.rs
@@ -1,4 +1,4 @@
-//! The frame of a controller's status.
+//! Frame of a controller's status.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,8 +12,9 @@
     },
 };
 
-/// The protocol version rides among the failing jobs: a peer of the first version passes over
-/// names that are no job's. [`StatusFrame`] itself can't grow while such peers live.
+/// Name of the entry among the failing jobs that holds the sender's protocol version. Peers of
+/// the first version skip entries whose name is not a job id, so they can read such a status; a
+/// new field of [`StatusFrame`] would make it unreadable for them.
 const VERSION_ENTRY: &str = "dialect";
 
 /// A controller's status, see [`StatusMessage`].
@@ -42,7 +43,7 @@
     sequence: u64,
     images: Vec<String>,
     speed: f64,
-    /// Cores, accelerators and memory.
+    /// Processor cores, accelerators and memory, in this order.
     freed: [f64; 3],
 }
 
@@ -57,14 +58,15 @@
     age_ms: u64,
 }
 
-/// A failing job with its pause in milliseconds, or [`VERSION_ENTRY`] with the version.
+/// A failing job's id with the pause before its next attempt in milliseconds, or
+/// [`VERSION_ENTRY`] with the protocol version.
 #[derive(Archive, Serialize, Deserialize, Debug)]
 struct FailingEntry {
     name: String,
     value: u64,
 }
 
-/// As sent: longer times than `u32::MAX` milliseconds (49 days) are sent as that.
+/// Converts a duration to milliseconds, at most `u32::MAX` (49 days).
 fn to_millis(duration: Duration) -> u64 {
     duration.as_millis().min(u128::from(u32::MAX)) as u64
 }
--- a/src/protocol/peer_frames/tests.rs
+++ b/src/protocol/peer_frames/tests.rs
@@ -13,24 +13,24 @@
     },
 };
 
-/// Guards against an owner of all machines whose status is too long to be sent:
-/// its machines would count as lost.
+/// Guards against a status that exceeds the maximum frame size when one controller owns all
+/// machines: it could not be sent, and the leader would treat these machines as lost.
 #[test]
 fn a_status_of_thousands_of_machines_fits_a_frame() {
-    let names = |n: u64| (format!("vm-{n:09}"), format!("10.200.100.{n}:9000"));
+    let id_and_address = |n: u64| (format!("vm-{n:09}"), format!("10.200.100.{n}:9000"));
     let images = Arc::new(
         (0..18)
             .map(|n| ImageName::new(format!("img-{n:04}")))
             .collect::<Vec<_>>(),
     );
-    let held = (0..8192).map(|n| OwnedMachine {
-        machine: MachineId::new(names(n).0),
+    let owned = (0..8192).map(|n| OwnedMachine {
+        machine: MachineId::new(id_and_address(n).0),
         since_heartbeat: Duration::from_secs(1),
         unreachable: false,
         quarantined: false,
         leaving: false,
         command_path_lost: false,
-        address: Some(names(n).1),
+        address: Some(id_and_address(n).1),
         epoch: AgentEpoch(1),
         sequence: n,
         images: images.clone(),
@@ -38,7 +38,7 @@
         freed: Resources::default(),
     });
     let indirect_heartbeats = (0..8192).map(|n| IndirectHeartbeat {
-        machine: MachineId::new(names(n).0),
+        machine: MachineId::new(id_and_address(n).0),
         kind: TypeName::new("a-machine-type"),
         zone: ZoneName::new("a-zone-of-some-region"),
         spot: true,
@@ -53,33 +53,33 @@
         highest_revision: Revision(1),
         state_reachable: true,
         full: true,
-        owned: held.collect(),
+        owned: owned.collect(),
         indirect_heartbeats: indirect_heartbeats.collect(),
         failing: Vec::new(),
     };
-    let frame = encode_request(PeerRequest::Status(status.clone())).expect("plain data");
+    let frame = encode_request(PeerRequest::Status(status.clone())).expect("encodable");
     assert!(frame.len() < MAX_FRAME_BYTES, "{}", frame.len());
     assert_eq!(
-        decode_request(&frame).expect("ours"),
+        decode_request(&frame).expect("valid frame"),
         PeerRequest::Status(status)
     );
 }
 
 #[test]
-fn messages_read_back_and_garbage_does_not() {
-    let call = PeerRequest::Offers(vec![Offer {
+fn requests_round_trip_and_invalid_frames_are_rejected() {
+    let request = PeerRequest::Offers(vec![Offer {
         job: JobId::new("job-000001"),
         tasks: vec![3, 4],
     }]);
-    let frame = encode_request(call.clone()).expect("plain data");
-    assert_eq!(decode_request(&frame).expect("ours"), call);
+    let frame = encode_request(request.clone()).expect("encodable");
+    assert_eq!(decode_request(&frame).expect("valid frame"), request);
     assert!(decode_request(&[]).is_err());
     assert!(decode_request(&[0xff; 64]).is_err());
     assert!(decode_request(&frame[..frame.len() / 2]).is_err());
 }
 
 #[test]
-fn messages_about_quota_read_back() {
+fn quota_messages_round_trip() {
     let quotas = BTreeMap::from([(
         TeamName::new("team"),
         Quota {
@@ -97,16 +97,16 @@
         leader: Revision(12),
         budgets: quotas.clone(),
     });
-    for call in [request, targets] {
-        let frame = encode_request(call.clone()).expect("plain data");
-        assert_eq!(decode_request(&frame).expect("ours"), call);
+    for request in [request, targets] {
+        let frame = encode_request(request.clone()).expect("encodable");
+        assert_eq!(decode_request(&frame).expect("valid frame"), request);
     }
     let refused = Refusal::ALL.map(QuotaResponse::Refused);
     let others = [QuotaResponse::Granted(quotas), QuotaResponse::Undecided];
-    for answer in refused.into_iter().chain(others) {
-        let answer = PeerResponse::Quota(answer);
-        let frame = encode_response(answer.clone()).expect("plain data");
-        assert_eq!(decode_response(&frame).expect("ours"), answer);
+    for response in refused.into_iter().chain(others) {
+        let response = PeerResponse::Quota(response);
+        let frame = encode_response(response.clone()).expect("encodable");
+        assert_eq!(decode_response(&frame).expect("valid frame"), response);
     }
 }
 
@@ -114,7 +114,7 @@
     frame.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Bytes that versions before the frames of requests had modules of their own wrote.
+/// Frames that earlier versions wrote, before requests and responses had separate modules.
 const QUOTA_REQUEST: &str = concat!(
     "6f746865722d7465616d2d6f662d612d6c6f6e672d6e616d650000000000000099000000e0ffffff",
     "0000000000000c4000000000000000007465616dffffffff000000000000f83f0000000000000040",
@@ -134,9 +134,10 @@
     "000000000000000000000000000000000000000000000000",
 );
 
-/// Controllers of several versions transfer quota to each other while an upgrade rolls.
+/// Controllers of different versions transfer quota to each other during a rolling upgrade, so
+/// the encoding must not change.
 #[test]
-fn messages_about_quota_keep_their_bytes() {
+fn quota_messages_keep_their_encoding() {
     let quota = |cpus: f64, gpus: f64| Quota { cpus, gpus };
     let quotas = BTreeMap::from([
         (TeamName::new("team"), quota(1.5, 2.0)),
@@ -148,12 +149,12 @@
         number: 3,
         wanted: quotas.clone(),
     }));
-    assert_eq!(hex(&request.expect("plain data")), QUOTA_REQUEST);
+    assert_eq!(hex(&request.expect("encodable")), QUOTA_REQUEST);
     let targets = encode_request(PeerRequest::SetQuotaTargets(QuotaTargets {
         leader: Revision(12),
         budgets: quotas.clone(),
     }));
-    assert_eq!(hex(&targets.expect("plain data")), QUOTA_TARGETS);
+    assert_eq!(hex(&targets.expect("encodable")), QUOTA_TARGETS);
     let granted = encode_response(PeerResponse::Quota(QuotaResponse::Granted(quotas)));
-    assert_eq!(hex(&granted.expect("plain data")), QUOTA_GRANTED);
+    assert_eq!(hex(&granted.expect("encodable")), QUOTA_GRANTED);
 }
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -1,6 +1,6 @@
-//! The settings file that the platform hands over: its fields, as the file names them, and
-//! their conversion to the coordination layer's [`Config`]. Unknown fields are ignored. The
-//! program reads it once, when it starts.
+//! The settings file that the platform provides: its fields, under their names in the file,
+//! and their conversion to the coordination layer's [`Config`]. Unknown fields are ignored. The
+//! program reads the file once, when it starts.
 
 mod announced_limits;
 mod error;
@@ -27,34 +27,34 @@
 
 const BYTES_PER_KB: f64 = 1024.0;
 
-/// The whole file.
+/// The whole settings file.
 #[derive(Debug, Deserialize)]
 pub struct Settings {
     /// Name of this controller, unique in the cluster.
     pub node_name: String,
     /// Zone of this controller.
     pub area: String,
-    /// Where users, agents and health checks connect, as IP:PORT.
+    /// Address at which the server for users, agents and health checks listens, as IP:PORT.
     pub serve_on: String,
-    /// Where the other controllers connect, as IP:PORT.
+    /// Address at which the server for the other controllers listens, as IP:PORT.
     pub peer_bind: String,
     /// The other controllers.
     #[serde(default)]
     pub peers: Vec<Peer>,
-    /// Where the services are.
+    /// Addresses of the services.
     pub services: Services,
-    /// What is the same for all controllers.
+    /// Settings that are the same for all controllers.
     pub settings: ClusterSettings,
 }
 
 /// Another controller.
 #[derive(Debug, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the controller.
     pub node_name: String,
-    /// Its zone.
+    /// Zone of the controller.
     pub area: String,
-    /// Where it takes connections of controllers, as IP:PORT.
+    /// Address at which it accepts connections of other controllers, as IP:PORT.
     pub address: String,
 }
 
@@ -67,18 +67,18 @@
     pub state: String,
 }
 
-/// What is the same for all controllers.
+/// Settings that are the same for all controllers.
 #[derive(Debug, Deserialize)]
 pub struct ClusterSettings {
-    /// All zones.
+    /// All zones of the cluster.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// The teams; at least one.
+    /// The teams, of which there must be at least one.
     pub teams: Vec<TeamSettings>,
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<ObjectiveSettings>,
-    /// Times of the agents.
+    /// Intervals and timeouts of the agents.
     pub workers: WorkerSettings,
     /// Limits of the key-value store.
     pub state: StateSettings,
@@ -88,7 +88,7 @@
     pub limits: LimitSettings,
 }
 
-/// A team with its guarantee and its limit; a limit of zero is none.
+/// A team with its guarantee and its limit. A limit of zero means that there is no limit.
 #[derive(Debug, Deserialize)]
 pub struct TeamSettings {
     /// Name of the team.
@@ -108,38 +108,40 @@
 /// A service-level objective.
 #[derive(Debug, Deserialize)]
 pub struct ObjectiveSettings {
-    /// The class of jobs that it is for; absent: all.
+    /// Class of the jobs to which the objective applies; absent for all jobs.
     #[serde(default)]
     pub class: Option<String>,
-    /// Time within which tasks are to start, in seconds.
+    /// Time within which tasks should start, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
 
-/// Times of the agents, in seconds.
+/// Intervals and timeouts of the agents, in seconds.
 #[derive(Debug, Deserialize)]
 pub struct WorkerSettings {
-    /// Between two heartbeats.
+    /// Interval between two heartbeats of an agent.
     pub report_s: f64,
-    /// How long an agent runs its tasks without an answer to its heartbeats.
+    /// Duration of an agent's lease: how long the agent keeps its tasks running without a
+    /// response to its heartbeats.
     pub lease_s: f64,
-    /// After a cancellation was confirmed: by then none of the job's tasks runs any more.
+    /// Time after the confirmation of a cancellation within which all of the job's tasks must
+    /// have stopped.
     pub cancel_s: f64,
 }
 
 /// Limits of the key-value store.
 #[derive(Debug, Deserialize)]
 pub struct StateSettings {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Writes per second.
     pub write_rps: f64,
-    /// Size of a value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Changes in a transaction.
+    /// Maximum number of operations in a transaction.
     pub txn_ops: u32,
-    /// Limits that it will have from some moment on, without notice. Read field by
-    /// field: no mistake in them keeps a process from starting.
+    /// Limits that the store will have from a later time on, which is not announced. Parsed field
+    /// by field, so that a mistake in them does not prevent a process from starting.
     #[serde(default)]
     pub next: Value,
 }
@@ -147,18 +149,18 @@
 /// Limits of the cloud.
 #[derive(Debug, Deserialize)]
 pub struct CloudSettings {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// By how much the inventory usually lags behind, in seconds.
+    /// Usual delay after which a change appears in the inventory, in seconds.
     pub list_lag_s: f64,
 }
 
 /// Limits of this process.
 #[derive(Debug, Deserialize)]
 pub struct LimitSettings {
-    /// Sockets that may be open.
+    /// Maximum number of open sockets.
     pub max_connections: u32,
-    /// Memory, in MiB; absent: no limit.
+    /// Maximum memory, in MiB; absent if there is no limit.
     #[serde(default)]
     pub mem_mb: Option<f64>,
 }
@@ -183,9 +185,9 @@
         Ok(settings)
     }
 
-    /// What is wrong with these settings although a process can start with them: limits
-    /// announced for later that are no limits, or too small to serve, and teams' limits
-    /// that can't be kept together with their guarantees.
+    /// Returns the mistakes that do not prevent a process from starting: announced limits of the
+    /// key-value store that are invalid or too low to run with, guarantees of teams that exceed
+    /// their limits, repeated team names, and too many teams.
     pub fn warnings(&self) -> Vec<SettingsWarning> {
         let announced = AnnouncedLimits::read(&self.settings.state.next);
         let value_bytes = self.settings.state.value_bytes(&announced.limits);
@@ -194,7 +196,7 @@
         warnings
     }
 
-    /// In domain terms. Call it on checked settings.
+    /// Converts validated settings to the coordination layer's configuration.
     pub fn config(&self, incarnation: Incarnation, tuning: Tuning) -> Config {
         let cluster = &self.settings;
         let next = AnnouncedLimits::read(&cluster.state.next).limits;
@@ -220,7 +222,7 @@
     }
 }
 
-/// A duration that [`Settings::parse`] has accepted.
+/// Converts a duration that [`Settings::parse`] has validated.
 fn checked_duration(value: f64) -> Duration {
     seconds(value).unwrap_or_default()
 }
@@ -257,13 +259,14 @@
 }
 
 impl StateSettings {
-    /// The limits to keep to: what is too large one day is never written.
+    /// Returns the limits to apply. Sizes are bounded by the lower of the present and the announced
+    /// limit from the start, as the time of the change is not known.
     fn limits(&self, next: &NextLimits) -> StateLimits {
         StateLimits {
             rps: self.rps,
             write_rps: self.write_rps,
-            next_rps: lower(self.rps, next.rps),
-            next_write_rps: lower(self.write_rps, next.write_rps),
+            next_rps: lower_limit(self.rps, next.rps),
+            next_write_rps: lower_limit(self.write_rps, next.write_rps),
             value_bytes: self.value_bytes(next),
             txn_ops: next
                 .txn_ops
@@ -271,13 +274,13 @@
         }
     }
 
-    /// Size of a value that is never too large, in bytes.
+    /// Maximum size of a value under both the present and the announced limit, in bytes.
     fn value_bytes(&self, next: &NextLimits) -> usize {
-        (lower(self.value_kb, next.value_kb) * BYTES_PER_KB) as usize
+        (lower_limit(self.value_kb, next.value_kb) * BYTES_PER_KB) as usize
     }
 }
 
-/// The lower of a limit of now and the one announced, if there is one.
-fn lower(now: f64, next: Option<f64>) -> f64 {
-    next.map_or(now, |next| next.min(now))
+/// Returns the lower of the present limit and the announced one, if there is one.
+fn lower_limit(present: f64, next: Option<f64>) -> f64 {
+    next.map_or(present, |next| next.min(present))
 }
--- a/src/protocol/settings/announced_limits.rs
+++ b/src/protocol/settings/announced_limits.rs
@@ -1,5 +1,5 @@
-//! Limits that the key-value store will have from some moment on. A mistake in them is
-//! reported and keeps no process from starting: it serves as well as it can.
+//! Announced limits: limits that the key-value store will have at an unknown later time. A
+//! mistake in them is reported as a warning and does not prevent a process from starting.
 
 use serde_json::Value;
 
@@ -8,24 +8,25 @@
     validation::{MIN_TRANSACTION_OPERATIONS, MIN_VALUE_KB},
 };
 
-/// The announced limits that can be used; what is not announced stays as it is.
+/// The announced limits that can be used. `None` means that a limit is not announced or its
+/// value is unusable; the present limit continues to apply.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct NextLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub(super) rps: Option<f64>,
-    /// Changes a second.
+    /// Writes per second.
     pub(super) write_rps: Option<f64>,
-    /// Size of a value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub(super) value_kb: Option<f64>,
-    /// Changes in a transaction.
+    /// Maximum number of operations in a transaction.
     pub(super) txn_ops: Option<u32>,
 }
 
-/// What [`super::StateSettings::next`] says, and what of it cannot be used.
+/// The result of reading [`super::StateSettings::next`].
 pub(super) struct AnnouncedLimits {
-    /// What can be used.
+    /// The limits that can be used.
     pub(super) limits: NextLimits,
-    /// What cannot.
+    /// The mistakes.
     pub(super) warnings: Vec<SettingsWarning>,
 }
 
@@ -55,7 +56,8 @@
         self.warnings.push(SettingsWarning::NextLimit(error));
     }
 
-    /// A field's number; none if it is absent or no number.
+    /// Returns a field's number, or `None` if the field is absent or not a number. The latter is
+    /// a warning.
     fn number(&mut self, next: &Value, field: &str) -> Option<f64> {
         let value = next.get(field).filter(|value| !value.is_null())?;
         let number = value.as_f64();
@@ -74,7 +76,8 @@
         None
     }
 
-    /// A size that is too small to serve counts as the smallest that is not.
+    /// Returns a field's number, raised to the minimum with which a controller can run. A number
+    /// below it is a warning.
     fn at_least(&mut self, next: &Value, field: &str, minimum: f64) -> Option<f64> {
         let size = self.number(next, field)?;
         if size < minimum {
--- a/src/protocol/settings/error.rs
+++ b/src/protocol/settings/error.rs
@@ -1,5 +1,5 @@
-//! What can be wrong with the two settings files. The texts are shown to operators: they
-//! name the files' fields.
+//! Errors and warnings about the two settings files. Operators see the texts, which contain
+//! the names of the files' fields.
 
 /// A settings file that cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -9,7 +9,7 @@
     Read {
         /// Path of the file.
         path: String,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The file's content is not valid.
@@ -17,7 +17,7 @@
     Invalid {
         /// Path of the file.
         path: String,
-        /// What is wrong.
+        /// The first mistake found.
         #[source]
         reason: InvalidSettings,
     },
@@ -26,29 +26,29 @@
 /// Why the text of a settings file is not valid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidSettings {
-    /// Not JSON, or not of the fields and types expected.
+    /// The text is not JSON, or its fields or their types are wrong.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Not protobuf text format, or not of the fields and types expected.
+    /// The text is not in protobuf text format, or its fields or their types are wrong.
     #[error(transparent)]
     TextFormat(#[from] protobuf::text_format::ParseError),
-    /// A field's value is not what it must be.
+    /// A field has an invalid value.
     #[error(transparent)]
     Field(#[from] FieldError),
 }
 
-/// A field whose value is not what it must be.
+/// A field whose value does not meet a requirement.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{field} {requirement}")]
 pub struct FieldError {
     /// Path of the field in the file.
     pub field: String,
-    /// What its value must be.
+    /// The requirement that its value does not meet.
     pub requirement: Requirement,
 }
 
 impl FieldError {
-    /// The field does not meet the requirement.
+    /// Creates an error for a field that does not meet the requirement.
     pub fn new(field: impl Into<String>, requirement: Requirement) -> Self {
         Self {
             field: field.into(),
@@ -57,37 +57,37 @@
     }
 }
 
-/// What a field's value must be.
+/// A requirement of a field's value.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Requirement {
-    /// An address.
+    /// An address as IP:PORT; contains the invalid value.
     #[error("must be IP:PORT, not {0:?}")]
     Address(String),
-    /// Not below the minimum.
+    /// A number not below this minimum.
     #[error("must be at least {0}")]
     AtLeast(f64),
-    /// As long as the agents' lease and some time more.
+    /// A time that exceeds the agents' lease by at least this number of seconds.
     #[error("must exceed lease_s by {0} s or more")]
     ExceedsLeaseSeconds(u64),
-    /// A name.
+    /// A name that is not empty, not too long and without white space.
     #[error("must be a name without spaces")]
     Name,
-    /// Anything but nothing.
+    /// At least one entry.
     #[error("must not be empty")]
     NotEmpty,
-    /// Not above another field's value.
+    /// A number not above the value of the field with this name.
     #[error("must not exceed {0}")]
     NotAbove(&'static str),
-    /// Zero or more.
+    /// Zero or a positive number.
     #[error("must not be negative")]
     NotNegative,
-    /// Only the others.
+    /// A list of other controllers, without this one.
     #[error("must not name this node")]
     NotThisNode,
     /// A number.
     #[error("must be a number")]
     Number,
-    /// Above zero.
+    /// A number above zero.
     #[error("must be positive")]
     Positive,
     /// A finite number above zero.
@@ -96,34 +96,34 @@
     /// A duration above zero.
     #[error("must be a positive number of seconds")]
     PositiveSeconds,
-    /// A share of a whole.
+    /// A number from 0 to 1; contains the invalid value.
     #[error("must be between 0 and 1, not {0}")]
     Share(f64),
 }
 
-/// What is wrong with settings although a process can start with them.
+/// A mistake in the settings that does not prevent a process from starting.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsWarning {
-    /// The announced limits are no object.
+    /// The announced limits are not a JSON object.
     #[error("settings.state.next must be an object")]
     NextNotAnObject,
-    /// An announced limit cannot be kept to.
+    /// An announced limit is invalid, or too low to run with.
     #[error("settings.state.next {0}")]
     NextLimit(FieldError),
-    /// A team's guarantee can't be met by its limit.
+    /// A team's guarantee exceeds its limit.
     #[error("settings.teams {team}: {resource} guarantees {guaranteed}, above the limit {limit}")]
     GuaranteeAboveLimit {
         /// Name of the team.
         team: String,
-        /// The resource, as the settings name it.
+        /// Name of the resource in the settings.
         resource: &'static str,
-        /// What the team is guaranteed.
+        /// Guaranteed amount of the resource.
         guaranteed: f64,
-        /// What the team may use at most.
+        /// Maximum amount of the resource that the team may use.
         limit: f64,
     },
-    /// A team's name stands more than once.
-    #[error("settings.teams {0}: stands twice")]
+    /// Several teams have the same name.
+    #[error("settings.teams {0}: the name appears more than once")]
     DuplicateTeam(String),
     /// More teams than a record of quota allocations can hold.
     #[error(
@@ -131,9 +131,9 @@
          the {value_bytes} of the state service's value_kb"
     )]
     TooManyTeams {
-        /// Size that a record may reach.
+        /// Maximum size that a record could reach, in bytes.
         record_bytes: usize,
-        /// Largest value of the key-value store.
+        /// Maximum size of a value in the key-value store, in bytes.
         value_bytes: usize,
     },
 }
--- a/src/protocol/settings/teams.rs
+++ b/src/protocol/settings/teams.rs
@@ -1,22 +1,24 @@
-//! What can't be right about the teams' limits and guarantees, although a process can
-//! serve with them.
+//! Checks of the teams' limits and guarantees. The mistakes found are only warnings: a process
+//! can run with them.
 
 use std::collections::BTreeSet;
 
 use super::{ClusterSettings, SettingsWarning, TeamSettings};
 
-/// Bytes of a controller's record of quota allocations, beside its teams.
-const RECORD_BYTES: usize = 64;
-/// ... for each team, beside its name: two numbers of up to 20 digits and their labels.
-const TEAM_BYTES: usize = 56;
+/// Size of a controller's record of quota allocations without its teams, in bytes.
+const RECORD_BASE_BYTES: usize = 64;
+/// Size of a team in that record without its name, in bytes: two numbers of up to 20 digits
+/// and their labels.
+const TEAM_BASE_BYTES: usize = 56;
 
-/// Names each team whose guarantee can't be met by its limit, or that stands twice, and
-/// says if there are more teams than a record of quota allocations can hold.
+/// Returns a warning for each team whose guarantee exceeds its limit, for each repeated team
+/// name, and if there are more teams than a record of quota allocations can hold.
 pub(super) fn warnings(settings: &ClusterSettings, value_bytes: usize) -> Vec<SettingsWarning> {
     let teams = &settings.teams;
-    let mut warnings: Vec<SettingsWarning> = teams.iter().flat_map(impossible_limits).collect();
+    let mut warnings: Vec<SettingsWarning> =
+        teams.iter().flat_map(guarantees_above_limits).collect();
     warnings.extend(duplicate_teams(teams));
-    let record_bytes: usize = RECORD_BYTES + teams.iter().map(allocation_bytes).sum::<usize>();
+    let record_bytes: usize = RECORD_BASE_BYTES + teams.iter().map(allocation_bytes).sum::<usize>();
     if record_bytes > value_bytes {
         warnings.push(SettingsWarning::TooManyTeams {
             record_bytes,
@@ -27,7 +29,7 @@
 }
 
 fn allocation_bytes(team: &TeamSettings) -> usize {
-    team.name.len() + TEAM_BYTES
+    team.name.len() + TEAM_BASE_BYTES
 }
 
 fn duplicate_teams(teams: &[TeamSettings]) -> impl Iterator<Item = SettingsWarning> {
@@ -38,16 +40,17 @@
         .map(|team| SettingsWarning::DuplicateTeam(team.name.clone()))
 }
 
-/// A limit of zero means that there is none.
-fn impossible_limits(team: &TeamSettings) -> Vec<SettingsWarning> {
+/// Returns a warning for each resource whose guarantee exceeds its limit. A limit of zero means
+/// that there is no limit.
+fn guarantees_above_limits(team: &TeamSettings) -> Vec<SettingsWarning> {
     let resources = [
         ("cpus", team.cpus, team.cpus_max),
         ("gpus", team.gpus, team.gpus_max),
     ];
-    let is_impossible = |limit: f64, guaranteed: f64| limit > 0.0 && guaranteed > limit;
+    let is_above = |limit: f64, guaranteed: f64| limit > 0.0 && guaranteed > limit;
     resources
         .into_iter()
-        .filter(|(_, guaranteed, limit)| is_impossible(*limit, *guaranteed))
+        .filter(|(_, guaranteed, limit)| is_above(*limit, *guaranteed))
         .map(
             |(resource, guaranteed, limit)| SettingsWarning::GuaranteeAboveLimit {
                 team: team.name.clone(),
--- a/src/protocol/settings/validation.rs
+++ b/src/protocol/settings/validation.rs
@@ -1,29 +1,32 @@
-//! Checks of a settings file that JSON alone does not make. The first mistake is reported;
-//! a process does not start with it.
+//! Checks of the values in a settings file. The first mistake is reported and prevents a
+//! process from starting.
 
 use std::time::Duration;
 
 use super::{FieldError, Peer, Requirement, Settings, StateSettings, TeamSettings, WorkerSettings};
 use crate::protocol::seconds;
 
-/// Our largest records (36 tasks, 48 or 50 machines) keep within this, in KiB.
+/// Minimum of the store's maximum value size, in KiB. The largest records (36 tasks, 48 or 50
+/// machines) stay below it.
 pub(super) const MIN_VALUE_KB: f64 = 2.0;
-/// A machine that moves between two shards takes budget along, and the end of a job
-/// takes its keys with it.
+/// Minimum of the store's maximum number of operations in a transaction. Moving a machine
+/// between two shards also moves quota in the same transaction, and ending a job also deletes
+/// the job's keys.
 pub(super) const MIN_TRANSACTION_OPERATIONS: u32 = 4;
-/// Sockets without which a controller cannot serve.
+/// Minimum number of sockets with which a controller can run.
 const MIN_CONNECTIONS: u32 = 64;
-/// Longest name of a controller, in bytes.
+/// Maximum length of a controller's name, in bytes.
 const MAX_NAME_BYTES: usize = 100;
-/// Time by which `cancel_s` must exceed `lease_s`. With less, a controller cut off from all
-/// news could not keep any agent.
-const CANCEL_AFTER_LEASE: Duration = Duration::from_secs(6);
+/// Minimum time by which `cancel_s` must exceed `lease_s`. The difference limits how long a
+/// controller that receives no news of cancellations may renew the agents' leases; with less,
+/// it could not keep any agent.
+const MIN_CANCEL_AFTER_LEASE: Duration = Duration::from_secs(6);
 
 /// The result of a check.
 type Check = Result<(), FieldError>;
 
 impl Settings {
-    /// The first thing that keeps a process from starting, if there is any.
+    /// Returns the first mistake that prevents a process from starting.
     pub(super) fn validate(&self) -> Check {
         check_address("serve_on", &self.serve_on)?;
         check_address("peer_bind", &self.peer_bind)?;
@@ -78,10 +81,10 @@
     let lease = positive_duration("settings.workers.lease_s", workers.lease_s)?;
     let cancel = positive_duration("settings.workers.cancel_s", workers.cancel_s)?;
     positive_duration("settings.workers.report_s", workers.report_s)?;
-    if cancel < lease + CANCEL_AFTER_LEASE {
+    if cancel < lease + MIN_CANCEL_AFTER_LEASE {
         return Err(FieldError::new(
             "settings.workers.cancel_s",
-            Requirement::ExceedsLeaseSeconds(CANCEL_AFTER_LEASE.as_secs()),
+            Requirement::ExceedsLeaseSeconds(MIN_CANCEL_AFTER_LEASE.as_secs()),
         ));
     }
     Ok(())
@@ -129,7 +132,7 @@
     Err(FieldError::new(field, Requirement::AtLeast(minimum)))
 }
 
-/// A duration above zero.
+/// Converts a number of seconds to a duration above zero.
 pub(in crate::protocol) fn positive_duration(
     field: &str,
     value: f64,
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,5 +1,6 @@
-//! Messages of the users: job submissions and job statuses. The HTTP server reads and
-//! writes them. Errors name the wire's fields, as users know no others.
+//! Requests of users and their responses: job submissions and job statuses. The HTTP server
+//! reads and writes them. Errors contain the fields' names on the wire, as users see only
+//! these.
 
 use std::time::Duration;
 
@@ -14,23 +15,25 @@
     },
 };
 
-/// Where jobs are submitted.
+/// Path that accepts job submissions.
 pub const JOBS_PATH: &str = "/api/jobs";
-/// Where a job's status is, as a route.
+/// Route that returns a job's status.
 pub const JOB_PATH: &str = "/api/jobs/{id}";
-/// Where a job is cancelled, as a route.
+/// Route that cancels a job.
 pub const CANCEL_PATH: &str = "/api/jobs/{id}/abort";
 
-/// Longest name, in bytes. Names are short words; longer ones are somebody's mistake.
+/// Maximum length of a name, in bytes. Names are short words; a longer one is a mistake of the
+/// sender.
 const MAX_NAME_BYTES: usize = 128;
-/// Machine types that a job may name.
+/// Maximum number of machine types that a job may list.
 const MAX_MACHINE_TYPES: usize = 32;
-/// No machine has more of anything.
+/// Maximum amount of a resource; no machine has more of any.
 const MAX_AMOUNT: f64 = 1e6;
-/// Tasks that a job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u64 = 100_000;
 
-/// Body of a submission. Errors that users see name the type.
+/// Body of a submission. Users see the type's name in the errors of serde, so it must not
+/// change.
 #[derive(Debug, Deserialize)]
 struct Job {
     #[serde(rename = "uid")]
@@ -56,7 +59,8 @@
     machine_types: Option<Vec<String>>,
     #[serde(default, rename = "paddock")]
     zone: Option<String>,
-    // Not among the fields that may be null, so that a job without them is malformed.
+    // `same_place`, `spread` and `loaners` have no default: a submission without one of them
+    // is malformed.
     #[serde(rename = "same_place")]
     one_zone: bool,
     spread: bool,
@@ -75,21 +79,21 @@
 /// Why a job submission is malformed. The texts are shown to users.
 #[derive(Debug, thiserror::Error)]
 pub enum JobSubmissionError {
-    /// Not JSON, or not of the fields and types expected.
+    /// The body is not JSON, or its fields or their types are wrong.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A field's value is not what it must be.
+    /// A field has an invalid value.
     #[error("{field} must be {expected}")]
     Field {
         /// The field's name on the wire.
         field: &'static str,
-        /// What its value must be.
+        /// Description of a valid value.
         expected: &'static str,
     },
-    /// No tasks, or too many.
+    /// The job has no tasks, or too many.
     #[error("strides must be 1 to {max}", max = MAX_TASKS)]
     TaskCount,
-    /// More machine types than a job may name.
+    /// The job lists too many machine types.
     #[error("breeds names too many types")]
     TooManyMachineTypes,
 }
@@ -99,11 +103,11 @@
 pub struct SubmittedJob {
     /// The id that the user chose.
     pub id: JobId,
-    /// What is to run. Its time of acceptance is not set yet.
+    /// The job's description. Its time of acceptance is not set yet.
     pub spec: JobSpec,
 }
 
-/// Reads a job submission.
+/// Parses a job submission.
 pub fn parse_submission(body: &[u8]) -> Result<SubmittedJob, JobSubmissionError> {
     serde_json::from_slice::<Job>(body)?.try_into()
 }
@@ -133,7 +137,7 @@
             team: TeamName::new(job.team),
             kind,
             priority,
-            // At most `MAX_TASKS`.
+            // Fits: checked above to be at most `MAX_TASKS`.
             tasks: job.tasks as u32,
             per_task: Resources {
                 cpus: amount("cpus", job.cpus)?,
@@ -223,17 +227,17 @@
     Ok(names.into_iter().map(TypeName::new).collect())
 }
 
-/// State of a job in an answer.
+/// State of a job in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStateMessage {
-    /// Accepted; no task runs.
+    /// The job is accepted; none of its tasks is running.
     Queued,
-    /// A task runs.
+    /// A task is running.
     Running,
     /// All tasks are done.
     Done,
-    /// Cancelled by its user.
+    /// The user has cancelled the job.
     Cancelled,
 }
 
@@ -248,7 +252,7 @@
     }
 }
 
-/// Answer to a submission, a question for a job's status, or a cancellation.
+/// Response to a submission, a request for a job's status, or a cancellation.
 #[derive(Debug, Serialize)]
 pub struct JobStatusResponse<'a> {
     /// Id of the job.
@@ -257,16 +261,16 @@
     /// State of the job as a whole.
     #[serde(rename = "stance")]
     pub state: JobStateMessage,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Tasks that run.
+    /// Number of running tasks.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
 
 impl<'a> JobStatusResponse<'a> {
-    /// An answer with the job's counts of tasks.
+    /// Creates a response with the job's state and counts of tasks.
     pub fn with_counts(id: &'a JobId, status: JobStatus) -> Self {
         Self {
             id: id.as_str(),
@@ -276,7 +280,7 @@
         }
     }
 
-    /// An answer with the job's state alone.
+    /// Creates a response with the job's state only.
     pub fn state_only(id: &'a JobId, state: JobState) -> Self {
         Self {
             id: id.as_str(),
@@ -287,10 +291,10 @@
     }
 }
 
-/// Body of the answers that refuse a request of a user or an agent.
+/// Body of error responses to users and agents.
 #[derive(Debug, Serialize)]
 pub struct ErrorBody<'a> {
-    /// What is wrong.
+    /// Description of the error.
     pub error: &'a str,
 }
 
--- a/src/protocol/users/tests.rs
+++ b/src/protocol/users/tests.rs
@@ -8,7 +8,7 @@
     "loaners":true,"ride_s":240.0,"rest_s":30.0,"saddle_s":4.0,"post_s":900.0,"new":[1]}"#;
 
 #[test]
-fn a_job_is_read() {
+fn a_submission_is_parsed() {
     let SubmittedJob { id, spec } = parse_submission(JOB.as_bytes()).expect("valid");
     assert_eq!(id.as_str(), "job-000412");
     assert_eq!(spec.tasks, 16);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_is_malformed_is_refused() {
+fn malformed_submissions_are_rejected() {
     for (from, to) in [
         ("\"job-000412\"", "\"job 412\""),
         ("\"job-000412\"", "412"),
@@ -45,9 +45,10 @@
     }
 }
 
-/// Users and their programs see these texts: they name the wire's fields.
+/// Users and their programs see these texts, so they must contain the fields' names on the
+/// wire.
 #[test]
-fn errors_name_the_fields_of_the_wire() {
+fn errors_contain_wire_field_names() {
     for (from, to, expected) in [
         ("\"job-000412\"", "\"job 412\"", "uid must be job-DIGITS"),
         ("\"train\"", "\"\"", "herd must be a name"),
--- a/src/transport/admission.rs
+++ b/src/transport/admission.rs
@@ -1,6 +1,7 @@
-//! An adaptive limit on users' requests in progress: it shrinks when response times grow
-//! against the best that was measured, and grows again while they are short and the limit
-//! is in use. What is beyond it is refused at once. The server admits each request of a user.
+//! Admission control: an adaptive limit on the number of users' requests in progress. The limit
+//! decreases when response times exceed a multiple of the best median measured so far, and
+//! increases while they are acceptable and requests are refused. Requests beyond the limit are
+//! refused at once.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -10,23 +11,24 @@
 use hdrhistogram::Histogram;
 use tokio::time::Instant;
 
-/// Smallest limit.
+/// Minimum of the limit, in requests in progress.
 const MIN_LIMIT: f64 = 4.0;
-/// Largest limit.
+/// Maximum of the limit, in requests in progress.
 const MAX_LIMIT: f64 = 256.0;
-/// Limit of a new process.
+/// Limit at the start of a process, in requests in progress.
 const INITIAL_LIMIT: f64 = 48.0;
-/// Factor by which the limit shrinks after a slow window.
+/// Factor applied to the limit after a window with unacceptable response times.
 const DECREASE_FACTOR: f64 = 0.8;
-/// Factor by which the limit grows after a quick window in which it was reached.
+/// Factor applied to the limit after a window with acceptable response times in which a request
+/// was refused.
 const INCREASE_FACTOR: f64 = 1.25;
-/// Response times are judged this often.
+/// Minimum length of a window, after which its response times are evaluated.
 const WINDOW: Duration = Duration::from_millis(1000);
-/// Response times below this are acceptable, whatever the best are.
-const ACCEPTABLE: Duration = Duration::from_millis(400);
-/// Response times up to this multiple of the best median are acceptable.
+/// Response time that is acceptable in any case, whatever the best median is.
+const ACCEPTABLE_RESPONSE_TIME: Duration = Duration::from_millis(400);
+/// Multiple of the best median up to which response times are acceptable.
 const ACCEPTABLE_MULTIPLE: f64 = 4.0;
-/// Response times are recorded as no longer than this, in milliseconds.
+/// Maximum recorded response time, in milliseconds; longer ones are recorded as this.
 const MAX_RECORDED_MS: u64 = 60_000;
 /// Significant digits of the recorded response times.
 const RECORDED_DIGITS: u8 = 2;
@@ -37,20 +39,20 @@
     in_progress: usize,
     /// Whether a request was refused in this window.
     limit_reached: bool,
-    /// Of the requests that ended in this window.
+    /// Response times of the requests that ended in this window.
     response_times_ms: Histogram<u64>,
-    /// Median response time of the best window.
+    /// Lowest median response time of all windows.
     best_median_ms: f64,
     window_start: Instant,
 }
 
-/// The limit; clones share it.
+/// The admission limit and the requests in progress. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Admission(Arc<Mutex<State>>);
 
-/// A request in progress, until it is dropped.
-#[must_use = "a request that is dropped counts as ended"]
-pub struct Admitted {
+/// Permission to handle one request, which counts as in progress until the permit is dropped.
+#[must_use = "dropping the permit ends the request"]
+pub struct AdmissionPermit {
     admission: Admission,
     started: Instant,
 }
@@ -61,9 +63,9 @@
             limit: INITIAL_LIMIT,
             in_progress: 0,
             limit_reached: false,
-            // The bounds are constant and valid.
+            // Cannot fail: the bounds are constant and valid.
             response_times_ms: Histogram::new_with_bounds(1, MAX_RECORDED_MS, RECORDED_DIGITS)
-                .unwrap_or_else(|_| unreachable!("constant bounds")),
+                .unwrap_or_else(|_| unreachable!("histogram bounds are constant and valid")),
             best_median_ms: f64::INFINITY,
             window_start: Instant::now(),
         })))
@@ -72,12 +74,12 @@
 
 impl Admission {
     fn state(&self) -> MutexGuard<'_, State> {
-        // The state holds after each step: a panic elsewhere does not spoil it.
+        // A poisoned lock is safe to use: the state is consistent after each statement.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Admits a request, or none: it is to be refused at once.
-    pub fn try_admit(&self) -> Option<Admitted> {
+    /// Admits a request. Returns `None` if the limit is reached and the request must be refused.
+    pub fn try_admit(&self) -> Option<AdmissionPermit> {
         let mut state = self.state();
         if state.in_progress as f64 >= state.limit {
             state.limit_reached = true;
@@ -86,30 +88,30 @@
         }
         state.in_progress += 1;
         drop(state);
-        Some(Admitted {
+        Some(AdmissionPermit {
             admission: self.clone(),
             started: Instant::now(),
         })
     }
 
-    /// How many requests may be in progress now.
+    /// Returns the present limit on requests in progress.
     pub fn limit(&self) -> f64 {
         self.state().limit
     }
 }
 
 impl State {
-    /// Adjusts the limit once a window is over and has response times to judge by.
+    /// Adjusts the limit and starts a new window if the window is over and has response times.
     fn adjust_limit(&mut self) {
         if self.window_start.elapsed() < WINDOW || self.response_times_ms.is_empty() {
             return;
         }
         let median_ms = self.response_times_ms.value_at_quantile(0.5) as f64;
-        let slow_ms = self.response_times_ms.value_at_quantile(0.9) as f64;
+        let p90_ms = self.response_times_ms.value_at_quantile(0.9) as f64;
         self.best_median_ms = self.best_median_ms.min(median_ms.max(1.0));
-        let acceptable_ms =
-            (self.best_median_ms * ACCEPTABLE_MULTIPLE).max(ACCEPTABLE.as_millis() as f64);
-        if slow_ms > acceptable_ms {
+        let acceptable_ms = (self.best_median_ms * ACCEPTABLE_MULTIPLE)
+            .max(ACCEPTABLE_RESPONSE_TIME.as_millis() as f64);
+        if p90_ms > acceptable_ms {
             self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT);
         } else if self.limit_reached {
             self.limit = (self.limit * INCREASE_FACTOR).min(MAX_LIMIT);
@@ -120,13 +122,13 @@
     }
 }
 
-impl Drop for Admitted {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         let mut state = self.admission.state();
         state.in_progress = state.in_progress.saturating_sub(1);
         let elapsed_ms = self.started.elapsed().as_millis();
         let recorded_ms = elapsed_ms.clamp(1, u128::from(MAX_RECORDED_MS)) as u64;
-        // In bounds by the clamp.
+        // Cannot fail: the value is clamped to the bounds.
         let _ = state.response_times_ms.record(recorded_ms);
         state.adjust_limit();
     }
--- a/src/transport/admission/tests.rs
+++ b/src/transport/admission/tests.rs
@@ -2,23 +2,23 @@
 
 use super::*;
 
-async fn serve_requests(admission: &Admission, rounds: usize, each: Duration) -> usize {
+async fn serve_requests(admission: &Admission, rounds: usize, response_time: Duration) -> usize {
     let mut refused = 0;
     for _ in 0..rounds {
-        let mut running = Vec::new();
+        let mut permits = Vec::new();
         for _ in 0..100 {
             match admission.try_admit() {
-                Some(admitted) => running.push(admitted),
+                Some(permit) => permits.push(permit),
                 None => refused += 1,
             }
         }
-        tokio::time::sleep(each).await;
+        tokio::time::sleep(response_time).await;
     }
     refused
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_limit_follows_measured_times() {
+async fn the_limit_adapts_to_response_times() {
     let admission = Admission::default();
     serve_requests(&admission, 3, Duration::from_millis(60)).await;
     let start = admission.limit();
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,6 +1,6 @@
-//! The real network: pooled HTTP/1.1 connections to services and agents, and the pool of
-//! connections to the other controllers. All of them count against the process's
-//! [`SocketBudget`].
+//! The implementation of [`Network`] for real networks: pooled HTTP/1.1 connections to services
+//! and agents, and the pool of connections to the other controllers. All connections count
+//! against the process's [`SocketBudget`].
 
 use std::{
     task::{Context, Poll},
@@ -24,30 +24,31 @@
     sockets::{ConnectionPurpose, CountedStream, SocketBudget},
 };
 
-/// Responses beyond this are not read; a watch's response has no limit of its own.
+/// Maximum size of a response's body; larger ones are rejected. It bounds the response to a watch,
+/// which the request does not limit.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
-/// Time for a connection to be established.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Which idle connections a pool keeps.
+/// Limits on the idle connections that a pool keeps.
 struct IdleLimits {
     per_host: usize,
     timeout: Duration,
 }
 
-/// For the services, of which there are two.
-const SERVICE_IDLE: IdleLimits = IdleLimits {
+/// Limits for the two services (key-value store and cloud).
+const SERVICE_IDLE_LIMITS: IdleLimits = IdleLimits {
     per_host: 6,
     timeout: Duration::from_secs(20),
 };
-/// For the agents: of these there are hundreds, and commands to one come close together
-/// or not at all.
-const AGENT_IDLE: IdleLimits = IdleLimits {
+/// Limits for the agents. There are hundreds of them, and the commands to one agent come in
+/// short bursts.
+const AGENT_IDLE_LIMITS: IdleLimits = IdleLimits {
     per_host: 1,
     timeout: Duration::from_secs(2),
 };
 
-/// Connects within the budget of sockets.
+/// Establishes connections that count against the budget of sockets.
 #[derive(Clone)]
 struct Connector {
     http: HttpConnector,
@@ -70,7 +71,8 @@
         let permit = self.sockets.acquire(self.purpose);
         let connecting = self.http.call(uri);
         async move {
-            let permit = permit.ok_or("no socket left for this")?;
+            let permit =
+                permit.ok_or("no socket left in the budget for this kind of connection")?;
             Ok(CountedStream::new(connecting.await?, permit))
         }
         .boxed()
@@ -82,7 +84,7 @@
 fn connection_pool(
     sockets: &SocketBudget,
     purpose: ConnectionPurpose,
-    idle: IdleLimits,
+    idle_limits: IdleLimits,
 ) -> ConnectionPool {
     let mut http = HttpConnector::new();
     http.set_nodelay(true);
@@ -94,12 +96,12 @@
     };
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
-        .pool_idle_timeout(idle.timeout)
-        .pool_max_idle_per_host(idle.per_host)
+        .pool_idle_timeout(idle_limits.timeout)
+        .pool_max_idle_per_host(idle_limits.per_host)
         .build(connector)
 }
 
-/// The network of a process.
+/// The network interface of a process.
 pub struct HttpNetwork {
     services: ConnectionPool,
     agents: ConnectionPool,
@@ -108,11 +110,11 @@
 }
 
 impl HttpNetwork {
-    /// A network without connections; each one will count against the budget.
+    /// Creates a network interface without connections; each connection counts against the budget.
     pub fn new(sockets: SocketBudget) -> Self {
         Self {
-            services: connection_pool(&sockets, ConnectionPurpose::Service, SERVICE_IDLE),
-            agents: connection_pool(&sockets, ConnectionPurpose::Agent, AGENT_IDLE),
+            services: connection_pool(&sockets, ConnectionPurpose::Service, SERVICE_IDLE_LIMITS),
+            agents: connection_pool(&sockets, ConnectionPurpose::Agent, AGENT_IDLE_LIMITS),
             peers: PeerConnectionPool::new(sockets.clone()),
             sockets,
         }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,6 +1,6 @@
-//! The network side of a controller: the server for users and agents, the clients of the
-//! key-value store, the cloud, the agents and the other controllers, the budget of
-//! sockets that both share, and admission control.
+//! The network side of a controller: the servers for users, agents and the other controllers,
+//! the clients of the key-value store, the cloud, the agents and the other controllers, the
+//! budget of sockets that servers and clients share, and admission control.
 
 pub mod admission;
 pub mod http;
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -1,43 +1,44 @@
-//! What the clients need of a network: the real one is [`super::http`]; the simulator puts
-//! another one in its place.
+//! The network interface of a controller's clients. [`super::http`] implements it for real
+//! networks; the simulator replaces it by a simulated one.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use futures::future::BoxFuture;
 
-/// Status codes that the clients tell apart.
+/// HTTP status codes that the clients distinguish.
 pub mod status {
-    /// Executed.
+    /// The request was executed.
     pub const OK: u16 = 200;
-    /// The first of those that reject a request.
+    /// Lowest of the codes that reject a request.
     pub const BAD_REQUEST: u16 = 400;
-    /// There is no such thing.
+    /// The requested item does not exist.
     pub const NOT_FOUND: u16 = 404;
-    /// The conditions of a transaction failed.
+    /// A condition of a transaction did not hold.
     pub const CONFLICT: u16 = 409;
-    /// A revision that is kept no more.
+    /// The store no longer keeps the requested revision.
     pub const GONE: u16 = 410;
-    /// Over the request limit, not executed.
+    /// The request exceeds the request limit and was not executed.
     pub const TOO_MANY_REQUESTS: u16 = 429;
-    /// The first of those that say nothing about the request's execution.
+    /// Lowest of the codes that leave open whether the request was executed.
     pub const INTERNAL_SERVER_ERROR: u16 = 500;
-    /// Not executed.
+    /// The request was not executed.
     pub const SERVICE_UNAVAILABLE: u16 = 503;
 }
 
 /// Method of an HTTP request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
-    /// Reads.
+    /// Reads a resource.
     Get,
-    /// Changes something.
+    /// Executes an action.
     Post,
-    /// Removes something.
+    /// Removes a resource.
     Delete,
 }
 
-/// Whom a request is for: idle connections to the many agents are kept only shortly.
+/// Kind of a request's receiver. Idle connections to agents are closed sooner than those to
+/// services, as there are many agents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Destination {
     /// The key-value store or the cloud.
@@ -49,21 +50,21 @@
 /// An HTTP request.
 #[derive(Clone, Debug)]
 pub struct HttpRequest {
-    /// Whom it is for.
+    /// Kind of the receiver.
     pub destination: Destination,
-    /// Where to, as IP:PORT.
+    /// Address of the receiver, as IP:PORT.
     pub address: String,
-    /// Its method.
+    /// Method of the request.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Its body, JSON; may be empty.
+    /// Body as JSON; may be empty.
     pub body: Bytes,
-    /// Time for the whole exchange, connecting included.
+    /// Timeout of the whole exchange, including the connection's setup.
     pub timeout: Duration,
 }
 
-/// The answer to an [`HttpRequest`].
+/// The response to an [`HttpRequest`].
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
     /// Status code.
@@ -72,30 +73,32 @@
     pub body: Bytes,
 }
 
-/// Why an exchange has no answer.
+/// Why an exchange has no response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendError {
-    /// No connection came about, so that nothing was sent.
+    /// No connection could be established, so nothing was sent.
     #[error("not connected: {0}")]
     NotSent(String),
-    /// Sent, perhaps executed, no answer.
+    /// The request was or may have been sent, but no response was received: it may have been
+    /// executed.
     #[error("{0}")]
     NoAnswer(String),
 }
 
 impl SendError {
-    /// No answer came within the time allowed.
+    /// Creates the error of an exchange that exceeded its timeout.
     pub fn timed_out() -> Self {
         SendError::NoAnswer("timed out".into())
     }
 }
 
-/// Carries the requests of a controller's clients.
+/// Sends the requests of a controller's clients.
 pub trait Network: Send + Sync {
-    /// Sends a request and waits for the response, whatever its status is.
+    /// Sends a request and waits for the response. A response with an error status is not an
+    /// error here.
     fn send_request(&self, request: HttpRequest) -> BoxFuture<'_, Result<HttpResponse, SendError>>;
 
-    /// Sends a frame to another controller and waits for the answering one.
+    /// Sends a request's frame to another controller and waits for the response's frame.
     fn send_frame<'a>(
         &'a self,
         address: &'a str,
--- a/src/transport/network_clients/agents.rs
+++ b/src/transport/network_clients/agents.rs
@@ -13,14 +13,14 @@
     transport::network::{Destination, HttpRequest, HttpResponse, Method, Network, status},
 };
 
-/// Time for the answer to commands.
+/// Timeout of a request with commands.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time for the answer to an inspection.
+/// Timeout of an inspection.
 const INSPECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// The client of all agents.
 pub(super) struct HttpAgentClient {
-    /// Carries the requests.
+    /// Network that sends the requests.
     pub(super) network: Arc<dyn Network>,
 }
 
@@ -46,9 +46,9 @@
     }
 }
 
-fn read_heartbeat(response: &HttpResponse) -> Result<Heartbeat, NoAnswer> {
+fn parse_heartbeat_response(response: &HttpResponse) -> Result<Heartbeat, NoAnswer> {
     parse_heartbeat(&response.body)
-        .map_err(|_| NoAnswer(format!("status {} without a report", response.status)))
+        .map_err(|_| NoAnswer(format!("status {} without a heartbeat", response.status)))
 }
 
 impl AgentClient for HttpAgentClient {
@@ -66,7 +66,7 @@
                 .await?;
             Ok(CommandResponse {
                 executed: response.status == status::OK,
-                heartbeat: read_heartbeat(&response)?,
+                heartbeat: parse_heartbeat_response(&response)?,
             })
         }
         .boxed()
@@ -83,7 +83,7 @@
                     INSPECT_TIMEOUT,
                 )
                 .await?;
-            read_heartbeat(&response)
+            parse_heartbeat_response(&response)
         }
         .boxed()
     }
--- a/src/transport/network_clients/cloud.rs
+++ b/src/transport/network_clients/cloud.rs
@@ -19,18 +19,18 @@
     },
 };
 
-/// Time for an answer.
+/// Timeout of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
-/// Pages of the inventory read at most: 32,000 machines.
+/// Maximum number of pages of the inventory that are read: 32,000 machines.
 const MAX_INVENTORY_PAGES: usize = 64;
-/// Bytes of a rejection that are passed on.
+/// Maximum length of a rejection's text in an error, in bytes.
 const MAX_REJECTION_BYTES: usize = 200;
 
 /// The client of the cloud.
 pub(super) struct HttpCloudClient {
-    /// Carries the requests.
+    /// Network that sends the requests.
     pub(super) network: Arc<dyn Network>,
-    /// The cloud, as IP:PORT.
+    /// Address of the cloud, as IP:PORT.
     pub(super) address: String,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// The response, if the cloud executed the request.
+/// Returns the response if the cloud executed the request, or the error of its status.
 fn check_status(response: HttpResponse) -> Result<HttpResponse, CloudError> {
     match response.status {
         status::OK => Ok(response),
@@ -76,15 +76,15 @@
         },
         status::TOO_MANY_REQUESTS => Err(CloudError::Unavailable),
         status::BAD_REQUEST..status::INTERNAL_SERVER_ERROR => {
-            let shown = response.body.len().min(MAX_REJECTION_BYTES);
-            let text = String::from_utf8_lossy(&response.body[..shown]);
+            let shown_bytes = response.body.len().min(MAX_REJECTION_BYTES);
+            let text = String::from_utf8_lossy(&response.body[..shown_bytes]);
             Err(CloudError::Rejected(text.into_owned()))
         }
         _ => Err(CloudError::NoAnswer),
     }
 }
 
-fn read<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, CloudError> {
+fn parse_response<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, CloudError> {
     from_json(response).map_err(|error| CloudError::Rejected(error.to_string()))
 }
 
@@ -92,9 +92,9 @@
     fn catalog(&self) -> BoxFuture<'_, Result<Vec<MachineType>, CloudError>> {
         async move {
             let response = self.get(CATALOG_PATH.into()).await?;
-            let catalog = read::<CatalogResponse>(&response)?;
+            let catalog = parse_response::<CatalogResponse>(&response)?;
             let machine_types = catalog.machine_types.into_iter();
-            // A type that cannot be used keeps none of the others from use.
+            // Skips invalid types, so that the others remain usable.
             Ok(machine_types
                 .filter_map(|message| message.try_into().ok())
                 .collect())
@@ -104,13 +104,13 @@
 
     fn provision<'a>(
         &'a self,
-        name: &'a ProvisionId,
+        id: &'a ProvisionId,
         request: &'a ProvisionRequest,
     ) -> BoxFuture<'a, Result<Vec<MachineId>, CloudError>> {
         async move {
-            let body = to_json(&ProvisionRequestBody::new(name, request));
+            let body = to_json(&ProvisionRequestBody::new(id, request));
             let response = self.post(MACHINES_PATH, body).await?;
-            let provisioned = read::<MachineIdsMessage>(&response)?;
+            let provisioned = parse_response::<MachineIdsMessage>(&response)?;
             Ok(provisioned
                 .machines
                 .into_iter()
@@ -136,7 +136,7 @@
             for _ in 0..MAX_INVENTORY_PAGES {
                 let last = machines.last().map(|machine| &machine.id);
                 let response = self.get(inventory_path(last)).await?;
-                let page = read::<InventoryPage>(&response)?;
+                let page = parse_response::<InventoryPage>(&response)?;
                 let has_more = page.has_more && !page.machines.is_empty();
                 machines.extend(page.machines.into_iter().map(ListedMachine::from));
                 if !has_more {
@@ -145,7 +145,7 @@
             }
             tracing::info!(
                 machines = machines.len(),
-                "the machine list is too long to be read"
+                "cloud inventory exceeds the page limit; remaining machines are ignored"
             );
             Ok(machines)
         }
--- a/src/transport/network_clients/key_value_store.rs
+++ b/src/transport/network_clients/key_value_store.rs
@@ -22,16 +22,16 @@
     },
 };
 
-/// Time for an answer; a watch has it beyond the time that it waits for events.
+/// Timeout of a request. A watch has this time in addition to the time that it waits for events.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time for a page of a range, which is larger than other answers.
+/// Timeout of a request for a page of a range, whose response is larger than others.
 const RANGE_TIMEOUT: Duration = Duration::from_millis(3000);
 
 /// The client of the key-value store.
 pub(super) struct HttpKeyValueStore {
-    /// Carries the requests.
+    /// Network that sends the requests.
     pub(super) network: Arc<dyn Network>,
-    /// The store, as IP:PORT.
+    /// Address of the store, as IP:PORT.
     pub(super) address: String,
 }
 
@@ -63,7 +63,7 @@
             Ok(response) => match response.status {
                 status::TOO_MANY_REQUESTS => Err(StateError::Throttled),
                 status::SERVICE_UNAVAILABLE => Err(StateError::Unavailable),
-                // Nobody says what these mean for what was asked.
+                // These codes leave open whether the request was executed.
                 status::INTERNAL_SERVER_ERROR.. => Err(StateError::NoAnswer),
                 _ => Ok(response),
             },
@@ -87,8 +87,8 @@
     StateError::Rejected(error.to_string())
 }
 
-/// The message of a response that reports success.
-fn read<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, StateError> {
+/// Parses a successful response, or returns the error of any other.
+fn parse_response<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, StateError> {
     if response.status != status::OK {
         return Err(rejected(response));
     }
@@ -102,7 +102,7 @@
             if response.status == status::NOT_FOUND {
                 return Ok(None);
             }
-            read::<KeyValueMessage>(&response).map(|message| Some(message.into()))
+            parse_response::<KeyValueMessage>(&response).map(|message| Some(message.into()))
         }
         .boxed()
     }
@@ -115,7 +115,7 @@
         async move {
             let path = range_path(prefix, after);
             let response = self.get_path(path, RANGE_TIMEOUT).await?;
-            read::<RangeResponse>(&response).map(RangePage::from)
+            parse_response::<RangeResponse>(&response).map(RangePage::from)
         }
         .boxed()
     }
@@ -131,7 +131,7 @@
                 let conflict = from_json::<ConflictResponse>(&response).map_err(malformed)?;
                 return Err(CommitError::Conflict(conflict.keys));
             }
-            let committed = read::<TransactionResponse>(&response)?;
+            let committed = parse_response::<TransactionResponse>(&response)?;
             Ok(Revision(committed.revision))
         }
         .boxed()
@@ -143,7 +143,7 @@
                 ttl_ms: ttl.as_millis() as u64,
             });
             let response = self.post(LEASES_PATH.into(), body).await?;
-            read::<LeaseResponse>(&response).map(|granted| LeaseId(granted.lease))
+            parse_response::<LeaseResponse>(&response).map(|granted| LeaseId(granted.lease))
         }
         .boxed()
     }
@@ -171,7 +171,7 @@
             if response.status == status::GONE {
                 return Err(StateError::TooOld);
             }
-            let watched = read::<WatchResponse>(&response)?;
+            let watched = parse_response::<WatchResponse>(&response)?;
             let events = watched.events.into_iter().map(WatchEvent::from);
             Ok((Revision(watched.revision), events.collect()))
         }
--- a/src/transport/network_clients/mod.rs
+++ b/src/transport/network_clients/mod.rs
@@ -1,5 +1,6 @@
-//! The coordination layer's clients over a [`Network`]: each turns the layer's calls into
-//! messages of [`crate::protocol`], and the answers into the layer's results and errors.
+//! Implementations of the coordination layer's clients over a [`Network`]. Each converts the
+//! layer's calls to requests of [`crate::protocol`], and the responses to the layer's results
+//! and errors.
 
 mod agents;
 mod cloud;
@@ -21,18 +22,19 @@
     transport::network::{HttpResponse, Network},
 };
 
-/// Where a controller finds what it talks to, beside the agents: these name themselves.
+/// Addresses of the services and the other controllers. Agents are not listed: their heartbeats
+/// contain their addresses.
 #[derive(Clone, Debug)]
 pub struct Addresses {
-    /// The key-value store, as IP:PORT.
+    /// Address of the key-value store, as IP:PORT.
     pub state: String,
-    /// The cloud, as IP:PORT.
+    /// Address of the cloud, as IP:PORT.
     pub cloud: String,
-    /// The other controllers, as IP:PORT.
+    /// Addresses of the other controllers, as IP:PORT.
     pub peers: HashMap<ControllerName, String>,
 }
 
-/// All clients of a controller, over one network.
+/// Creates all clients of a controller over one network.
 pub fn clients(network: Arc<dyn Network>, addresses: Addresses) -> Clients {
     Clients {
         key_value_store: Box::new(HttpKeyValueStore {
@@ -53,13 +55,13 @@
     }
 }
 
-/// A request's body.
+/// Serialises a request's body.
 fn to_json(message: &impl Serialize) -> Bytes {
-    // Messages are plain data with string keys; they always serialise.
+    // Serialisation cannot fail: messages are plain data with string keys.
     serde_json::to_vec(message).unwrap_or_default().into()
 }
 
-/// The message in a response.
+/// Parses a response's body.
 fn from_json<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, serde_json::Error> {
     serde_json::from_slice(&response.body)
 }
--- a/src/transport/network_clients/peers.rs
+++ b/src/transport/network_clients/peers.rs
@@ -1,4 +1,4 @@
-//! The client of the other controllers, over framed TCP connections.
+//! The client of the other controllers, over TCP connections with length-delimited frames.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -11,24 +11,24 @@
     transport::network::{Network, SendError},
 };
 
-/// Time for an answer.
+/// Timeout of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// The client of all other controllers.
 pub(super) struct TcpPeerClient {
-    /// Carries the frames.
+    /// Network that sends the frames.
     pub(super) network: Arc<dyn Network>,
-    /// The other controllers, as IP:PORT.
+    /// Addresses of the other controllers, as IP:PORT.
     pub(super) addresses: HashMap<ControllerName, String>,
 }
 
-/// Why a call to another controller has no answer.
+/// Why a request to another controller has no response.
 #[derive(Debug, thiserror::Error)]
-enum PeerCallError {
-    /// The settings do not name the controller.
+enum PeerRequestError {
+    /// The controller is not among the peers in the settings.
     #[error("not a peer")]
     NotAPeer,
-    /// The request cannot be written or the answer cannot be read.
+    /// The request cannot be encoded or the response cannot be decoded.
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// The exchange failed.
@@ -41,15 +41,15 @@
         &self,
         controller: &ControllerName,
         request: PeerRequest,
-    ) -> Result<PeerResponse, PeerCallError> {
+    ) -> Result<PeerResponse, PeerRequestError> {
         let address = self.addresses.get(controller);
-        let address = address.ok_or(PeerCallError::NotAPeer)?;
+        let address = address.ok_or(PeerRequestError::NotAPeer)?;
         let frame = peer_frames::encode_request(request)?;
-        let answer = self
+        let response = self
             .network
             .send_frame(address, frame, REQUEST_TIMEOUT)
             .await?;
-        Ok(peer_frames::decode_response(&answer)?)
+        Ok(peer_frames::decode_response(&response)?)
     }
 }
 
@@ -57,10 +57,10 @@
     fn call<'a>(
         &'a self,
         controller: &'a ControllerName,
-        call: PeerRequest,
+        request: PeerRequest,
     ) -> BoxFuture<'a, Result<PeerResponse, NoAnswer>> {
         async move {
-            self.exchange(controller, call)
+            self.exchange(controller, request)
                 .await
                 .map_err(|error| NoAnswer(error.to_string()))
         }
--- a/src/transport/peer_connections.rs
+++ b/src/transport/peer_connections.rs
@@ -1,6 +1,6 @@
-//! Connections between controllers: length-framed messages over TCP, one request and one
-//! response at a time on a connection. [`PeerConnectionPool`] is the client's side, [`serve`]
-//! the server's.
+//! Connections between controllers: length-delimited frames over TCP, one request and one
+//! response at a time on a connection. [`PeerConnectionPool`] is the client, [`serve`] the
+//! server.
 
 use std::{
     collections::HashMap,
@@ -29,16 +29,16 @@
     protocol::peer_frames::{self, MAX_FRAME_BYTES},
 };
 
-/// Idle connections kept for each address.
+/// Maximum number of idle connections kept for each address.
 const MAX_IDLE_CONNECTIONS: usize = 4;
-/// Connections served at a time.
+/// Maximum number of connections served at a time.
 const MAX_INBOUND_CONNECTIONS: usize = 64;
-/// A connection without a request is closed after this time.
+/// Time after which a connection without a request is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause after a connection could not be accepted.
+/// Pause after a failure to accept a connection.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// A connection and its share of the budget of sockets.
+/// A connection with its socket permit.
 struct PeerConnection {
     frames: Framed<TcpStream, LengthDelimitedCodec>,
     _permit: SocketPermit,
@@ -46,7 +46,8 @@
 
 impl PeerConnection {
     fn new(stream: TcpStream, permit: SocketPermit) -> Self {
-        // Small messages that somebody waits for. Without the option they are but slower.
+        // Avoids delays of small messages for which a sender waits. A failure is ignored: without
+        // the option messages are only slower.
         let _ = stream.set_nodelay(true);
         let frames = LengthDelimitedCodec::builder()
             .max_frame_length(MAX_FRAME_BYTES)
@@ -74,7 +75,7 @@
 }
 
 impl PeerConnectionPool {
-    /// An empty pool; each connection will count against the budget.
+    /// Creates an empty pool; each connection counts against the budget.
     pub fn new(sockets: SocketBudget) -> Self {
         Self {
             idle: Mutex::default(),
@@ -83,7 +84,7 @@
     }
 
     fn idle(&self) -> MutexGuard<'_, HashMap<String, Vec<PeerConnection>>> {
-        // No operation on the map leaves it half changed.
+        // A poisoned lock is safe to use: no operation leaves the map in a partial state.
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -102,8 +103,8 @@
     /// Sends a frame to the controller at the address and waits for the response.
     pub async fn exchange(&self, address: &str, frame: Vec<u8>) -> Result<Vec<u8>, SendError> {
         let frame = Bytes::from(frame);
-        // An idle connection may have been closed meanwhile, by a restart for example;
-        // then one more try on a new one.
+        // An idle connection may have been closed, for example by a restart of the peer. Then the
+        // next idle connection is tried, and at last a new one.
         while let Some(mut connection) = self.take(address) {
             if let Ok(response) = connection.exchange(frame.clone()).await {
                 self.put(address, connection);
@@ -121,7 +122,8 @@
 
     async fn connect(&self, address: &str) -> Result<PeerConnection, SendError> {
         let permit = self.sockets.acquire(ConnectionPurpose::Service);
-        let permit = permit.ok_or_else(|| SendError::NotSent("no socket left".into()))?;
+        let permit =
+            permit.ok_or_else(|| SendError::NotSent("no socket left in the budget".into()))?;
         let stream = TcpStream::connect(address)
             .await
             .map_err(|error| SendError::NotSent(error.to_string()))?;
@@ -129,7 +131,7 @@
     }
 }
 
-/// Serves the other controllers' connections until told to stop.
+/// Serves the other controllers' connections until `stop` is cancelled.
 pub async fn serve(
     controller: Arc<Controller>,
     listener: TcpListener,
@@ -168,7 +170,7 @@
 async fn serve_connection(controller: &Arc<Controller>, mut connection: PeerConnection) {
     let frames = &mut connection.frames;
     while let Ok(Some(Ok(request))) = tokio::time::timeout(IDLE_TIMEOUT, frames.next()).await {
-        let Some(response) = answer(controller, &request).await else {
+        let Some(response) = handle_frame(controller, &request).await else {
             return;
         };
         if frames.send(Bytes::from(response)).await.is_err() {
@@ -177,14 +179,14 @@
     }
 }
 
-/// The response to another controller's request; none if it cannot be written. A request
-/// that this version can't read is answered too: a dropped connection would look like a
-/// controller that is down.
-pub async fn answer(controller: &Arc<Controller>, frame: &[u8]) -> Option<Vec<u8>> {
+/// Handles the frame of another controller's request. Returns the response's frame, or `None`
+/// if it cannot be encoded. A request that this version cannot decode gets a response too: if the
+/// connection were closed instead, the peer would take this controller for unreachable.
+pub async fn handle_frame(controller: &Arc<Controller>, frame: &[u8]) -> Option<Vec<u8>> {
     let response = match peer_frames::decode_request(frame) {
         Ok(request) => controller.peer_exchange.handle_request(request).await,
         Err(error) => {
-            tracing::debug!(%error, "unreadable peer message");
+            tracing::debug!(%error, "cannot decode peer request");
             PeerResponse::Unknown
         }
     };
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,6 +1,6 @@
-//! The HTTP server for users, agents and health checks: reads the requests' messages, asks
-//! the [`Controller`], and writes the answers. Users' requests pass [`Admission`] first;
-//! every connection counts against the [`SocketBudget`].
+//! The HTTP server for users, agents and health checks: parses requests, passes them to the
+//! [`Controller`] and writes the responses. Users' requests are subject to [`Admission`]; every
+//! connection counts against the [`SocketBudget`].
 
 use std::{sync::Arc, time::Duration};
 
@@ -35,31 +35,32 @@
     storage::JobId,
 };
 
-/// Health check of the load balancer.
+/// Path of the load balancer's health check.
 const READY_PATH: &str = "/ready";
-/// A request's body must come within this time.
+/// Timeout for receiving a request's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(4);
-/// A request's head must come within this time; idle connections end by it.
+/// Timeout for receiving a request's head. It also closes idle connections.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(40);
-/// Largest head of a request, in bytes.
+/// Maximum size of a request's head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// A user's request is answered within this time, one way or the other.
+/// Time within which a user's request gets its response or an error.
 const USER_TIMEOUT: Duration = Duration::from_millis(1800);
-/// Seconds after which a request refused for lack of time or room may be sent again.
+/// Retry-After value, in seconds, for users' requests that exceed the request timeout or the
+/// admission limit, and for heartbeats that cannot be answered at present.
 const RETRY_SOON_SECONDS: &str = "1";
-/// Seconds after which a request that cannot be answered now may be sent again.
+/// Retry-After value, in seconds, for users' requests that cannot be answered at present.
 const RETRY_LATER_SECONDS: &str = "2";
-/// Pause after a connection could not be accepted.
+/// Pause after a failure to accept a connection.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// What the handlers share.
+/// State that the handlers share.
 #[derive(Clone)]
 struct AppState {
     controller: Arc<Controller>,
     admission: Admission,
 }
 
-/// The handlers of all requests to a controller.
+/// Returns the routes of all HTTP requests to a controller.
 pub fn router(controller: Arc<Controller>, sockets: SocketBudget) -> Router {
     let app = AppState {
         controller,
@@ -78,9 +79,9 @@
         ))
 }
 
-/// With few sockets left, connections end with their answer. Each agent comes
-/// again with its next heartbeat, so that idle ones are given up within one heartbeat
-/// interval, and all agents can be heard by one controller.
+/// Closes each connection after its response when few sockets are left. Each agent sends a
+/// heartbeat every heartbeat interval, so its connection is closed within one interval and the
+/// sockets suffice for one controller to receive the heartbeats of all agents.
 async fn close_under_pressure(
     State(sockets): State<SocketBudget>,
     request: Request,
@@ -96,7 +97,7 @@
 }
 
 fn json(status: StatusCode, body: &impl Serialize) -> Response {
-    // Messages are plain data with string keys; they always serialise.
+    // Serialisation cannot fail: messages are plain data with string keys.
     let bytes = serde_json::to_vec(body).unwrap_or_default();
     let mut response = Response::new(Body::from(bytes));
     *response.status_mut() = status;
@@ -129,7 +130,7 @@
     }
 }
 
-/// The whole body, if it is not too large and comes in time.
+/// Reads the whole body, or returns an error response if it is too large or exceeds the timeout.
 async fn read_body(request: Request) -> Result<Bytes, Response> {
     let body = axum::body::to_bytes(request.into_body(), MAX_BODY_BYTES);
     match tokio::time::timeout(BODY_TIMEOUT, body).await {
@@ -142,12 +143,12 @@
     }
 }
 
-/// Handles a user's request within the admission limit and its time.
+/// Handles a user's request subject to the admission limit and the request timeout.
 async fn with_admission(
     app: &AppState,
     handle: impl Future<Output = Result<Response, JobError>>,
 ) -> Response {
-    let Some(_admitted) = app.admission.try_admit() else {
+    let Some(_permit) = app.admission.try_admit() else {
         return retry_later("too many requests in progress", RETRY_SOON_SECONDS);
     };
     match tokio::time::timeout(USER_TIMEOUT, handle).await {
@@ -175,7 +176,7 @@
     Ok(response.await)
 }
 
-/// A path that names no possible job names an unknown one.
+/// Parses a job id in a path. A malformed id is handled like that of an unknown job.
 fn parse_job_id(id: &str) -> Result<JobId, JobError> {
     JobId::parse(id).ok_or(JobError::Unknown)
 }
@@ -232,7 +233,7 @@
     })
 }
 
-/// Serves inbound connections until told to stop.
+/// Serves inbound connections until `stop` is cancelled.
 pub async fn serve(
     router: Router,
     listener: TcpListener,
@@ -253,12 +254,12 @@
                 continue;
             }
         };
-        // Beyond the limit the connection is closed at once, so that the load
-        // balancer goes on to another controller.
+        // Without a permit the connection is closed at once, so that the load balancer tries
+        // another controller.
         let Some(permit) = sockets.acquire(ConnectionPurpose::Inbound) else {
             continue;
         };
-        // Without the option answers are but slower.
+        // A failure is ignored: without the option responses are only slower.
         let _ = stream.set_nodelay(true);
         let service = TowerToHyperService::new(router.clone());
         tokio::spawn(serve_connection(stream, permit, service, stop.clone()));
@@ -279,7 +280,7 @@
     tokio::pin!(connection);
     tokio::select! {
         biased;
-        // A connection that breaks is the other side's to report.
+        // Errors of the connection are ignored: the other side reports them.
         _ = connection.as_mut() => {}
         _ = stop.cancelled() => connection.graceful_shutdown(),
     }
--- a/src/transport/sockets.rs
+++ b/src/transport/sockets.rs
@@ -1,10 +1,10 @@
-//! One budget for all of the process's sockets, in and out. Past the platform's limit every
-//! new connection fails, those to the key-value store included. So each kind of connection
-//! stops at its own share of the whole: connections to agents first, then inbound ones,
-//! those between controllers and to the services last.
+//! A common budget for all inbound and outbound sockets of the process. Beyond the platform's
+//! limit every new connection fails, including those to the key-value store. So each kind of
+//! connection is limited to a share of the budget: connections to agents are refused first, then
+//! inbound ones, and connections between controllers and to the services last.
 //!
-//! A [`SocketPermit`] is acquired before a connection is made or served, and given back when
-//! it is dropped.
+//! A [`SocketPermit`] is acquired before a connection is made or served, and released when it is
+//! dropped.
 
 use std::{
     io,
@@ -19,27 +19,29 @@
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::client::legacy::connect::{Connected, Connection};
 
-/// What a connection is for.
+/// Purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionPurpose {
-    /// Heartbeats, users and health checks.
+    /// Inbound connections: heartbeats of agents, users and health checks.
     Inbound,
-    /// Commands to agents, and probes of them: what they carry goes with the
-    /// answers to heartbeats as well.
+    /// Commands to agents and probes of agents. These are refused first, because heartbeats and
+    /// the responses to them carry the same information.
     Agent,
-    /// Key-value store, cloud and controllers.
+    /// Connections to the key-value store and the cloud, and between controllers in both
+    /// directions.
     Service,
 }
 
-/// Share of the budget from which on connections are closed after use.
+/// Share of the budget in use from which on connections are closed after use.
 const PRESSURE_SHARE: f64 = 0.7;
-/// Share of the budget from which on no connections to agents are made.
+/// Share of the budget in use from which on no connections to agents are made.
 const AGENT_SHARE: f64 = 0.85;
-/// Share of the budget from which on no inbound connections are served.
+/// Share of the budget in use from which on no inbound connections are accepted.
 const INBOUND_SHARE: f64 = 0.94;
-/// Share of the budget for connections to services and controllers.
+/// Share of the budget in use from which on no connections to services and between controllers
+/// are made.
 const SERVICE_SHARE: f64 = 1.0;
-/// Sockets set aside for listeners, the log, and what the runtime needs.
+/// Sockets reserved for listeners, the log and the runtime.
 const RESERVED_SOCKETS: usize = 16;
 
 #[derive(Debug)]
@@ -52,7 +54,7 @@
 }
 
 impl Counters {
-    fn of_purpose(&self, purpose: ConnectionPurpose) -> &AtomicUsize {
+    fn count_for(&self, purpose: ConnectionPurpose) -> &AtomicUsize {
         match purpose {
             ConnectionPurpose::Inbound => &self.inbound,
             ConnectionPurpose::Agent => &self.agents,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Whether so many are in use that this share of the budget is exhausted.
+    /// Returns whether at least this share of the budget is in use.
     fn has_reached(&self, share: f64) -> bool {
         self.in_use() as f64 >= self.limit as f64 * share
     }
@@ -73,33 +75,34 @@
     }
 }
 
-/// The process's budget of sockets; clones share it.
+/// The process's budget of sockets. Clones share the budget.
 #[derive(Clone, Debug)]
 pub struct SocketBudget(Arc<Counters>);
 
-/// Permission for one socket, until it is dropped.
+/// Permission to use one socket, released when it is dropped.
 #[derive(Debug)]
-#[must_use = "a permit that is dropped counts no more"]
+#[must_use = "dropping the permit releases its socket"]
 pub struct SocketPermit {
     sockets: SocketBudget,
     purpose: ConnectionPurpose,
 }
 
-/// Sockets in use by purpose, and connections refused since the counts before.
+/// Sockets in use by purpose, and connections refused since the last call of
+/// [`SocketBudget::take_counts`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SocketCounts {
     /// Inbound connections of agents, users and health checks.
     pub inbound: usize,
     /// Connections to agents.
     pub agents: usize,
-    /// Connections to services, and with controllers in both directions.
+    /// Connections to services, and between controllers in both directions.
     pub services: usize,
-    /// Connections that were refused a permit.
+    /// Connections for which no permit was available.
     pub refused: usize,
 }
 
 impl SocketBudget {
-    /// A budget of as many connections as the platform allows, less those reserved.
+    /// Creates a budget of the connections that the platform allows, less those reserved.
     pub fn new(max_connections: usize) -> Self {
         Self(Arc::new(Counters {
             limit: max_connections.saturating_sub(RESERVED_SOCKETS).max(1),
@@ -110,7 +113,7 @@
         }))
     }
 
-    /// A permit, or none: the share of the budget for this purpose is exhausted.
+    /// Acquires a permit, or returns `None` if the share of the budget for this purpose is in use.
     pub fn acquire(&self, purpose: ConnectionPurpose) -> Option<SocketPermit> {
         let share = match purpose {
             ConnectionPurpose::Inbound => INBOUND_SHARE,
@@ -121,19 +124,19 @@
             self.0.refused.fetch_add(1, Ordering::Relaxed);
             return None;
         }
-        self.0.of_purpose(purpose).fetch_add(1, Ordering::Relaxed);
+        self.0.count_for(purpose).fetch_add(1, Ordering::Relaxed);
         Some(SocketPermit {
             sockets: self.clone(),
             purpose,
         })
     }
 
-    /// Whether so many are in use that none is to be kept idle.
+    /// Returns whether so many sockets are in use that no idle connections should be kept.
     pub fn is_under_pressure(&self) -> bool {
         self.0.has_reached(PRESSURE_SHARE)
     }
 
-    /// Counts for the log; begins to count refusals anew.
+    /// Returns the counts for the log, and resets the count of refused connections.
     pub fn take_counts(&self) -> SocketCounts {
         SocketCounts {
             inbound: self.0.inbound.load(Ordering::Relaxed),
@@ -146,12 +149,12 @@
 
 impl Drop for SocketPermit {
     fn drop(&mut self) {
-        let count = self.sockets.0.of_purpose(self.purpose);
+        let count = self.sockets.0.count_for(self.purpose);
         count.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// A stream that counts as a socket for as long as it exists.
+/// A stream that holds a socket permit until it is dropped.
 #[derive(Debug)]
 pub struct CountedStream<T> {
     stream: T,
@@ -159,7 +162,7 @@
 }
 
 impl<T> CountedStream<T> {
-    /// A stream that holds its permit.
+    /// Combines a stream with its permit.
     pub fn new(stream: T, permit: SocketPermit) -> Self {
         Self {
             stream,
--- a/src/transport/sockets/tests.rs
+++ b/src/transport/sockets/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// Guards against agents' connections that leave none for the state service:
-/// a controller that holds all machines lost its allocation by that.
+/// Guards against connections to agents that use up all sockets, so that none is left for the
+/// key-value store: a controller that owned all machines lost its quota allocation that way.
 #[test]
-fn each_purpose_stops_at_its_share() {
+fn each_purpose_is_limited_to_its_share() {
     let sockets = SocketBudget::new(116);
     let exhaust = |purpose| {
         let mut permits = Vec::new();
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -252,7 +252,10 @@
     *list = serde_json::json!([team("one", 1.0, 60.0), team("one", 8.0, 9.0)]);
     let found = teams(&settings);
     assert!(
-        found.len() == 1 && found[0].to_string().contains("one: stands twice"),
+        found.len() == 1
+            && found[0]
+                .to_string()
+                .contains("one: the name appears more than once"),
         "{found:?}"
     );
     let many: Vec<_> = (0..400)
