--- a/crates/simulator/src/agent/commands.rs
+++ b/crates/simulator/src/agent/commands.rs
@@ -1,4 +1,4 @@
-//! Commands: an agent starts, stops and clears tasks for the owner of its machine.
+//! Handling of commands: an agent starts, stops and clears tasks for its machine's shard owner.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,13 +15,13 @@
 };
 use crate::simulation::Simulation;
 
-/// How fast a machine fetches images.
+/// Image download rate of a machine.
 const FETCH_GB_PER_S: f64 = 0.5;
-/// Capacity and demand within this much of each other are equal.
+/// Demand may exceed the capacity by this much, to allow for rounding of sums.
 const CAPACITY_TOLERANCE: f64 = 1e-6;
 
 impl Machine {
-    /// Answers a controller's request to the agent: status and body.
+    /// Answers a controller's request to the agent; returns HTTP status and body.
     pub async fn handle(
         &self,
         simulation: &Arc<Simulation>,
@@ -45,14 +45,16 @@
         }
     }
 
-    /// Waits as long as nothing reaches the agent: for ever once the machine is terminated.
+    /// Waits while a fault keeps requests from reaching the agent; never returns once the machine
+    /// is terminated.
     async fn until_responsive(&self) {
         while self.is_terminated() || self.is_hung() || self.is_inbound_lost() {
             tokio::time::sleep(AGENT_INTERVAL).await;
         }
     }
 
-    /// Carries out commands that came with a fencing token which is not an older one.
+    /// Executes commands. The caller has checked that `token`, the fencing token sent with them,
+    /// is not lower than the highest one seen.
     pub(super) fn execute(
         &self,
         simulation: &Simulation,
@@ -67,7 +69,7 @@
         }
         for command in commands {
             let key = TaskAttempt {
-                task: TaskId::parse(&command.task).expect("a controller names tasks by their ids"),
+                task: TaskId::parse(&command.task).expect("commands contain valid task ids"),
                 attempt: command.attempt,
             };
             match command.action {
@@ -81,7 +83,8 @@
         }
     }
 
-    /// Starts an attempt, or refuses it by an exit. An attempt that is known is left alone.
+    /// Starts an attempt; one that cannot start is recorded as exited. Does nothing if the attempt
+    /// is already in the table.
     fn start(
         &self,
         simulation: &Simulation,
@@ -100,7 +103,8 @@
         state.has_news = true;
     }
 
-    /// How long a new task fetches its image, or why it cannot be started here.
+    /// Returns the image download time of a new task, or why it cannot be started on this
+    /// machine.
     fn admit(
         &self,
         simulation: &Simulation,
@@ -134,7 +138,8 @@
         Ok(Duration::from_secs_f64(spec.image_gb / FETCH_GB_PER_S))
     }
 
-    /// Stops an attempt: one that runs and has time enough saves a checkpoint first.
+    /// Stops an attempt. A running one saves a checkpoint first if its job has checkpoints and
+    /// the grace period suffices.
     fn stop(
         &self,
         simulation: &Simulation,
@@ -174,7 +179,7 @@
     }
 }
 
-/// Forgets an attempt that is over.
+/// Removes an exited attempt from the table.
 fn clear(state: &mut MachineState, key: &TaskAttempt) {
     if matches!(state.tasks.get(key), Some(Stage::Exited(_))) {
         state.tasks.remove(key);
--- a/crates/simulator/src/agent/heartbeat.rs
+++ b/crates/simulator/src/agent/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: when an agent sends one, to which controller, and what it does with the reply.
+//! Sending of an agent's heartbeats: schedule, target controller and handling of the reply.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,18 +9,18 @@
 use super::{Machine, MachineState};
 use crate::simulation::Simulation;
 
-/// A change is reported this long after the last heartbeat, at the earliest.
+/// Minimum interval between a heartbeat and one that is sent early to report a change.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// How long an agent waits for the reply.
+/// How long an agent waits for the reply to a heartbeat.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(4);
-/// After a heartbeat without a usable reply the agent tries again this much later.
+/// Delay before the retry after a heartbeat without a usable reply.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// The same after a redirect to another controller.
+/// Delay before the retry after a redirect to another controller.
 const REDIRECT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A heartbeat that is on its way.
+/// A heartbeat that is in flight.
 struct SentHeartbeat {
-    /// The message.
+    /// The message as JSON.
     body: Value,
     /// The agent's epoch in the message.
     epoch: u64,
@@ -28,7 +28,7 @@
 }
 
 impl Machine {
-    /// The next heartbeat, as the protocol has it.
+    /// Builds the next heartbeat message.
     pub(super) fn heartbeat(&self, state: &mut MachineState) -> Value {
         state.sequence += 1;
         let statuses: Vec<Value> = state
@@ -49,7 +49,7 @@
             "recall_s": reclaimed_in_s, "strides": statuses})
     }
 
-    /// Sends a heartbeat in a task of its own, unless none is due or one is in flight.
+    /// Spawns the sending of a heartbeat, unless none is due or one is in flight.
     pub(super) fn send_heartbeat_if_due(self: &Arc<Self>, simulation: &Arc<Simulation>) {
         let Some(heartbeat) = self.take_due_heartbeat(simulation) else {
             return;
@@ -100,7 +100,7 @@
             return;
         }
         if self.is_inbound_lost() {
-            // The reply does not arrive: the next controller is tried after the timeout.
+            // The reply is lost: the next controller is tried after the timeout.
             tokio::time::sleep_until(sent_at + REPLY_TIMEOUT + RETRY_PAUSE).await;
             self.retry_at_next_controller();
             return;
@@ -129,13 +129,13 @@
         state.next_heartbeat_at = Instant::now();
     }
 
-    /// Renews the lease and carries out the commands of a reply to the current epoch, if its
-    /// fencing token is not an older one.
+    /// Renews the lease and executes the commands of a reply, if the heartbeat was sent in the
+    /// current epoch and the reply's fencing token is not lower than the highest one seen.
     fn apply_reply(&self, simulation: &Simulation, heartbeat: &SentHeartbeat, text: &str) {
         let reply: HeartbeatReply =
-            serde_json::from_str(text).expect("a controller replies as the protocol says");
+            serde_json::from_str(text).expect("a controller sends valid heartbeat replies");
         let mut state = self.lock();
-        // An older token is allowed when a newer owner was quicker.
+        // A lower token is no error: a command of a newer owner may have arrived first.
         if state.epoch == heartbeat.epoch && reply.token >= state.token {
             state.lease_renewed_at = state.lease_renewed_at.max(heartbeat.sent_at);
             self.execute(simulation, &mut state, reply.token, &reply.commands);
@@ -143,11 +143,11 @@
         state.is_heartbeat_in_flight = false;
     }
 
-    /// Turns to the controller that a redirect names, or else to the next one; says how long
-    /// the agent waits before it tries there.
+    /// Makes the controller named in a redirect the next target, or the following controller if
+    /// the redirect names no other one. Returns the delay before the retry.
     fn follow_redirect(&self, text: &str, names: &[String], redirected_by: &str) -> Duration {
         let redirect: Value =
-            serde_json::from_str(text).expect("a controller redirects as the protocol says");
+            serde_json::from_str(text).expect("a controller sends valid redirects");
         let found = redirect["groom"]
             .as_str()
             .filter(|named| *named != redirected_by)
--- a/crates/simulator/src/agent/mod.rs
+++ b/crates/simulator/src/agent/mod.rs
@@ -1,9 +1,9 @@
 //! Simulated machines, each with its agent.
 //!
-//! A [`Machine`] owns its agent's lease, fencing token, epoch and tasks, and the faults that
-//! are injected into it. The simulated cloud creates machines and spawns [`Machine::run`];
-//! the simulated network passes the controllers' commands to [`Machine::handle`]. Whenever a
-//! task appears on a machine or leaves it, the rule checkers get an event.
+//! A [`Machine`] owns its agent's lease, fencing token, epoch and tasks, and the faults
+//! injected into it. The simulated cloud creates machines and spawns [`Machine::run`];
+//! the simulated network passes the controllers' commands to [`Machine::handle`]. The rule
+//! checkers receive an event whenever a task starts or ends on a machine.
 
 mod commands;
 mod heartbeat;
@@ -25,34 +25,34 @@
 };
 use stage::{Stage, TaskAttempt};
 
-/// How often an agent looks at its tasks, and whether a heartbeat is due.
+/// Interval at which an agent advances its tasks and checks whether a heartbeat is due.
 const AGENT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The state of a machine and its agent.
 struct MachineState {
     epoch: u64,
-    /// Number of the last heartbeat.
+    /// Sequence number of the last heartbeat.
     sequence: u64,
     /// The highest fencing token seen.
     token: u64,
-    /// When the last heartbeat that was answered was sent: the lease counts from then.
+    /// When the last answered heartbeat was sent; the lease starts at that time.
     lease_renewed_at: Instant,
     last_heartbeat_at: Instant,
     next_heartbeat_at: Instant,
-    /// Something has changed since the last heartbeat.
+    /// Whether something has changed since the last heartbeat.
     has_news: bool,
     is_heartbeat_in_flight: bool,
-    /// Which controller gets the next heartbeat, modulo their number.
+    /// Index of the controller that gets the next heartbeat, modulo the number of controllers.
     target_controller: usize,
     tasks: BTreeMap<TaskAttempt, Stage>,
-    /// Images that have been fetched.
+    /// Images already downloaded.
     images: BTreeSet<String>,
     hung_until: Option<Instant>,
-    /// Until then its heartbeats get out, but nothing gets in.
+    /// End of a one-way partition: heartbeats are sent, but nothing reaches the machine.
     inbound_lost_until: Option<Instant>,
-    /// Until then it can open no connection, while commands reach it.
+    /// End of a one-way partition: commands reach the machine, but it can open no connection.
     outbound_lost_until: Option<Instant>,
-    /// When the cloud takes the machine back, as it has announced.
+    /// When the cloud reclaims the machine, if it has announced that.
     reclaimed_at: Option<Instant>,
     is_terminated: bool,
 }
@@ -80,15 +80,15 @@
     }
 }
 
-/// Whether a fault with this end still lasts.
+/// Whether a fault that ends at `until` is still in effect.
 fn lasts(until: Option<Instant>) -> bool {
     until.is_some_and(|until| until > Instant::now())
 }
 
-/// What a machine offers to tasks.
+/// Resources of a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Capacity {
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
     /// Memory in GB.
     pub memory: f64,
@@ -96,22 +96,22 @@
 
 /// A simulated machine with its agent.
 pub struct Machine {
-    /// The cloud's name for the machine.
+    /// The machine's id in the cloud.
     pub id: String,
-    /// Where its agent listens, if it has an address of its own.
+    /// The agent's socket address in loopback mode; unset while the network is simulated.
     pub address: OnceLock<String>,
     /// Machine type, zone and price class.
     pub kind: MachineKind,
     capacity: Capacity,
-    /// Times the estimate of a task, how long it runs here.
+    /// Ratio of a task's run time on this machine to its job's estimate.
     run_time_factor: f64,
-    /// All that runs here fails.
+    /// Whether every task fails on this machine.
     is_faulty: bool,
     state: Mutex<MachineState>,
 }
 
 impl Machine {
-    /// A machine without tasks, whose agent has the lease of a first epoch.
+    /// Creates a machine without tasks whose agent holds a lease in its first epoch.
     pub fn new(id: String, kind: MachineKind, capacity: Capacity, is_faulty: bool) -> Self {
         let now = Instant::now();
         Self {
@@ -125,12 +125,13 @@
         }
     }
 
-    /// Where controllers reach the agent.
+    /// Returns the address under which controllers reach the agent: its socket address in
+    /// loopback mode, otherwise the machine's id.
     pub fn address(&self) -> &str {
         self.address.get().unwrap_or(&self.id)
     }
 
-    /// The sides of a network partition that the machine is on.
+    /// Returns the tags by which network partitions select the machine.
     pub fn tags(&self) -> Vec<String> {
         vec![self.id.clone(), "agents".into(), self.kind.zone.clone()]
     }
@@ -141,22 +142,24 @@
             .expect("no thread panics while it holds a machine's state")
     }
 
-    /// The machine stands still for this long.
+    /// Hangs the machine for this long: it neither runs tasks nor communicates.
     pub fn hang(&self, time: Duration) {
         self.lock().hung_until = Some(Instant::now() + time);
     }
 
-    /// For this long nothing reaches the machine, while its heartbeats get out.
+    /// Starts a one-way partition of this length: heartbeats are sent, but nothing reaches the
+    /// machine.
     pub fn lose_inbound(&self, time: Duration) {
         self.lock().inbound_lost_until = Some(Instant::now() + time);
     }
 
-    /// For this long the machine can open no connection, while commands reach it.
+    /// Starts a one-way partition of this length: commands reach the machine, but it can open no
+    /// connection.
     pub fn lose_outbound(&self, time: Duration) {
         self.lock().outbound_lost_until = Some(Instant::now() + time);
     }
 
-    /// The cloud announces that it takes the machine back after this time.
+    /// Announces to the agent that the cloud will reclaim the machine after this time.
     pub fn announce_reclaim(&self, time: Duration) {
         let mut state = self.lock();
         state.reclaimed_at = Some(Instant::now() + time);
@@ -175,12 +178,13 @@
         lasts(self.lock().outbound_lost_until)
     }
 
-    /// Whether the cloud has taken the machine away.
+    /// Whether the machine has been terminated.
     pub fn is_terminated(&self) -> bool {
         self.lock().is_terminated
     }
 
-    /// The machine's free capacity, if it works as it should and is not to be reclaimed.
+    /// Returns the machine's free capacity, or `None` if the machine has a fault, is terminated or
+    /// is about to be reclaimed.
     pub fn free_capacity(&self, simulation: &Simulation) -> Option<FreeCapacity> {
         if self.is_faulty
             || self.is_hung()
@@ -210,7 +214,8 @@
         Some(free)
     }
 
-    /// Tasks that take capacity here, those that fetch their image too.
+    /// Returns the tasks that occupy capacity of the machine, including those that are still
+    /// downloading their image.
     pub fn tasks(&self) -> Vec<TaskId> {
         let state = self.lock();
         let attempts = state.tasks.iter();
@@ -220,7 +225,7 @@
             .collect()
     }
 
-    /// The machine and all tasks on it end at once.
+    /// Terminates the machine and all tasks on it immediately.
     pub fn terminate(&self, simulation: &Simulation) {
         let mut state = self.lock();
         if state.is_terminated {
@@ -232,7 +237,7 @@
         self.end_tasks(simulation, tasks);
     }
 
-    /// Reports that these attempts, just dropped from the table, are no longer here.
+    /// Records the end of attempts that were just removed from the table.
     fn end_tasks(&self, simulation: &Simulation, tasks: BTreeMap<TaskAttempt, Stage>) {
         for (key, stage) in tasks {
             if stage.is_on_machine() {
@@ -249,7 +254,7 @@
         ));
     }
 
-    /// The machine's operation from its boot until it is terminated.
+    /// Runs the machine from its boot until it is terminated.
     pub async fn run(self: Arc<Self>, simulation: Arc<Simulation>) {
         while !self.is_terminated() {
             tokio::time::sleep(AGENT_INTERVAL).await;
--- a/crates/simulator/src/agent/stage.rs
+++ b/crates/simulator/src/agent/stage.rs
@@ -1,40 +1,40 @@
-//! The stages of a task on a machine, and the causes of its exit.
+//! Stages of a task on a machine, and exit causes.
 
 use stallcove::storage::TaskId;
 use tokio::time::Instant;
 
-/// One attempt to run a task: the key of an agent's table of tasks.
+/// One attempt to run a task; the key of an agent's task table.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TaskAttempt {
     /// The task.
     pub(super) task: TaskId,
-    /// The controller's count of the task's placements.
+    /// Number of the placement, as counted by the controllers.
     pub(super) attempt: u64,
 }
 
-/// Why a task is no longer on its machine.
+/// Why an attempt has exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExitCause {
-    /// It has completed.
+    /// The task has completed.
     Done,
-    /// It failed by itself.
+    /// The task failed.
     Error,
-    /// It was stopped by command.
+    /// A command stopped the task.
     Stopped,
-    /// Its job is not known.
+    /// The task's job is not known.
     Unknown,
     /// Another attempt of the task is still in the agent's table.
     Busy,
     /// The machine has too little free capacity.
     Full,
-    /// The other tasks of its gang did not come in time.
+    /// The other tasks of its gang were not ready within the start timeout.
     Alone,
     /// Another task of its running gang was lost.
     MatesGone,
 }
 
 impl ExitCause {
-    /// The protocol's word for the cause.
+    /// Returns the cause's name in the protocol.
     pub(super) fn wire_name(self) -> &'static str {
         match self {
             ExitCause::Done => "done",
@@ -49,50 +49,50 @@
     }
 }
 
-/// How far an attempt has come. The times say when its stage ends, unless stated otherwise.
+/// Stage of an attempt. The times are when the stage ends, unless stated otherwise.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Stage {
-    /// The image is being fetched.
+    /// The image is being downloaded.
     Fetching(Instant),
-    /// The task runs on its own.
+    /// The task is running; not part of a running gang.
     Running(Instant),
-    /// The task runs on its own, is stopped and saves a checkpoint.
+    /// The task, not part of a running gang, was told to stop and is saving a checkpoint.
     Saving(Instant),
-    /// The task waits for the others of its gang, since this time.
+    /// The task waits for the other tasks of its gang; the time is when it started to wait.
     WaitingForGang(Instant),
-    /// The task runs together with its gang.
+    /// The task is running as part of its gang.
     RunningInGang,
-    /// The task of a running gang is stopped and saves a checkpoint.
+    /// The task, part of a running gang, was told to stop and is saving a checkpoint.
     SavingInGang(Instant),
-    /// The attempt is over; it stays in the table until it is cleared.
+    /// The attempt has exited; it remains in the table until a command clears it.
     Exited(ExitCause),
 }
 
 impl Stage {
-    /// Whether the task's process is on its machine.
+    /// Whether the task's process exists on the machine.
     pub(super) fn is_on_machine(self) -> bool {
         !matches!(self, Stage::Fetching(_) | Stage::Exited(_))
     }
 
-    /// Whether the attempt takes capacity of its machine.
+    /// Whether the attempt occupies capacity of its machine.
     pub(super) fn takes_capacity(self) -> bool {
         !matches!(self, Stage::Exited(_))
     }
 
-    /// The protocol's word for the stage.
+    /// Returns the stage's name in the protocol.
     pub(super) fn wire_name(self) -> &'static str {
         match self {
             Stage::Fetching(_) => "fetching",
             Stage::WaitingForGang(_) => "waiting",
             Stage::Running(_) | Stage::RunningInGang => "running",
             Stage::Saving(_) => "flushing",
-            // "running" also for tasks of a gang that is being stopped.
+            // Tasks of a gang that is being stopped are reported as running until all have saved.
             Stage::SavingInGang(_) => "running",
             Stage::Exited(_) => "exited",
         }
     }
 
-    /// Why the attempt is over; none while it is not.
+    /// Returns why the attempt has exited, or `None` if it has not.
     pub(super) fn exit_cause(self) -> Option<ExitCause> {
         match self {
             Stage::Exited(cause) => Some(cause),
--- a/crates/simulator/src/agent/tasks.rs
+++ b/crates/simulator/src/agent/tasks.rs
@@ -1,4 +1,4 @@
-//! The course of tasks on a machine, from the fetch of their image to their exit.
+//! Progress of tasks on a machine, from the download of their image to their exit.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,14 +15,14 @@
     simulation::Simulation,
 };
 
-/// A replica runs until it is stopped.
+/// Run time of a service's replica: longer than any scenario, since it runs until stopped.
 const SERVICE_RUN_TIME: Duration = Duration::from_secs(1_000_000);
-/// A task that fails does so after this time.
+/// Run time of a task that fails.
 const FAILURE_RUN_TIME: Duration = Duration::from_secs(1);
 
 impl Machine {
-    /// Moves every task on to the stage that is due now. A machine whose reclaim is due ends
-    /// instead.
+    /// Advances every task to its next stage if that is due. Terminates the machine instead if
+    /// its announced reclaim is due.
     pub(super) fn advance_tasks(&self, simulation: &Arc<Simulation>) {
         let now = Instant::now();
         let mut state = self.lock();
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The lease has expired: everything is killed and forgotten, and a new epoch begins.
+    /// Handles the expiry of the lease: kills all tasks, clears the table and starts a new epoch.
     fn expire_lease(&self, simulation: &Simulation, state: &mut MachineState, now: Instant) {
         let tasks = std::mem::take(&mut state.tasks);
         self.end_tasks(simulation, tasks);
@@ -55,7 +55,7 @@
         state.has_news = true;
     }
 
-    /// The stage that an attempt enters now; none: it stays in its own.
+    /// Returns the stage that an attempt enters now, or `None` if it remains in its current one.
     fn next_stage(
         &self,
         simulation: &Arc<Simulation>,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The image is there: the task's process starts.
+    /// Starts the task's process once its image is downloaded; returns its new stage.
     fn begin_to_run(
         &self,
         simulation: &Simulation,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// How a task that ran on its own to the end has ended.
+    /// Completes or fails a task, not part of a gang, at the end of its run time.
     fn finish_run(&self, simulation: &Arc<Simulation>, key: &TaskAttempt) -> ExitCause {
         let fails = self.is_faulty || simulation.fails(&key.task.job);
         if fails && !simulation.is_completed(&key.task) {
@@ -150,7 +150,8 @@
         Some(Stage::Exited(ExitCause::Alone))
     }
 
-    /// `has_saved`: the task was stopped and its checkpoint is saved.
+    /// Returns the next stage of a task of a running gang. `has_saved` means that the task was
+    /// told to stop and has saved its checkpoint.
     fn run_in_gang(
         &self,
         simulation: &Arc<Simulation>,
--- a/crates/simulator/src/event_trace.rs
+++ b/crates/simulator/src/event_trace.rs
@@ -1,7 +1,7 @@
-//! The ordered events of a play, for comparing two plays up to their first difference.
+//! Ordered events of a scenario run, used to find the first difference between two runs.
 //!
-//! A play is driven by its seed alone, so that two plays of one seed give the same events in
-//! the same order. Where they differ, something that no seed fixes has reached the play.
+//! A run depends only on its seed, so two runs with the same seed produce the same events in the
+//! same order. A difference shows that something not derived from the seed has influenced a run.
 
 use std::{
     collections::hash_map::DefaultHasher,
@@ -10,20 +10,20 @@
     time::Duration,
 };
 
-/// What happened in a play, in order: messages, answers, starts and ends of tasks.
+/// The events of a run in order: messages, answers, starts and ends of tasks.
 #[derive(Clone, Debug, Default)]
 pub struct EventTrace {
     events: Vec<String>,
 }
 
-/// The first event in which two plays differ.
+/// The first difference between two runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TraceDifference {
-    /// How many events before it are the same.
+    /// Number of equal events before the difference.
     pub index: usize,
-    /// The event of the first play; none: it was over.
+    /// The event of the first run; `None` if that run has no more events.
     pub left: Option<String>,
-    /// The event of the second play; none: it was over.
+    /// The event of the second run; `None` if that run has no more events.
     pub right: Option<String>,
 }
 
@@ -43,19 +43,19 @@
             .push(format!("{:10.6} {event}", at.as_secs_f64()));
     }
 
-    /// All events, in order.
+    /// Returns all events in order.
     pub fn events(&self) -> &[String] {
         &self.events
     }
 
-    /// One number for the whole trace: the same for the same events in the same order.
+    /// Returns a hash of the trace: equal for equal events in the same order.
     pub fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.events.hash(&mut hasher);
         hasher.finish()
     }
 
-    /// Where this trace and another one differ first; none: they are the same.
+    /// Returns the first difference from another trace, or `None` if they are equal.
     pub fn first_difference(&self, other: &Self) -> Option<TraceDifference> {
         let length = self.events.len().max(other.events.len());
         let index = (0..length).find(|&index| self.events.get(index) != other.events.get(index))?;
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -1,7 +1,7 @@
-//! Faults that have a state of their own: late and duplicated messages, machines that boot
-//! badly, and users who poll closely.
+//! Faults whose state is kept separately: delayed and duplicated messages, slow or failed boots
+//! of machines, and users who poll frequently.
 //!
-//! Scenarios set them; the simulated network, cloud and users ask what becomes of a message.
+//! Scenarios set the faults; the simulated network, cloud and users query them.
 
 use std::{
     sync::{Arc, Mutex},
@@ -12,22 +12,22 @@
 
 use crate::{simulation::Simulation, users};
 
-/// A share of messages that is held up, by at most this long.
+/// A fault that delays a share of the messages.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Delay {
-    /// Share of the messages.
+    /// Share of the messages that are delayed.
     pub share: f64,
-    /// The longest delay.
+    /// Maximum delay.
     pub max: Duration,
 }
 
 impl Delay {
-    /// Holds up this share of messages.
+    /// Creates a fault that delays this share of the messages by at most `max`.
     pub fn new(share: f64, max: Duration) -> Self {
         Self { share, max }
     }
 
-    /// How long this message is held up; none: not at all.
+    /// Draws a message's delay between `min` and the maximum; `None` if it is not delayed.
     pub fn draw(&self, min: Duration) -> Option<Duration> {
         if self.share <= 0.0 || jitter::uniform(0.0, 1.0) >= self.share {
             return None;
@@ -37,27 +37,27 @@
     }
 }
 
-/// A heartbeat that is delivered again.
+/// Copy of a heartbeat that is to be delivered again.
 pub struct DuplicateHeartbeat {
-    /// The sender's sides of a partition.
+    /// The tags by which network partitions select the sender.
     pub tags: Vec<String>,
     /// The message.
     pub body: String,
 }
 
-/// Copies kept until a leader begins.
+/// Maximum number of copies kept for the next leader.
 const MAX_DUPLICATES: usize = 400;
-/// Direct commands are held up for at least this long.
+/// Minimum delay of delayed commands that are sent directly to an agent.
 const MIN_COMMAND_DELAY: Duration = Duration::from_secs(2);
-/// Polls of each controller in a burst.
+/// Number of polls to each controller in a burst.
 const POLLS_IN_BURST: usize = 3;
 
-/// How machines that are provisioned now come up.
+/// Faults in the boot of newly provisioned machines.
 #[derive(Clone, Copy, Debug)]
 pub struct Boots {
-    /// Times the usual boot time.
+    /// Factor on the typical boot time.
     pub factor: f64,
-    /// Share of the machines that never come up.
+    /// Share of the machines that never finish booting.
     pub never: f64,
 }
 
@@ -70,14 +70,14 @@
     }
 }
 
-/// The state of these faults.
+/// State of these faults.
 #[derive(Default)]
 pub struct FaultInjection {
     boots: Mutex<Boots>,
-    /// Pause between two questions about each job; none: the usual one.
+    /// Interval between polls of a job; `None` if the default applies.
     poll_interval: Mutex<Option<Duration>>,
     command_delay: Mutex<Delay>,
-    /// Copies of heartbeats are kept for the next leader.
+    /// Whether copies of heartbeats are kept for the next leader.
     keeps_for_next_leader: Mutex<bool>,
     kept_duplicates: Mutex<Vec<DuplicateHeartbeat>>,
     leader: Mutex<Option<String>>,
@@ -85,25 +85,27 @@
 }
 
 impl FaultInjection {
-    /// A share of the direct commands is unanswered and carried out late.
+    /// Sets the share of the commands sent directly to agents that are executed late and never
+    /// answered.
     pub fn set_command_delay(&self, delay: Delay) {
-        *self.command_delay.lock().expect("delay") = delay;
+        *self.command_delay.lock().expect("command delay lock") = delay;
     }
 
-    /// How late this direct command is carried out; none: at once.
+    /// Draws the delay of a command sent directly to an agent; `None` if it is not delayed.
     pub fn draw_command_delay(&self) -> Option<Duration> {
-        let delay = *self.command_delay.lock().expect("delay");
+        let delay = *self.command_delay.lock().expect("command delay lock");
         delay.draw(MIN_COMMAND_DELAY)
     }
 
-    /// How machines that are provisioned from now on come up.
+    /// Sets the boot faults of machines provisioned from now on.
     pub fn set_boots(&self, boots: Boots) {
-        *self.boots.lock().expect("boots") = boots;
+        *self.boots.lock().expect("boot faults lock") = boots;
     }
 
-    /// The boot time of a machine that is provisioned now; none: it never comes up.
+    /// Draws the boot time of a new machine from its type's typical boot time in seconds; `None`
+    /// if it never finishes booting.
     pub fn boot_time(&self, usual: f64) -> Option<Duration> {
-        let boots = *self.boots.lock().expect("boots");
+        let boots = *self.boots.lock().expect("boot faults lock");
         if boots.never > 0.0 && jitter::uniform(0.0, 1.0) < boots.never {
             return None;
         }
@@ -111,57 +113,62 @@
         Some(Duration::from_secs_f64(usual * boots.factor * share))
     }
 
-    /// Sets the pause between two polls about a job; none: the usual one.
+    /// Sets the interval between polls of a job; `None` restores the default.
     pub fn set_poll_interval(&self, pause: Option<Duration>) {
-        *self.poll_interval.lock().expect("pause") = pause;
+        *self.poll_interval.lock().expect("poll interval lock") = pause;
     }
 
-    /// How long a user waits before the next question about a job.
+    /// Returns how long a user waits before the next poll of a job.
     pub fn poll_interval(&self) -> Duration {
         let usual = Duration::from_secs_f64(jitter::uniform(4.0, 6.0));
-        self.poll_interval.lock().expect("pause").unwrap_or(usual)
+        self.poll_interval
+            .lock()
+            .expect("poll interval lock")
+            .unwrap_or(usual)
     }
 
-    /// Copies of heartbeats are kept until another leader begins.
+    /// Sets whether copies of heartbeats are kept until a new leader starts.
     pub fn keep_for_next_leader(&self, on: bool) {
-        *self.keeps_for_next_leader.lock().expect("flag") = on;
+        *self.keeps_for_next_leader.lock().expect("flag lock") = on;
     }
 
-    /// Keeps a copy for the next leader, if copies are kept now.
+    /// Keeps a copy for the next leader and returns `None`, or returns the copy if copies are not
+    /// being kept. A copy beyond the maximum number is dropped.
     pub fn keep(&self, copy: DuplicateHeartbeat) -> Option<DuplicateHeartbeat> {
-        if !*self.keeps_for_next_leader.lock().expect("flag") {
+        if !*self.keeps_for_next_leader.lock().expect("flag lock") {
             return Some(copy);
         }
-        let mut kept = self.kept_duplicates.lock().expect("duplicates");
+        let mut kept = self.kept_duplicates.lock().expect("kept duplicates lock");
         if kept.len() < MAX_DUPLICATES {
             kept.push(copy);
         }
         None
     }
 
-    /// The copies that are due as this leader begins.
+    /// Returns and clears the kept copies if `leader` is not the last known leading process.
     fn due(&self, leader: Option<String>) -> Vec<DuplicateHeartbeat> {
-        let mut known = self.leader.lock().expect("leader");
+        let mut known = self.leader.lock().expect("leader lock");
         if leader.is_none() || *known == leader {
             return Vec::new();
         }
         *known = leader;
-        std::mem::take(&mut *self.kept_duplicates.lock().expect("duplicates"))
+        std::mem::take(&mut *self.kept_duplicates.lock().expect("kept duplicates lock"))
     }
 
-    /// Users ask at all controllers as soon as they are told something new.
+    /// Sets whether users poll all controllers in a burst when a job's reported state changes
+    /// significantly.
     pub fn set_burst_polls(&self, on: bool) {
-        *self.burst_polls.lock().expect("flag") = on;
+        *self.burst_polls.lock().expect("flag lock") = on;
     }
 
     /// Whether users poll in bursts.
     pub fn polls_in_bursts(&self) -> bool {
-        *self.burst_polls.lock().expect("flag")
+        *self.burst_polls.lock().expect("flag lock")
     }
 }
 
 impl Simulation {
-    /// As a leader begins, every controller gets the copies that were kept.
+    /// Delivers the kept copies to every controller if a new leader has started.
     pub fn deliver_kept_duplicates(self: &Arc<Self>) {
         for copy in self.faults.due(self.leader_incarnation()) {
             for name in self.controller_names() {
@@ -175,8 +182,8 @@
         }
     }
 
-    /// A user who was just told something asks at all controllers, several times within
-    /// milliseconds, and repeats the submission at one of them.
+    /// Polls a job several times at every controller within milliseconds, and submits the job again
+    /// to one of them.
     pub fn poll_in_burst(self: &Arc<Self>, job: &JobId) {
         for name in self.controller_names() {
             for _ in 0..POLLS_IN_BURST {
@@ -196,7 +203,7 @@
         });
     }
 
-    /// Jobs one after the other, a share of them cancelled soon after.
+    /// Submits a stream of jobs numbered from `first`, and cancels a share of them within seconds.
     pub async fn stream(self: Arc<Self>, first: u64, stream: Stream) {
         for n in 0..stream.count {
             let job = JobId::new(format!("job-{}", first + n));
@@ -218,14 +225,14 @@
     }
 }
 
-/// Many jobs that are alike.
+/// A stream of jobs with the same spec.
 pub struct Stream {
-    /// How many jobs.
+    /// Number of jobs.
     pub count: u64,
-    /// Pause between two submissions.
+    /// Interval between submissions.
     pub interval: Duration,
-    /// Share of the jobs that is cancelled soon after.
+    /// Share of the jobs that are cancelled within 9 s of their submission.
     pub cancelled_share: f64,
-    /// What is submitted.
+    /// Spec of every job.
     pub spec: JobSpec,
 }
--- a/crates/simulator/src/gangs.rs
+++ b/crates/simulator/src/gangs.rs
@@ -1,5 +1,5 @@
-//! Gangs as agents run them: the tasks of an attempt find each other, start and
-//! complete together, and notice when one of them is gone.
+//! Execution of gangs by agents: the tasks of an attempt wait for each other, start and
+//! complete together, and detect the loss of one of them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,30 +9,32 @@
 use stallcove::storage::{JobId, JobSpec};
 use tokio::time::Instant;
 
-/// How long a task waits for the others of its gang.
+/// How long a task waits for the other tasks of its gang before it exits.
 pub const GANG_START_TIMEOUT: Duration = Duration::from_secs(30);
-/// A task without a sign of life for this long is not counted as there.
+/// A task of a waiting gang that was last seen longer ago than this does not count as present.
+/// Also the time that all tasks of a stopped gang have to save their checkpoints, from the first
+/// stop command.
 const MATE_TIMEOUT: Duration = Duration::from_secs(4);
-/// A task of a running gang without a sign of life for this long is lost; the others exit
-/// after as long again.
+/// A task of a running gang that was last seen longer ago than this is lost; the other tasks
+/// exit after the same time again.
 const LOSS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One attempt to run a gang.
 #[derive(Default)]
 struct GangAttempt {
-    /// Each task's last sign of life.
+    /// When each task was last seen.
     members: BTreeMap<u32, Instant>,
     started_at: Option<Instant>,
     is_done: bool,
-    /// When a member of the running gang was lost.
+    /// When a task of the running gang was lost.
     lost_at: Option<Instant>,
-    /// When the first command to stop came.
+    /// When the first stop command arrived.
     stopped_at: Option<Instant>,
-    /// Tasks that have saved their checkpoint after a command to stop.
+    /// Tasks that have saved their checkpoint after a stop command.
     saved: BTreeSet<u32>,
-    /// All tasks have saved.
+    /// Whether all tasks have saved their checkpoints.
     is_saved: bool,
-    /// The attempt has come to its end, and must not be used again.
+    /// Whether the attempt has ended; no task may join it any more.
     is_over: bool,
 }
 
@@ -47,7 +49,8 @@
         self.members.values().any(is_silent)
     }
 
-    /// A task of the gang that is being stopped looks whether all have saved.
+    /// Advances a gang that is being stopped. `saved` is the calling task's index if its
+    /// checkpoint is saved; `tasks` is the size of the gang.
     fn advance_stop(
         &mut self,
         now: Instant,
@@ -68,30 +71,31 @@
     }
 }
 
-/// The gangs of a scenario, with the progress that each job has saved.
+/// All gang attempts of a scenario, and the saved progress of each job.
 #[derive(Default)]
 pub struct Gangs {
     attempts: BTreeMap<(JobId, u64), GangAttempt>,
-    /// What is saved of each job's run time.
+    /// Saved run time of each job.
     progress: BTreeMap<JobId, Duration>,
 }
 
-/// What a task of a gang does next.
+/// Next step of a task of a gang.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum GangStep {
-    /// It goes on with what it does.
+    /// The task remains in its stage.
     Stay,
-    /// All are there: it runs.
+    /// All tasks of the gang are present: the task starts running.
     Run,
     /// The gang has completed.
     Done,
-    /// The gang was stopped and all tasks have saved.
+    /// The gang was stopped and all tasks have saved their checkpoints.
     Saved,
-    /// Another task was lost.
+    /// Another task of the gang was lost.
     MatesGone,
 }
 
-/// The last whole checkpoint of a job that has run for this long.
+/// Returns the run time covered by the last periodic checkpoint of a job that has run for
+/// `run_time`.
 fn last_checkpoint(spec: &JobSpec, run_time: Duration) -> Duration {
     if spec.checkpoint.is_zero() {
         return Duration::ZERO;
@@ -101,15 +105,16 @@
 }
 
 impl Gangs {
-    /// The task has its image and waits for the others. False: the attempt is over,
-    /// and must not be used again.
+    /// Adds a task that has its image and waits for the other tasks. Returns false if the attempt
+    /// has already started or ended: a controller must not reuse an attempt.
     pub fn join(&mut self, job: &JobId, attempt: u64, task: u32) -> bool {
         let gang = self.attempts.entry((job.clone(), attempt)).or_default();
         gang.members.insert(task, Instant::now());
         !(gang.is_over || gang.started_at.is_some())
     }
 
-    /// The task is gone, by command, with its machine or by its lease.
+    /// Removes a task that ended because of a command, its machine's termination, the expiry of
+    /// its agent's lease or the start timeout.
     pub fn leave(&mut self, job: &JobId, attempt: u64, task: u32) {
         let Some(gang) = self.attempts.get_mut(&(job.clone(), attempt)) else {
             return;
@@ -122,14 +127,14 @@
         }
     }
 
-    /// A command to stop has reached a task of the running gang.
+    /// Records that a task of the running gang has received a stop command.
     pub fn stop(&mut self, job: &JobId, attempt: u64) {
         if let Some(gang) = self.attempts.get_mut(&(job.clone(), attempt)) {
             gang.stopped_at.get_or_insert_with(Instant::now);
         }
     }
 
-    /// A task that waits looks whether all are there.
+    /// Marks a waiting task as present, and starts the gang if all tasks are present.
     pub fn wait(&mut self, job: &JobId, attempt: u64, task: u32, spec: &JobSpec) -> GangStep {
         let now = Instant::now();
         let Some(gang) = self.attempts.get_mut(&(job.clone(), attempt)) else {
@@ -146,8 +151,8 @@
         }
     }
 
-    /// A task that runs, or saves, looks at the others. `has_saved`: its own checkpoint is
-    /// saved after a command to stop.
+    /// Returns the next step of a task that is running or saving. `has_saved` means that the
+    /// task's own checkpoint is saved after a stop command.
     pub fn run(
         &mut self,
         job: &JobId,
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! A simulator of everything around the controllers, for tests of the whole program.
+//! Simulator of the controllers' environment, for tests of the whole program.
 //!
 //! [`scenario`] reads and plays scenarios on a [`simulation`]: a cluster with a simulated
 //! [`state_service`], cloud, network, [`agent`]s and [`users`], into which faults are injected.
-//! The [`rules`] of the protocol are checked on all that happens in it.
+//! The [`rules`] of the protocol are checked against every event of the cluster.
 
 pub mod agent;
 pub mod event_trace;
--- a/crates/simulator/src/logging.rs
+++ b/crates/simulator/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log of the simulated controllers, with simulated times.
+//! Logging of the simulated controllers, with simulated timestamps.
 
 use std::{cell::Cell, fmt};
 
@@ -6,16 +6,16 @@
 use tracing_subscriber::fmt::{format::Writer, time::FormatTime};
 
 thread_local! {
-    /// When the play on this thread began.
+    /// Start of the scenario that runs on this thread.
     static START: Cell<Option<Instant>> = const { Cell::new(None) };
 }
 
-/// Log lines of this thread count their time from now on.
+/// Sets the zero point of this thread's log timestamps to now.
 pub(crate) fn start_clock() {
     START.set(Some(Instant::now()));
 }
 
-/// The time since the start of the scenario that this thread plays.
+/// Formats log timestamps as seconds since the start of this thread's scenario.
 struct SimulatedTime;
 
 impl FormatTime for SimulatedTime {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Logs to standard output at the level that SCENARIO_LOG names.
+/// Enables logging to standard output at the level in `SCENARIO_LOG`, if it is set.
 pub fn start_logging() {
     let level = std::env::var("SCENARIO_LOG").ok();
     if let Some(level) = level.and_then(|level| level.parse::<tracing::Level>().ok()) {
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -1,6 +1,6 @@
-//! Real sockets in place of the simulated network: each controller is a thread with a
-//! runtime of its own, and the state service, the cloud and the agents listen on
-//! addresses of the loopback range. Time is real.
+//! Loopback mode: real sockets replace the simulated network. Each controller is a thread with
+//! its own runtime, and the state service, the cloud and the agents listen on addresses of the
+//! loopback range. Time is real.
 
 use std::{
     collections::HashMap,
@@ -40,30 +40,31 @@
     simulation::{SimNet, Simulation},
 };
 
-/// Ports of each controller's address.
+/// Ports on each controller's address.
 const PUBLIC_PORT: u16 = 8080;
 const PRIVATE_PORT: u16 = 8081;
 const STATE_PORT: u16 = 8082;
 const CLOUD_PORT: u16 = 8083;
-/// The first machine's port, on the address of the machines.
+/// Port of the first machine, on the address that all machines share.
 const FIRST_MACHINE_PORT: u16 = 10_000;
-/// The host number of all machines.
+/// Last octet of the address that all machines share.
 const MACHINES_HOST: u8 = 250;
-/// Sockets that a controller may have open.
+/// Maximum number of open sockets of a controller.
 const SOCKETS: usize = 500;
-/// A request that the simulator leaves unanswered ends by then.
+/// Time after which a request that the simulator leaves unanswered is closed.
 const UNANSWERED: Duration = Duration::from_secs(6);
 /// How long a user or an agent waits for an answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// The largest body of a request.
+/// Maximum size of a request's body.
 const BODY_LIMIT: usize = 1 << 20;
 
 /// The addresses of one simulated cluster.
 pub struct Loopback {
-    /// Two bytes that tell this test process from others on the machine.
+    /// Second and third octet of all addresses, derived from the process id, so that test
+    /// processes on the same machine use different addresses.
     network: [u8; 2],
     next_machine: AtomicU16,
-    /// For users and agents.
+    /// HTTP client of users and agents.
     client: HttpNetwork,
 }
 
@@ -84,13 +85,14 @@
         SocketAddr::from((Ipv4Addr::new(127, a, b, host), port))
     }
 
-    /// Controllers are named `n0`, `n1` and so on.
+    /// Returns a controller's address. Controllers are named `n0`, `n1` and so on.
     fn of_controller(&self, name: &str, port: u16) -> SocketAddr {
-        let number: u8 = name[1..].parse().expect("a controller's number");
+        let number: u8 = name[1..].parse().expect("a controller is named n<number>");
         self.address(number + 1, port)
     }
 
-    /// A request of a user or an agent to a controller; none: no answer.
+    /// Sends a request of a user or an agent to a controller; returns `None` if there is no
+    /// answer.
     pub async fn request(
         &self,
         controller: &str,
@@ -117,7 +119,7 @@
         ))
     }
 
-    /// Lets the state service and the cloud listen for one controller.
+    /// Starts listeners of the state service and the cloud for one controller.
     pub async fn serve_services(&self, simulation: &Arc<Simulation>, controller: &str) {
         for (service, port) in [("state", STATE_PORT), ("cloud", CLOUD_PORT)] {
             let gateway = Gateway {
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Lets a machine's agent listen; its address.
+    /// Starts a listener for a machine's agent; returns its address.
     pub async fn serve_machine(
         &self,
         simulation: &Arc<Simulation>,
@@ -144,7 +146,8 @@
         address.to_string()
     }
 
-    /// Starts a controller's process. `before`: the process that had its addresses.
+    /// Starts a controller's process. `previous` is the thread of the process that used the same
+    /// addresses before.
     pub fn start(&self, config: Config, before: Option<JoinHandle<()>>) -> Process {
         let name = config.name.as_str();
         let addresses = Addresses {
@@ -169,7 +172,7 @@
             let stop = stop.clone();
             std::thread::spawn(move || run(config, addresses, before, stop, &started))
         };
-        let (controller, handle) = controller.recv().expect("the process starts");
+        let (controller, handle) = controller.recv().expect("the controller's thread starts");
         Process {
             controller,
             handle,
@@ -179,7 +182,7 @@
     }
 }
 
-/// Where a controller listens, and where it reaches the others.
+/// Addresses on which a controller listens, and those of the services and its peers.
 struct Addresses {
     public: SocketAddr,
     private: SocketAddr,
@@ -188,9 +191,9 @@
     peers: HashMap<ControllerName, String>,
 }
 
-/// A controller, as a thread with a runtime of its own.
+/// A controller's process, simulated by a thread with its own runtime.
 pub struct Process {
-    /// The controller that runs in it.
+    /// The controller that runs in the process.
     pub controller: Arc<Controller>,
     handle: Handle,
     stop: CancellationToken,
@@ -198,19 +201,21 @@
 }
 
 impl Process {
-    /// Ends it at once: its sockets close, whatever it was about to do. Its thread, to wait for.
+    /// Kills the process: it stops at once, without finishing its work, and its sockets are
+    /// closed. Returns its thread, which must be joined before its addresses are used again.
     pub fn kill(self) -> JoinHandle<()> {
         self.stop.cancel();
         self.thread
     }
 
-    /// The process stands still while its clocks run on.
+    /// Pauses the process for this long by blocking its only thread; its clocks keep running.
     pub fn pause(&self, time: Duration) {
         self.handle.spawn(async move { std::thread::sleep(time) });
     }
 }
 
-/// The thread of a controller: the process that had its addresses before must have ended.
+/// Runs a controller's thread. Waits for the end of the previous process before it binds the
+/// same addresses.
 fn run(
     config: Config,
     addresses: Addresses,
@@ -221,7 +226,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("the runtime starts");
     let sockets = SocketBudget::new(SOCKETS);
     let net: Arc<dyn Network> = Arc::new(HttpNetwork::new(sockets.clone()));
     let controller = Controller::new(
@@ -236,11 +241,13 @@
         ),
         stop.clone(),
     );
-    // Nobody waits for it only if the test has ended.
+    // The receiver is gone only if the test has ended.
     let _ = started.send((controller.clone(), runtime.handle().clone()));
     if let Some(before) = before {
-        // A paused process keeps its addresses until it goes on.
-        before.join().expect("the process before ends in order");
+        // A paused process keeps its addresses until it resumes.
+        before
+            .join()
+            .expect("the previous process ends without a panic");
     }
     runtime.block_on(serve_controller(
         &controller,
@@ -283,7 +290,7 @@
     duties.abort_all();
 }
 
-/// What a service answers to one controller.
+/// Forwards requests of one controller to a simulated service.
 #[derive(Clone)]
 struct Gateway {
     simulation: Arc<Simulation>,
@@ -333,7 +340,7 @@
     let patience = if held { UNANSWERED * 4 } else { UNANSWERED };
     match tokio::time::timeout(patience, answer).await {
         Ok(Some(reply)) => reply_with(reply.status, reply.body),
-        // The caller has given up by now.
+        // The caller's own timeout has expired by now.
         _ => StatusCode::GATEWAY_TIMEOUT.into_response(),
     }
 }
@@ -354,6 +361,6 @@
 }
 
 fn reply_with(status: u16, body: Bytes) -> Response {
-    let status = StatusCode::from_u16(status).expect("a status");
+    let status = StatusCode::from_u16(status).expect("a valid HTTP status");
     (status, body).into_response()
 }
--- a/crates/simulator/src/rules/answers.rs
+++ b/crates/simulator/src/rules/answers.rs
@@ -1,5 +1,5 @@
-//! Rules on what users are told: no job is invented, forgotten, or reported in a final state
-//! that does not hold.
+//! Rules on answers to users: no answer is about a job that was never submitted, accepted jobs
+//! stay known, and a reported final state is correct and stays.
 
 use std::time::Duration;
 
@@ -7,14 +7,16 @@
 
 use super::{JobHistory, ReportedState, Rules, UserAnswer, violations::Rule};
 
-/// A job is forgotten if nobody answers for it for this long after all faults.
+/// An accepted job counts as forgotten if no request about it is answered successfully for this
+/// long, counted at the earliest from the end of all faults.
 const MAX_UNANSWERED: Duration = Duration::from_secs(75);
 
-/// What is wrong with an answer.
+/// A violation found in an answer.
 type Finding = (Rule, String);
 
 impl Rules {
-    /// A submission that must be refused with a status may also be refused for overload.
+    /// Checks the status of an answer to an invalid submission. A refusal because of overload (429
+    /// or 503) is allowed as well.
     pub(super) fn check_invalid_submission(
         &mut self,
         at: Duration,
@@ -28,7 +30,7 @@
         }
     }
 
-    /// Checks an answer to a user against what was seen and answered before.
+    /// Checks an answer to a user against the history of the job.
     pub(super) fn check_answer(&mut self, at: Duration, answer: UserAnswer) {
         let id = answer.job.clone();
         let status = answer.status;
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Accepted jobs that nobody answers for although all faults are over.
+    /// Reports accepted jobs that are no longer answered for although all faults are over.
     pub(super) fn find_forgotten(&mut self, at: Duration) {
         let Some(faults_ended_at) = self.faults_ended_at else {
             return;
@@ -77,7 +79,7 @@
     }
 }
 
-/// Takes in an answer that the job is known, with its state.
+/// Records an answer that confirms that the job is known; returns the violations found in it.
 fn accept(job: &mut JobHistory, id: &JobId, at: Duration, answer: UserAnswer) -> Vec<Finding> {
     let mut findings = Vec::new();
     if job.spec.is_none() {
--- a/crates/simulator/src/rules/events.rs
+++ b/crates/simulator/src/rules/events.rs
@@ -1,4 +1,4 @@
-//! What the rule checkers learn of the simulated cluster.
+//! Events and data of the simulated cluster that the rule checkers receive.
 
 use std::time::Duration;
 
@@ -15,44 +15,44 @@
     pub spot: bool,
 }
 
-/// What a working machine has left for further tasks.
+/// Free capacity of a working machine.
 #[derive(Clone, Debug)]
 pub struct FreeCapacity {
     /// The machine's type, zone and price class.
     pub kind: MachineKind,
-    /// CPUs.
+    /// Free CPUs.
     pub cpus: f64,
-    /// Memory in GB.
+    /// Free memory in GB.
     pub memory: f64,
 }
 
-/// What users, machines and the network observe.
+/// An event observed by users, machines or the network.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A user has sent a job for the first time.
+    /// A user is about to submit a job for the first time.
     Submitted(JobId, Box<JobSpec>),
-    /// The job was submitted with a mistake: its tasks fail wherever they run.
+    /// The submitted job is defective: its tasks fail on any machine.
     FailsWhenRun(JobId),
-    /// The user has asked to cancel it.
+    /// The user has started to request the cancellation of the job.
     CancelRequested(JobId),
     /// A user's request about a job was answered.
     UserAnswered(UserAnswer),
-    /// A task is on a machine from now on.
+    /// A task's process has started on a machine.
     TaskStarted(TaskId, MachineId, MachineKind),
-    /// A task is no longer on a machine.
+    /// A task's process has ended on a machine.
     TaskStopped(TaskId, MachineId),
-    /// A task has run to its end.
+    /// A task has completed.
     TaskCompleted(TaskId),
     /// A submission that must be refused was answered.
     InvalidSubmissionAnswered {
         /// What is invalid in it.
         what: String,
-        /// The HTTP status that it must get.
+        /// The HTTP status of the expected answer.
         expected: u16,
-        /// The HTTP status that it got.
+        /// The HTTP status of the answer.
         status: u16,
     },
-    /// A task of a gang has joined an attempt that had begun, or was over.
+    /// A task of a gang has joined an attempt that had already started or ended.
     AttemptReused(TaskId, u64),
     /// A controller was sent a message that its version cannot read.
     UnreadableMessage(String),
@@ -61,14 +61,14 @@
 /// An answer to a user's request about a job.
 #[derive(Clone, Debug)]
 pub struct UserAnswer {
-    /// When the request was sent, since the start of the scenario: an answer may be older
-    /// than one that was given while it was under way.
+    /// When the request was sent, since the start of the scenario. Answers may arrive out of
+    /// order: one may be older than another that arrived while it was under way.
     pub requested_at: Duration,
     /// The job that the request was about.
     pub job: JobId,
     /// The HTTP status.
     pub status: u16,
-    /// The job's state in the protocol's words, if the answer has one.
+    /// The job's state as named in the protocol, if the answer has one.
     pub state: Option<String>,
     /// Whether the request was a submission.
     pub is_submission: bool,
--- a/crates/simulator/src/rules/mod.rs
+++ b/crates/simulator/src/rules/mod.rs
@@ -1,9 +1,9 @@
-//! The rules of the protocol, checked on what happens in the simulated cluster.
+//! Checkers of the protocol's rules, applied to the events of the simulated cluster.
 //!
 //! [`Rules`] owns the history of each job and the tasks that are on machines now. The
-//! simulation passes it every [`Event`] as it happens, and calls [`Rules::check_deadlines`]
-//! and [`Rules::check_waiting`] often and [`Rules::finish`] once. All times are since the
-//! start of the scenario. A violation is kept until the end of the scenario, which fails then.
+//! simulation passes it every [`Event`] as it happens, calls [`Rules::check_deadlines`] and
+//! [`Rules::check_waiting`] periodically, and [`Rules::finish`] once at the end. All times are
+//! since the start of the scenario. Violations are collected; a scenario with any of them fails.
 
 mod answers;
 mod events;
@@ -22,28 +22,29 @@
 pub use events::{Event, FreeCapacity, MachineKind, UserAnswer};
 use violations::Rule;
 
-/// Sums of CPUs within this much of a limit keep it.
+/// Sums of CPUs or memory may exceed a limit by this much, to allow for rounding.
 const TOLERANCE: f64 = 1e-6;
 
-/// A job that waits although it need not.
+/// State of a job that waits although there is capacity and quota for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct WaitingSince {
-    /// Since when it waits.
+    /// Start of the wait.
     since: Duration,
-    /// How many of its tasks were on machines or completed then.
+    /// Number of its tasks that were placed or completed at that time. The wait restarts when
+    /// the number changes.
     counted_tasks: usize,
 }
 
-/// A final state that a user was told.
+/// A final state that was reported to a user.
 struct ReportedState {
     state: String,
     at: Duration,
 }
 
-/// What has happened to one job.
+/// History of one job.
 #[derive(Default)]
 struct JobHistory {
-    /// What was submitted; none: only answers or tasks have been seen.
+    /// The submission; `None` if only answers or tasks have been seen.
     spec: Option<Box<JobSpec>>,
     submitted_at: Duration,
     accepted_at: Option<Duration>,
@@ -52,35 +53,35 @@
     reported_cancelled_at: Option<Duration>,
     /// Tasks that have completed.
     completed: BTreeSet<u32>,
-    /// When its last answered request was sent.
+    /// When the latest successfully answered request was sent.
     answered_at: Option<Duration>,
     begun_at: Option<Duration>,
     /// Tasks that have been on a machine.
     served: BTreeSet<u32>,
-    /// Its tasks fail wherever they run.
+    /// Whether its tasks fail on any machine.
     fails: bool,
-    /// That nobody answers for it is reported already.
+    /// Whether the job was already reported as forgotten.
     is_reported_forgotten: bool,
-    /// It has tasks that are nowhere although there is capacity for one.
+    /// Set while tasks of the job are not placed although there is capacity and quota for them.
     waiting: Option<WaitingSince>,
-    /// That it waits is reported already.
+    /// Whether the job was already reported as waiting.
     is_reported_waiting: bool,
 }
 
 impl JobHistory {
-    /// Whether all of its tasks have been on a machine.
+    /// Whether each of its tasks has been on a machine.
     fn is_served(&self, spec: &JobSpec) -> bool {
         self.served.len() as u32 == spec.tasks
     }
 }
 
-/// A machine that a task is on.
+/// The machine on which a task runs.
 struct RunningOn {
     machine: MachineId,
     kind: MachineKind,
 }
 
-/// How many tasks of a job must start at once: of a gang all of them.
+/// Returns the number of tasks that must start together: all tasks of a gang, otherwise 1.
 fn tasks_started_at_once(spec: &JobSpec) -> u32 {
     match spec.kind {
         JobKind::Gang => spec.tasks,
@@ -88,25 +89,26 @@
     }
 }
 
-/// The rule checkers, with all that they know.
+/// The rule checkers and their state.
 pub struct Rules {
     jobs: BTreeMap<JobId, JobHistory>,
     running: BTreeMap<TaskId, RunningOn>,
-    /// CPUs that each team may use.
+    /// CPU limit of each team.
     limits: BTreeMap<TeamName, f64>,
-    /// How long tasks may stay once their user was told that the job is cancelled.
+    /// Maximum time that tasks may stay on machines after their user was informed that the
+    /// job is cancelled.
     cancel: Duration,
-    /// Since when all injected faults are over.
+    /// When all injected faults were over; `None` until then.
     faults_ended_at: Option<Duration>,
-    /// The rules that were broken, one line each.
+    /// The rule violations found so far, one line each.
     pub violations: Vec<String>,
-    /// How often a task was started.
+    /// Number of task starts.
     pub starts: usize,
 }
 
 impl Rules {
-    /// Checkers that have seen nothing yet. `limits` are the teams' CPUs; `cancel` is how long
-    /// tasks may stay once their user was told that the job is cancelled.
+    /// Creates checkers without history. `limits` are the teams' CPU limits; `cancel` is how long
+    /// tasks may stay on machines after their user was informed that the job is cancelled.
     pub fn new(limits: BTreeMap<TeamName, f64>, cancel: Duration) -> Self {
         Self {
             jobs: BTreeMap::new(),
@@ -123,7 +125,7 @@
         self.violations.push(violations::describe(at, rule, what));
     }
 
-    /// Takes in what has just happened.
+    /// Records an event and checks the rules that apply to it.
     pub fn record(&mut self, at: Duration, event: Event) {
         match event {
             Event::Submitted(id, spec) => {
@@ -168,29 +170,29 @@
         }
     }
 
-    /// All injected faults are over.
+    /// Records that all injected faults are over.
     pub fn note_faults_ended(&mut self, at: Duration) {
         self.faults_ended_at = Some(at);
     }
 
-    /// Looks for what becomes wrong with time; called often.
+    /// Checks the rules that can be violated by the passing of time. Must be called periodically.
     pub fn check_deadlines(&mut self, at: Duration) {
         self.find_forgotten(at);
         self.find_cancelled_tasks(at);
     }
 
-    /// CPUs that the team may use.
+    /// Returns the CPU limit of the team.
     fn limit(&self, team: &TeamName) -> f64 {
         self.limits.get(team).copied().unwrap_or(f64::MAX)
     }
 
-    /// The job's submission, if one has been seen.
+    /// Returns the job's submission, if one has been seen.
     fn spec(&self, job: &JobId) -> Option<&JobSpec> {
         self.jobs.get(job)?.spec.as_deref()
     }
 
-    /// Jobs with tasks on machines that their users have not cancelled, and where
-    /// these tasks are.
+    /// Returns the jobs that have tasks on machines and are not cancelled by their users, with
+    /// these machines.
     pub fn running_jobs(&self) -> Vec<(JobId, BTreeSet<MachineId>)> {
         let mut jobs: BTreeMap<JobId, BTreeSet<MachineId>> = BTreeMap::new();
         for (task, running) in &self.running {
@@ -210,8 +212,8 @@
         })
     }
 
-    /// How long jobs took from their submission to their first task's start, by time of
-    /// submission; none: it has not begun.
+    /// Returns for each submitted job its submission time, and the delay until its first task
+    /// started; `None` if none has started.
     pub fn waits(&self) -> Vec<(Duration, Option<Duration>)> {
         let jobs = self.jobs.values().filter(|job| job.spec.is_some());
         jobs.map(|job| {
@@ -221,12 +223,12 @@
         .collect()
     }
 
-    /// CPUs that each team's tasks take on machines now.
+    /// Returns the CPUs that each team's tasks use on machines now.
     pub fn used(&self) -> BTreeMap<TeamName, f64> {
         self.cpus_by_team(self.running.keys())
     }
 
-    /// CPUs that these tasks take, by team.
+    /// Returns the CPUs that these tasks use, by team.
     fn cpus_by_team<'a>(
         &self,
         tasks: impl IntoIterator<Item = &'a TaskId>,
@@ -240,7 +242,7 @@
         used
     }
 
-    /// How many tasks of the job are on machines.
+    /// Returns the number of the job's tasks that are on machines.
     pub fn running(&self, job: &JobId) -> usize {
         self.running.keys().filter(|task| task.job == *job).count()
     }
--- a/crates/simulator/src/rules/placement.rs
+++ b/crates/simulator/src/rules/placement.rs
@@ -1,4 +1,4 @@
-//! Rules on where and when tasks may be on machines.
+//! Rules on the machines and times at which tasks may run.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 
 use super::{MachineKind, Rules, RunningOn, TOLERANCE, violations::Rule};
 
-/// The zones of the other tasks of a job, as far as one zone is concerned.
+/// Number of the other tasks of a job, in total and in one zone.
 #[derive(Clone, Copy)]
 pub(super) struct OtherTasks {
-    /// How many there are.
+    /// Number of other tasks in all zones.
     pub(super) total: usize,
-    /// How many of them are in the zone.
+    /// Number of other tasks in the zone.
     pub(super) in_zone: usize,
 }
 
-/// Whether a job allows another of its tasks on such a machine.
+/// Whether a job's constraints allow another of its tasks on a machine of this kind.
 pub(super) fn allows(spec: &JobSpec, kind: &MachineKind, others: OtherTasks) -> bool {
     spec.allows_type(&TypeName::new(kind.machine_type.as_str()))
         && spec.allows_zone(&ZoneName::new(kind.zone.as_str()))
@@ -25,7 +25,7 @@
 }
 
 impl Rules {
-    /// Checks the start of a task, which is on the machine from now on.
+    /// Records the start of a task on a machine, and checks the rules on it.
     pub(super) fn check_start(&mut self, at: Duration, task: TaskId, running_on: RunningOn) {
         self.starts += 1;
         self.check_runs_once(at, &task, &running_on);
@@ -87,15 +87,15 @@
         }
     }
 
-    /// Whether no task of the job may be on a machine any more: its user was told long ago
-    /// that it is cancelled.
+    /// Whether no task of the job may be on a machine any more, because its user was informed of
+    /// its cancellation more than the maximum time ago.
     fn is_past_cancellation(&self, at: Duration, job: &JobId) -> bool {
         self.jobs[job]
             .reported_cancelled_at
             .is_some_and(|reported| at > reported + self.cancel)
     }
 
-    /// Tasks of cancelled jobs that are still on machines.
+    /// Reports tasks of cancelled jobs that are still on machines after the maximum time.
     pub(super) fn find_cancelled_tasks(&mut self, at: Duration) {
         let late: Vec<TaskId> = self
             .running
--- a/crates/simulator/src/rules/service_levels.rs
+++ b/crates/simulator/src/rules/service_levels.rs
@@ -1,5 +1,5 @@
-//! Rules on the scenario as a whole: every class and team is served, and large jobs begin in
-//! time.
+//! Rules on the scenario as a whole: enough jobs of every class and team are served, and the
+//! largest jobs start in time.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,10 +11,11 @@
     waiting::{is_within_limit, must_be_served},
 };
 
-/// The largest jobs begin within this time; younger ones are not judged.
+/// Maximum time from the submission of one of the largest jobs to its first task start. Jobs
+/// submitted more recently than this are not checked.
 const MAX_TIME_TO_BEGIN: Duration = Duration::from_secs(240);
 
-/// A job that had time and quota enough to be served.
+/// A job that had enough time and quota to be served.
 struct JudgedJob<'a> {
     id: &'a JobId,
     history: &'a JobHistory,
@@ -28,7 +29,7 @@
             .is_none_or(|begun| begun > self.history.submitted_at + MAX_TIME_TO_BEGIN)
     }
 
-    /// The groups of jobs that it belongs to.
+    /// Returns the names of the groups of jobs to which the job belongs.
     fn groups(&self, is_largest: bool) -> Vec<String> {
         let mut groups = vec![
             format!("class {}", self.spec.class),
@@ -41,7 +42,7 @@
     }
 }
 
-/// How many jobs of a group were served.
+/// Number of jobs of a group, and of those that were served.
 #[derive(Default)]
 struct ServedShare {
     jobs: usize,
@@ -49,8 +50,9 @@
 }
 
 impl Rules {
-    /// Looks at what is wrong with the whole: half of each class, of each team
-    /// and of each class's largest jobs is served, and the largest begin in time.
+    /// Checks the rules on the scenario as a whole, at its end: at least half of the jobs of each
+    /// class, of each team and of each class's largest jobs must be served, and the largest must
+    /// start in time.
     pub fn finish(&mut self, at: Duration) {
         let judged = self.judged_jobs(at);
         let largest = largest_by_class(&judged);
@@ -78,8 +80,8 @@
         }
     }
 
-    /// A job for which its team's limit leaves nothing waits by right: replicas
-    /// hold their part until they are cancelled.
+    /// Returns the jobs that had to be served by now. An unserved job is excluded if its team's
+    /// limit leaves no room for it: services keep their share of the limit until cancelled.
     fn judged_jobs(&self, at: Duration) -> Vec<JudgedJob<'_>> {
         let used = self.used();
         let submitted = self.jobs.iter().filter_map(|(id, history)| {
@@ -97,7 +99,7 @@
     }
 }
 
-/// The number of tasks of the largest judged job of each class.
+/// Returns the number of tasks of the largest of these jobs in each class.
 fn largest_by_class(judged: &[JudgedJob<'_>]) -> BTreeMap<String, u32> {
     let mut largest: BTreeMap<String, u32> = BTreeMap::new();
     for job in judged {
--- a/crates/simulator/src/rules/violations.rs
+++ b/crates/simulator/src/rules/violations.rs
@@ -1,15 +1,16 @@
-//! The rules of the protocol, and how a violation is written.
+//! The rules of the protocol, and the text of a violation.
 
 use std::{fmt, time::Duration};
 
-/// A rule that the controllers must keep.
+/// A rule that the controllers must not violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rule {
-    /// A task is on two machines.
+    /// A task runs on two machines at the same time.
     RanTwice,
-    /// A task or an answer belongs to a job that nobody has submitted.
+    /// A task or an answer belongs to a job that was never submitted.
     Invented,
-    /// A task is on a machine long after its user was told that the job is cancelled.
+    /// A task is on a machine later than the maximum time after its user was informed that the
+    /// job is cancelled.
     RanCancelled,
     /// A task is on a machine that its job does not allow.
     WrongPlace,
@@ -17,21 +18,22 @@
     Quota,
     /// A job is reported done before all of its tasks have completed.
     NotDone,
-    /// A final state was reported that does not hold, or holds no longer.
+    /// A job is reported cancelled without a request of its user, or in another state after a
+    /// final one.
     WentBack,
-    /// An accepted job is not known any more.
+    /// An accepted job is unknown to the controllers, or gets no answers any more.
     Forgotten,
-    /// A job waits although there is capacity and quota for it.
+    /// A job waits too long although there is capacity and quota for it.
     Waited,
-    /// One of the largest jobs began too late.
+    /// One of the largest jobs started too late.
     BeganLate,
-    /// Less than half of a class, of a team or of the largest jobs is served.
+    /// Less than half of the jobs of a class, of a team or of a class's largest jobs are served.
     Unserved,
-    /// An attempt of a gang is used again.
+    /// A task joins a gang's attempt that has already started or ended.
     Reused,
-    /// A controller gets a message that its version cannot read.
+    /// A controller was sent a message that its version cannot read.
     Unreadable,
-    /// An invalid submission got another status than it must.
+    /// An invalid submission was answered with an unexpected HTTP status.
     WrongStatus,
 }
 
@@ -56,7 +58,7 @@
     }
 }
 
-/// One line about a violation: when, which rule, and what was seen.
+/// Returns a line that describes a violation: time in seconds, rule and details.
 pub(super) fn describe(at: Duration, rule: Rule, what: impl fmt::Display) -> String {
     format!("{:.3} {rule}: {what}", at.as_secs_f64())
 }
--- a/crates/simulator/src/rules/waiting.rs
+++ b/crates/simulator/src/rules/waiting.rs
@@ -1,4 +1,4 @@
-//! The rule that no job waits while there is capacity and quota for it.
+//! The rule that no job waits too long while there is capacity and quota for it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,15 +14,17 @@
     violations::Rule,
 };
 
-/// With capacity and quota for one of its tasks no job waits longer than this.
+/// Maximum time that a job may wait while there is capacity and quota for the tasks that must
+/// start together.
 const MAX_WAIT: Duration = Duration::from_secs(90);
 
-/// The machines that each task of a job is on, by the task's index.
+/// Kind of the machine of each placed task of a job, by the task's index.
 type MachinesOfJob<'a> = BTreeMap<u32, &'a MachineKind>;
 
 impl Rules {
-    /// Looks for jobs that wait while a machine that fits has capacity and their team
-    /// is under its limit. `placed`: tasks on machines, fetching ones too.
+    /// Reports jobs that wait too long while there is suitable free capacity and their team's limit
+    /// allows more tasks. `placed` are the tasks that occupy capacity, including those that are
+    /// still downloading their image. Checks nothing before the faults are over.
     pub fn check_waiting(
         &mut self,
         at: Duration,
@@ -74,7 +76,7 @@
     }
 }
 
-/// How many tasks of the job are on machines or have completed.
+/// Returns the number of the job's tasks that are placed or have completed.
 fn count_placed_or_completed(
     spec: &JobSpec,
     machines: &MachinesOfJob<'_>,
@@ -85,12 +87,12 @@
         .count()
 }
 
-/// Whether the job is one that the controllers owe a start.
+/// Whether the controllers must start the job: it is accepted, not cancelled and not defective.
 pub(super) fn must_be_served(job: &JobHistory) -> bool {
     job.accepted_at.is_some() && !job.cancel_requested && !job.fails
 }
 
-/// Whether the team's limit leaves enough for the tasks that must start at once.
+/// Whether the team's limit leaves enough CPUs for the tasks that must start together.
 pub(super) fn is_within_limit(
     spec: &JobSpec,
     used: &BTreeMap<TeamName, f64>,
@@ -102,7 +104,8 @@
     used + demand <= limit + TOLERANCE
 }
 
-/// How many more tasks of the job fit, given the zones of those that are on machines.
+/// Returns how many more tasks of the job fit into the free capacity, given the zones of its
+/// placed tasks.
 fn fitting_tasks(spec: &JobSpec, machines: &MachinesOfJob<'_>, free: &[FreeCapacity]) -> usize {
     let fitting = |free: &FreeCapacity| fitting_on_machine(spec, machines, free);
     if !spec.one_zone {
@@ -132,7 +135,7 @@
     by_cpus.min(by_memory) as usize
 }
 
-/// How many times a demand fits; a demand of nothing fits any number of times.
+/// Returns how often a demand fits into the free capacity; a zero demand always fits.
 fn times_contained(free: f64, demand: f64) -> f64 {
     if demand > 0.0 {
         (free + TOLERANCE) / demand
--- a/crates/simulator/src/scenario/actions.rs
+++ b/crates/simulator/src/scenario/actions.rs
@@ -1,4 +1,4 @@
-//! The timed actions of a scenario: what users do, and the faults that are injected.
+//! Timed actions of a scenario: actions of users and injected faults.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,10 +15,10 @@
     versions::Version,
 };
 
-/// How long a crashed or replaced controller is away, in seconds, if nothing is said.
+/// Default downtime of a crashed, upgraded or downgraded controller, in seconds.
 const DEFAULT_DOWNTIME_S: f64 = 5.0;
 
-/// The job that a word names.
+/// Parses a job id; panics if it is invalid.
 pub(super) fn job_id(word: &str) -> JobId {
     let Some(job) = JobId::parse(word) else {
         panic!("{word:?} is no job id");
@@ -26,7 +26,7 @@
     job
 }
 
-/// Does one timed action; an expectation that fails is an error.
+/// Executes one timed action. Returns an error if it is an expectation that fails.
 pub(super) fn act(simulation: &Arc<Simulation>, parts: &[&str]) -> Result<(), FailedExpectation> {
     let words = Words::new(&parts[1..]);
     let duration = words.seconds("for", 0.0);
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-/// Calls `action` once this time has passed.
+/// Calls `action` after this delay.
 pub(super) fn run_later(after: Duration, action: impl FnOnce() + Send + 'static) {
     tokio::spawn(async move {
         tokio::time::sleep(after).await;
@@ -60,7 +60,7 @@
     });
 }
 
-/// Calls `undo` once the fault is to be over.
+/// Calls `undo` after this delay, to end a fault.
 fn undo_later(
     simulation: &Arc<Simulation>,
     after: Duration,
@@ -85,7 +85,9 @@
         }
         ["resubmit", job, ..] => {
             let job = job_id(job);
-            let spec = simulation.spec(&job).expect("a job submitted before");
+            let spec = simulation
+                .spec(&job)
+                .expect("resubmit names a job that was submitted before");
             let simulation = simulation.clone();
             tokio::spawn(users::resubmit(simulation, job, spec));
         }
@@ -140,7 +142,7 @@
     }
 }
 
-/// The controllers that a word names.
+/// Returns the controllers selected by `all`, `leader` or a controller's name.
 fn controllers(simulation: &Simulation, word: &str) -> Vec<String> {
     match word {
         "all" => simulation.controller_names(),
@@ -161,7 +163,7 @@
                 simulation.pause_controller(&name, duration);
                 continue;
             }
-            // It comes back with the version that knows nothing of quota transfers.
+            // The controller restarts with the version that does not support quota transfers.
             "downgrade" => simulation.set_version(&name, Version::BeforeTransfers),
             "upgrade" => simulation.set_version(&name, Version::Current),
             _ => {}
--- a/crates/simulator/src/scenario/expectations.rs
+++ b/crates/simulator/src/scenario/expectations.rs
@@ -1,11 +1,11 @@
-//! What a scenario expects at a moment.
+//! Expectations of a scenario, each checked at its time.
 
 use std::sync::Arc;
 
 use super::{actions::job_id, words::parse};
 use crate::simulation::Simulation;
 
-/// An expectation that does not hold, with what was found in its place.
+/// An expectation that does not hold, with the value found instead.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct FailedExpectation(String);
@@ -34,7 +34,7 @@
     check(holds, format!("{found} {what}"))
 }
 
-/// Checks what a scenario expects at this moment.
+/// Checks one expectation against the current state of the cluster.
 pub(super) fn expect(
     simulation: &Arc<Simulation>,
     parts: &[&str],
@@ -64,7 +64,7 @@
             let codes = simulation
                 .submission_statuses
                 .lock()
-                .expect("submission statuses");
+                .expect("submission statuses lock");
             let found = codes.get(&job_id(job)).map(ToString::to_string);
             check(found.as_deref() == Some(*code), format!("code {found:?}"))
         }
@@ -74,7 +74,10 @@
             check(holds, format!("{running} tasks run"))
         }
         [job, state] => {
-            let states = simulation.reported_states.lock().expect("reported states");
+            let states = simulation
+                .reported_states
+                .lock()
+                .expect("reported states lock");
             let found = states.get(&job_id(job)).cloned();
             let holds = found.as_deref() == Some(*state);
             check(holds, format!("its user was told {found:?}"))
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios: small text files, one line a statement. `tests/scenarios/README`
-//! describes them.
+//! Scenarios: small text files with one statement per line. `tests/scenarios/README` describes
+//! the statements.
 
 mod actions;
 mod expectations;
@@ -26,7 +26,7 @@
 use actions::{act, run_later};
 use words::Words;
 
-/// What happens at a time, since the start of the scenario.
+/// An action and its time since the start of the scenario.
 #[derive(Clone, Debug)]
 struct TimedAction {
     at: Duration,
@@ -34,38 +34,40 @@
     line: String,
 }
 
-/// CPUs that teams used at one time.
+/// The teams' CPU usage at one time.
 #[derive(Clone, Debug)]
 pub struct UsageSample {
-    /// Since the start of the scenario.
+    /// Time of the sample, since the start of the scenario.
     pub at: Duration,
-    /// CPUs by team.
+    /// CPUs in use, by team.
     pub used: BTreeMap<TeamName, f64>,
 }
 
-/// What was seen in a scenario.
+/// Results of a scenario.
 #[derive(Clone, Debug)]
 pub struct Measured {
-    /// Broken rules and expectations that failed.
+    /// Rule violations and failed expectations, one line each.
     pub wrong: Vec<String>,
-    /// By time of submission, how long each job took to start.
+    /// Submission time of each job, and its delay until the first task started; `None` if none
+    /// has started.
     pub waits: Vec<(Duration, Option<Duration>)>,
-    /// What teams used over time.
+    /// CPU usage of the teams over time.
     pub used: Vec<UsageSample>,
-    /// How often a task was started.
+    /// Number of task starts.
     pub starts: usize,
-    /// Changes asked of the state service.
+    /// Changes requested from the state service, including those of failed transactions.
     pub changes: usize,
-    /// Changes made there, by the kind of record: `+` written, `-` removed.
+    /// Changes that controllers made in the state service, by the kind of record: `+` written,
+    /// `-` removed.
     pub changes_by_kind: BTreeMap<String, usize>,
-    /// Machines ever provisioned.
+    /// Number of machines ever provisioned.
     pub provisioned: usize,
-    /// What each job's user was told last.
+    /// The job state last reported to each job's user.
     pub outcomes: BTreeMap<JobId, String>,
 }
 
 impl fmt::Display for Measured {
-    /// One line of figures: two versions of the code that act alike give the same.
+    /// Writes one line of figures. Two versions of the code that behave alike give the same line.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -85,9 +87,9 @@
     }
 }
 
-/// A scenario, ready to be played once.
+/// A parsed scenario, ready to run once.
 pub struct Scenario {
-    /// The seed of all random draws.
+    /// Seed of all random numbers.
     seed: u64,
     cluster: ClusterSettings,
     /// The version of all controllers at the start.
@@ -96,28 +98,29 @@
     until: Duration,
 }
 
-/// What a scenario is played on.
+/// Network and clock with which a scenario runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Surroundings {
-    /// The simulated network, on a paused clock.
+    /// Simulated network, paused clock.
     Simulated,
-    /// The same, with its events kept.
+    /// Simulated network, paused clock, events recorded.
     Traced,
-    /// Real sockets, in real time.
+    /// Real sockets, real time.
     Loopback,
 }
 
-/// Statements that are no faults. Those who submit late are faults of their own.
+/// Actions that do not count as faults and do not defer the time from which all faults are over.
+/// That includes faults of the cloud. All other actions count, also polls and invalid requests.
 const FAULTLESS_STATEMENTS: [&str; 6] =
     ["submit", "stream", "resubmit", "cancel", "expect", "cloud"];
-/// How long a fault lasts, in seconds, if nothing is said.
+/// Default duration of a fault, in seconds.
 const DEFAULT_FAULT_S: f64 = 5.0;
-/// How often the rule checkers look at the cluster.
+/// Interval between checks of the rules.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Scenario {
-    /// When the last fault is over: what users were refused until then is
-    /// forgiven.
+    /// Returns the time at which the last fault is over. Jobs that wait or get no answer until
+    /// then violate no rule.
     fn faults_end_at(&self) -> Duration {
         let ends = self.timed.iter().filter_map(|timed| {
             let parts: Vec<&str> = timed.words.iter().map(String::as_str).collect();
@@ -129,24 +132,24 @@
         ends.max().unwrap_or_default()
     }
 
-    /// Plays the scenario on a clock of its own; returns what went wrong.
+    /// Runs the scenario on its own paused clock; returns rule violations and failed expectations.
     pub fn play(self) -> Vec<String> {
         self.measure().wrong
     }
 
-    /// The same scenario with another seed.
+    /// Returns the scenario with another seed.
     pub fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Makes all that is drawn on this thread repeatable.
+    /// Seeds the random generators of this thread, to make the run repeatable.
     fn seed_draws(&self) {
         jitter::seed(self.seed);
         user_choices::seed(self.seed);
     }
 
-    /// Plays the scenario as [`Self::play`] does; what was seen in it.
+    /// Runs the scenario like [`Self::play`]; returns all results.
     pub fn measure(self) -> Measured {
         self.seed_draws();
         paused_runtime()
@@ -154,13 +157,14 @@
             .0
     }
 
-    /// Plays the scenario as [`Self::measure`] does, and keeps its events.
+    /// Runs the scenario like [`Self::measure`]; also returns its events.
     pub fn measure_traced(self) -> (Measured, EventTrace) {
         self.seed_draws();
         paused_runtime().block_on(self.run(Surroundings::Traced))
     }
 
-    /// Plays the scenario in real time, on real sockets of the loopback range.
+    /// Runs the scenario in real time on real sockets of the loopback range; returns rule
+    /// violations and failed expectations.
     pub fn play_on_loopback(self) -> Vec<String> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -174,7 +178,8 @@
         let faults_end_at = self.faults_end_at();
         let mut simulation = Simulation::new(self.cluster);
         {
-            let simulation = Arc::get_mut(&mut simulation).expect("nobody else has it yet");
+            let simulation =
+                Arc::get_mut(&mut simulation).expect("the simulation is not shared yet");
             match surroundings {
                 Surroundings::Simulated => {}
                 Surroundings::Traced => simulation.keep_trace(),
@@ -198,7 +203,7 @@
         checks.abort();
         simulation.finish();
         violations.extend(simulation.violations());
-        let used = std::mem::take(&mut *usage_samples.lock().expect("samples"));
+        let used = std::mem::take(&mut *usage_samples.lock().expect("samples lock"));
         let trace = simulation.take_trace();
         (measure(&simulation, violations, used), trace)
     }
@@ -212,7 +217,7 @@
         .expect("the runtime starts")
 }
 
-/// Plays the timed actions; the expectations that failed.
+/// Executes the timed actions; returns the failed expectations.
 async fn play_actions(
     simulation: &Arc<Simulation>,
     actions: &[TimedAction],
@@ -229,7 +234,7 @@
     failed
 }
 
-/// Lets the rule checkers look at the cluster, and samples what teams use, until aborted.
+/// Periodically checks the rules and samples the teams' CPU usage, until aborted.
 async fn check_often(simulation: Arc<Simulation>, samples: Arc<Mutex<Vec<UsageSample>>>) {
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
@@ -238,7 +243,7 @@
             at: simulation.at(),
             used: simulation.used(),
         };
-        samples.lock().expect("samples").push(sample);
+        samples.lock().expect("samples lock").push(sample);
     }
 }
 
@@ -254,7 +259,7 @@
         outcomes: simulation
             .reported_states
             .lock()
-            .expect("reported states")
+            .expect("reported states lock")
             .clone(),
     }
 }
--- a/crates/simulator/src/scenario/parser.rs
+++ b/crates/simulator/src/scenario/parser.rs
@@ -1,4 +1,4 @@
-//! Reads a scenario's text.
+//! Parser of scenario texts.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
     versions::Version,
 };
 
-/// Requests and changes a second of the state service, if nothing is said.
+/// Default limits of the state service on requests and changes per second.
 const DEFAULT_RPS: f64 = 400.0;
 const DEFAULT_WRITE_RPS: f64 = 200.0;
-/// Sizes that the state service announces, if nothing is said.
+/// Default size limits that the state service announces.
 const DEFAULT_ANNOUNCED_OPS: f64 = 16.0;
 const DEFAULT_ANNOUNCED_VALUE_BYTES: f64 = 8192.0;
 
@@ -48,8 +48,8 @@
 }
 
 impl Scenario {
-    /// Reads a scenario. One that can't be read is a mistake of its author: it panics with
-    /// the word that is wrong.
+    /// Parses a scenario. An invalid one is a mistake in the test, so this panics with the word
+    /// that is wrong.
     pub fn parse(text: &str) -> Self {
         let mut scenario = Self::default();
         for line in text.lines() {
--- a/crates/simulator/src/scenario/words.rs
+++ b/crates/simulator/src/scenario/words.rs
@@ -1,14 +1,14 @@
-//! The words of a statement: `key=value` pairs, and bare words as flags.
+//! Words of a statement: `key=value` pairs, and bare words as flags.
 
 use std::{collections::BTreeMap, str::FromStr, time::Duration};
 
 use stallcove::storage::*;
 
-/// The words that follow a statement's name.
+/// The words after a statement's name, by key.
 pub(super) struct Words<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Words<'a> {
-    /// Takes the parts of a statement apart.
+    /// Splits the parts of a statement into keys and values; a bare word has an empty value.
     pub(super) fn new(parts: &[&'a str]) -> Self {
         let pairs = parts.iter();
         Self(
@@ -18,33 +18,33 @@
         )
     }
 
-    /// A word's value.
+    /// Returns the value of a word.
     pub(super) fn get(&self, name: &str) -> Option<&'a str> {
         self.0.get(name).copied()
     }
 
-    /// Whether the word is there, with a value or without.
+    /// Whether the word is present, with or without a value.
     pub(super) fn has(&self, name: &str) -> bool {
         self.0.contains_key(name)
     }
 
-    /// A number; `default` if the word is not there.
+    /// Returns a number, or `default` if the word is absent.
     pub(super) fn number(&self, name: &str, default: f64) -> f64 {
         self.get(name)
             .map_or(default, |text| parse(text, &format!("the number {name}=")))
     }
 
-    /// A number of seconds; `default` if the word is not there.
+    /// Returns a duration given in seconds, or `default` seconds if the word is absent.
     pub(super) fn seconds(&self, name: &str, default: f64) -> Duration {
         Duration::from_secs_f64(self.number(name, default))
     }
 
-    /// Names separated by commas.
+    /// Returns a list of names separated by commas.
     pub(super) fn names(&self, name: &str) -> Option<Vec<&'a str>> {
         self.get(name).map(|list| list.split(',').collect())
     }
 
-    /// The job that a submission describes.
+    /// Builds the job that a `submit`-like action describes; absent words get defaults.
     pub(super) fn job_spec(&self) -> JobSpec {
         JobSpec {
             class: ClassName::new(self.get("class").unwrap_or("class")),
@@ -95,8 +95,8 @@
     }
 }
 
-/// Reads a word as a number, or panics: a scenario that can't be read is a mistake of its
-/// author, and the test that plays it is to fail at once.
+/// Parses a word, or panics: an invalid scenario is a mistake in the test, which must fail at
+/// once.
 pub(super) fn parse<T: FromStr>(text: &str, what: &str) -> T {
     let Ok(value) = text.parse() else {
         panic!("{what} cannot be read from {text:?}");
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -1,8 +1,8 @@
 //! The simulated cluster: controllers, network, cloud and users, on tokio's paused clock.
 //!
-//! [`Simulation`] owns what all of them share: the state service, the cloud's machines, the
+//! [`Simulation`] owns the state they share: the state service, the cloud's machines, the
 //! controllers' processes, the injected faults and the rule checkers. Scenarios create it and
-//! act on it. Its locks are held for moments only, never across an await.
+//! run their actions on it. Its locks are held briefly and never across an await.
 
 mod cloud;
 mod controllers;
@@ -43,58 +43,59 @@
 /// A machine type of the cloud's catalog.
 #[derive(Clone, Debug)]
 pub struct TypeSpec {
-    /// Its name.
+    /// Name of the machine type.
     pub name: String,
-    /// CPUs of a machine.
+    /// CPUs per machine.
     pub cpus: f64,
-    /// Memory of a machine in GB.
+    /// Memory per machine, in GB.
     pub memory: f64,
-    /// Price of an hour.
+    /// On-demand price per hour.
     pub price: f64,
-    /// Price of an hour of a spot machine.
+    /// Spot price per hour.
     pub spot_price: f64,
-    /// Usual boot time in seconds.
+    /// Typical boot time, in seconds.
     pub boot: f64,
-    /// Zones that have it.
+    /// Zones that offer this type.
     pub zones: Vec<String>,
-    /// Machines in each zone.
+    /// On-demand machines that exist in each zone.
     pub count: usize,
-    /// Spot machines in each zone.
+    /// Spot machines that exist in each zone.
     pub spot_count: usize,
 }
 
-/// A process of a controller.
+/// A running process of a controller.
 struct ControllerProcess {
     controller: Arc<Controller>,
     router: Router,
     stop: CancellationToken,
     duties: JoinSet<&'static str>,
     incarnation: u64,
-    /// With real sockets: its thread.
+    /// The thread that runs the controller in loopback mode (real sockets); `None` otherwise.
     process: Option<Process>,
 }
 
-/// A controller, running or not.
+/// A controller of the cluster, whether or not its process is running.
 struct ControllerSlot {
     zone: String,
     running: Option<ControllerProcess>,
-    /// With real sockets: the thread of the process that ended last.
+    /// In loopback mode, the thread of the last killed process, which may still hold the
+    /// controller's addresses.
     ended: Option<JoinHandle<()>>,
 }
 
 /// The state of the simulated cloud.
 #[derive(Default)]
 struct Cloud {
-    /// The machines that each request got, by its name.
+    /// Ids of the machines provisioned for each request, by request name.
     provision_requests: BTreeMap<String, Vec<String>>,
     machines: BTreeMap<String, ProvisionedMachine>,
-    /// Machines ever provisioned.
+    /// Number of the next machine, counted from 0.
     next: usize,
     down: bool,
     no_capacity: bool,
 }
 
-/// A machine with its times.
+/// A provisioned machine with the times of its lifecycle.
 struct ProvisionedMachine {
     machine: Arc<Machine>,
     created: Instant,
@@ -102,15 +103,16 @@
     terminated_at: Option<Instant>,
 }
 
-/// The simulated cluster. Scenarios, users, machines and the network share it.
+/// The simulated cluster, shared by scenarios, users, machines and the network.
 pub struct Simulation {
     /// When the scenario began.
     pub start: Instant,
-    /// How long an agent's lease lasts.
+    /// Duration of an agent's lease.
     pub lease: Duration,
-    /// How often agents send heartbeats, on average.
+    /// Average interval between an agent's heartbeats.
     pub heartbeat: Duration,
-    /// How long tasks may stay once their user was told that the job is cancelled.
+    /// Maximum time that tasks may stay on machines after their user was informed that the
+    /// job is cancelled.
     pub cancel: Duration,
     /// The state service.
     pub state: StateService,
@@ -124,59 +126,61 @@
     completed: Mutex<BTreeSet<TaskId>>,
     controllers: Mutex<BTreeMap<String, ControllerSlot>>,
     partitions: Mutex<Vec<Partition>>,
-    /// Share of the state service's answers that are lost after execution.
+    /// Share of the state service's answers that are lost after the request was executed.
     response_loss: Mutex<f64>,
-    /// Share of the transactions that are applied late, unanswered, and how late.
+    /// Share of the transactions that are applied late and never answered, and the maximum
+    /// delay.
     commit_delay: Mutex<Delay>,
-    /// Controllers that stand still, until when. Their clocks run on.
+    /// End of the pause of each paused controller. The clocks of a paused process keep running.
     paused: Mutex<BTreeMap<String, Instant>>,
     cloud: Mutex<Cloud>,
-    /// Numbers of the machines on which everything fails.
+    /// Numbers of the machines on which every task fails.
     faulty: Mutex<BTreeSet<usize>>,
-    /// The state that each job's user was told last.
+    /// The job state last reported to each job's user.
     pub reported_states: Mutex<BTreeMap<JobId, String>>,
-    /// The HTTP status that each job's last submission got.
+    /// The HTTP status of the last answer to each job's submission.
     pub submission_statuses: Mutex<BTreeMap<JobId, u16>>,
-    /// Share of the heartbeats that are delivered twice, and how late.
+    /// Share of the heartbeats that are delivered twice, and the maximum delay of the copy.
     duplicates: Mutex<Delay>,
-    /// Share of the jobs that are cancelled as their last task completes.
+    /// Share of the jobs whose users cancel them when the last task completes.
     cancel_at_end: Mutex<f64>,
     gangs: Mutex<Gangs>,
     versions: Mutex<BTreeMap<String, Version>>,
-    /// Faults that have a state of their own.
+    /// Faults whose state is kept separately.
     pub faults: FaultInjection,
     announced_limits: Limits,
-    /// The state service takes up to this much longer for an answer.
+    /// Maximum additional latency of the state service's answers.
     latency: Mutex<Duration>,
     tuning: Tuning,
-    /// Real sockets, in place of the simulated network.
+    /// Real sockets that replace the simulated network; `None` if the network is simulated.
     pub loopback: Option<Loopback>,
-    /// The events so far; none: nobody asked for them.
+    /// The events recorded so far; `None` if tracing is off.
     trace: Option<Mutex<EventTrace>>,
 }
 
 const AGENT_LEASE: Duration = Duration::from_secs(15);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(3);
-/// How long tasks may stay once their user was told that the job is cancelled.
+/// Maximum time that tasks may stay on machines after their user was informed that the job is
+/// cancelled.
 const MAX_CANCEL_TIME: Duration = Duration::from_secs(40);
-/// The cloud lists its machines as they were this long ago.
+/// The cloud's list of machines is this stale.
 const LIST_LAG: Duration = Duration::from_secs(6);
 
-/// What a scenario says of the cluster before anything happens in it.
+/// Initial configuration of the simulated cluster, as stated by a scenario.
 pub struct ClusterSettings {
-    /// The zones; controllers are spread over them.
+    /// The zones; controllers are assigned to them round-robin.
     pub zones: Vec<String>,
-    /// How many controllers there are.
+    /// Number of controllers.
     pub controllers: usize,
     /// The teams with their guarantees and limits.
     pub teams: Vec<Team>,
     /// The cloud's catalog.
     pub types: Vec<TypeSpec>,
-    /// The state service's limits at the start.
+    /// The state service's rate limits at the start.
     pub state_rates: StateRates,
-    /// The limits that it announces.
+    /// The limits that the state service announces and enforces after `state lower-limits`.
     pub announced_limits: Limits,
-    /// The operator's settings, as far as the current version knows them.
+    /// The operator's settings for controllers of the current version.
     pub tuning: Tuning,
 }
 
@@ -194,7 +198,7 @@
 }
 
 impl Simulation {
-    /// A cluster whose controllers are not yet started.
+    /// Creates a cluster whose controllers are not yet started.
     pub fn new(settings: ClusterSettings) -> Arc<Self> {
         let state = StateService::default();
         state.set_limits(settings.state_rates);
@@ -238,55 +242,62 @@
         })
     }
 
-    /// The time since the start of the scenario.
+    /// Returns the time since the start of the scenario.
     pub fn at(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Keeps the ordered events from now on, for [`Self::take_trace`].
+    /// Starts recording events, to be read by [`Self::take_trace`].
     pub fn keep_trace(&mut self) {
         self.trace = Some(Mutex::default());
     }
 
-    /// The events since [`Self::keep_trace`].
+    /// Returns and clears the events recorded since [`Self::keep_trace`].
     pub fn take_trace(&self) -> EventTrace {
         let trace = self.trace.as_ref();
         trace.map_or_else(EventTrace::default, |trace| {
-            std::mem::take(&mut *trace.lock().expect("trace"))
+            std::mem::take(&mut *trace.lock().expect("trace lock"))
         })
     }
 
-    /// Adds an event to the trace, if one is kept.
+    /// Adds an event to the trace if tracing is on.
     pub(crate) fn trace(&self, describe: impl FnOnce() -> String) {
         if let Some(trace) = &self.trace {
             let event = describe();
-            trace.lock().expect("trace").record(self.at(), &event);
+            trace.lock().expect("trace lock").record(self.at(), &event);
         }
     }
 
     /// Passes an event to the rule checkers.
     pub fn record(&self, event: Event) {
         self.trace(|| format!("{event:?}"));
-        self.rules.lock().expect("rules").record(self.at(), event);
+        self.rules
+            .lock()
+            .expect("rules lock")
+            .record(self.at(), event);
     }
 
-    /// All injected faults are over.
+    /// Informs the rule checkers that all injected faults are over.
     pub fn note_faults_ended(&self) {
         self.rules
             .lock()
-            .expect("rules")
+            .expect("rules lock")
             .note_faults_ended(self.at());
     }
 
-    /// The scenario is over: lets the rule checkers look at it as a whole.
+    /// Checks the rules that apply to the scenario as a whole, at its end.
     pub fn finish(&self) {
-        self.rules.lock().expect("rules").finish(self.at());
+        self.rules.lock().expect("rules lock").finish(self.at());
     }
 
-    /// Lets the rule checkers look at what becomes wrong with time; called often.
+    /// Checks the rules that can be violated by the passing of time. Must be called periodically.
+    /// Also delivers kept heartbeat duplicates if a new leader has started.
     pub fn check_rules(self: &Arc<Self>) {
         self.deliver_kept_duplicates();
-        self.rules.lock().expect("rules").check_deadlines(self.at());
+        self.rules
+            .lock()
+            .expect("rules lock")
+            .check_deadlines(self.at());
         let machines = self.machines();
         let free: Vec<FreeCapacity> = machines
             .iter()
@@ -299,34 +310,34 @@
                 tasks.map(|task| (task, machine.kind.clone()))
             })
             .collect();
-        let mut rules = self.rules.lock().expect("rules");
+        let mut rules = self.rules.lock().expect("rules lock");
         rules.check_waiting(self.at(), &free, &placed);
     }
 
-    /// The rules that were broken, one line each.
+    /// Returns the rule violations found so far, one line each.
     pub fn violations(&self) -> Vec<String> {
-        let mut broken = self.rules.lock().expect("rules").violations.clone();
+        let mut broken = self.rules.lock().expect("rules lock").violations.clone();
         broken.extend(self.state.too_large());
         broken
     }
 
-    /// How many tasks of the job are on machines.
+    /// Returns the number of the job's tasks that are on machines.
     pub fn running(&self, job: &JobId) -> usize {
-        self.rules.lock().expect("rules").running(job)
+        self.rules.lock().expect("rules lock").running(job)
     }
 
     /// See [`Rules::waits`].
     pub fn waits(&self) -> Vec<(Duration, Option<Duration>)> {
-        self.rules.lock().expect("rules").waits()
+        self.rules.lock().expect("rules lock").waits()
     }
 
     /// See [`Rules::used`].
     pub fn used(&self) -> BTreeMap<TeamName, f64> {
-        self.rules.lock().expect("rules").used()
+        self.rules.lock().expect("rules lock").used()
     }
 
-    /// How often a task was started.
+    /// Returns the number of task starts.
     pub fn starts(&self) -> usize {
-        self.rules.lock().expect("rules").starts
+        self.rules.lock().expect("rules lock").starts
     }
 }
--- a/crates/simulator/src/simulation/cloud.rs
+++ b/crates/simulator/src/simulation/cloud.rs
@@ -1,4 +1,4 @@
-//! The simulated cloud: it provisions, boots and lists machines, and takes them back.
+//! The simulated cloud: it provisions, boots, lists and terminates machines.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,18 +11,18 @@
     rules::MachineKind,
 };
 
-/// Machines in one provision request, at most.
+/// Maximum number of machines in a provision request.
 const MAX_MACHINES_IN_REQUEST: usize = 50;
-/// Machines in one request to release some, at most.
+/// Maximum number of machines in a release request.
 const MAX_MACHINES_IN_RELEASE: usize = 100;
 
 impl ProvisionedMachine {
-    /// Whether the cloud lists the machine at this time.
+    /// Whether the machine existed at this time.
     fn is_listed(&self, at: Instant) -> bool {
         self.created <= at && self.terminated_at.is_none_or(|terminated| terminated > at)
     }
 
-    /// The machine's entry in a list of this time.
+    /// Returns the machine's entry in a list as of this time.
     fn list_entry(&self, id: &str, at: Instant) -> Value {
         let is_up = self.up_at.is_some_and(|up_at| up_at <= at);
         let kind = &self.machine.kind;
@@ -34,7 +34,7 @@
 }
 
 impl TypeSpec {
-    /// The type's entry in the catalog.
+    /// Returns the type's entry in the catalog.
     fn catalog_entry(&self) -> Value {
         json!({"label": self.name, "cpus": self.cpus, "gpus": 0, "ram_gb": self.memory,
             "cache_gb": 40.0, "fetch_gb_per_s": 0.5, "rate": self.price,
@@ -42,7 +42,7 @@
     }
 }
 
-/// A controller's request for machines.
+/// A controller's request to provision machines.
 struct ProvisionRequest {
     name: String,
     number: usize,
@@ -50,7 +50,7 @@
 }
 
 impl ProvisionRequest {
-    /// Reads a request, or panics: a controller may send none but valid ones.
+    /// Parses a request; panics if it is invalid, since a controller must send valid ones only.
     fn read(body: &[u8]) -> Self {
         let message: Value = serde_json::from_slice(body).expect("a provision request is JSON");
         let text = |field: &str| {
@@ -81,7 +81,7 @@
 }
 
 impl Cloud {
-    /// How many more machines of a kind there are.
+    /// Returns how many more machines of a kind can be provisioned.
     fn capacity_left(&self, machine_type: &TypeSpec, kind: &MachineKind) -> usize {
         if self.no_capacity {
             return 0;
@@ -102,24 +102,25 @@
 }
 
 impl Simulation {
-    /// The cloud answers nobody, or answers again.
+    /// Starts or ends an outage of the cloud's API.
     pub fn set_cloud(&self, down: bool) {
-        self.cloud.lock().expect("cloud").down = down;
+        self.cloud.lock().expect("cloud lock").down = down;
     }
 
-    /// The cloud has no machines left to provision, or has some again.
+    /// Starts or ends a fault in which the cloud has no capacity for further machines.
     pub fn set_no_capacity(&self, none: bool) {
-        self.cloud.lock().expect("cloud").no_capacity = none;
+        self.cloud.lock().expect("cloud lock").no_capacity = none;
     }
 
-    /// The n-th machine ever provisioned fails whatever runs on it.
+    /// Makes every task fail on machine number `n`, counted from 0 in the order of provisioning.
+    /// Must be called before that machine is provisioned.
     pub fn set_faulty(&self, n: usize) {
-        self.faulty.lock().expect("faulty").insert(n);
+        self.faulty.lock().expect("faulty machines lock").insert(n);
     }
 
-    /// The machines that have booted and are not terminated.
+    /// Returns the machines that have booted and are not terminated.
     pub fn machines(&self) -> Vec<Arc<Machine>> {
-        let cloud = self.cloud.lock().expect("cloud");
+        let cloud = self.cloud.lock().expect("cloud lock");
         cloud
             .machines
             .values()
@@ -131,9 +132,9 @@
             .collect()
     }
 
-    /// Machines that are paid for.
+    /// Returns the number of machines that are paid for: provisioned and not terminated.
     pub fn paid(&self) -> usize {
-        let cloud = self.cloud.lock().expect("cloud");
+        let cloud = self.cloud.lock().expect("cloud lock");
         cloud
             .machines
             .values()
@@ -143,14 +144,14 @@
             .count()
     }
 
-    /// Machines ever provisioned.
+    /// Returns the number of machines ever provisioned.
     pub fn provisioned(&self) -> usize {
-        self.cloud.lock().expect("cloud").machines.len()
+        self.cloud.lock().expect("cloud lock").machines.len()
     }
 
-    /// A machine that has booted, terminated or not.
+    /// Returns a machine that has booted, even if it is terminated by now.
     pub(super) fn machine(&self, id: &str) -> Option<Arc<Machine>> {
-        let cloud = self.cloud.lock().expect("cloud");
+        let cloud = self.cloud.lock().expect("cloud lock");
         let provisioned = cloud.machines.get(id)?;
         provisioned
             .up_at
@@ -158,14 +159,14 @@
             .then(|| provisioned.machine.clone())
     }
 
-    /// Answers a controller's request to the cloud: status and body.
+    /// Answers a controller's request to the cloud; returns HTTP status and body.
     pub(super) fn serve_cloud(
         self: &Arc<Self>,
         method: &str,
         path: &str,
         body: &[u8],
     ) -> (u16, Value) {
-        if self.cloud.lock().expect("cloud").down {
+        if self.cloud.lock().expect("cloud lock").down {
             return (503, json!({"error": "trouble"}));
         }
         match (method, path.split('?').next().unwrap_or(path)) {
@@ -191,17 +192,17 @@
         let ids = message["mounts"].as_array().expect("a release has ids");
         assert!(
             ids.len() <= MAX_MACHINES_IN_RELEASE,
-            "too many names in a return"
+            "too many machines in a release"
         );
         for id in ids {
             self.remove(id.as_str().expect("an id is a string"));
         }
     }
 
-    /// The machines as they were some time ago.
+    /// Lists the machines as they were `LIST_LAG` ago.
     fn list_machines(&self) -> Vec<Value> {
         let then = Instant::now().checked_sub(LIST_LAG).unwrap_or(self.start);
-        let cloud = self.cloud.lock().expect("cloud");
+        let cloud = self.cloud.lock().expect("cloud lock");
         cloud
             .machines
             .iter()
@@ -210,10 +211,11 @@
             .collect()
     }
 
-    /// Provisions as many of the machines as there are; a repeated request gets the same ones.
+    /// Provisions the requested machines, or fewer if the capacity does not suffice. A repeated
+    /// request returns the same machines.
     fn provision(self: &Arc<Self>, body: &[u8]) -> (u16, Value) {
         let request = ProvisionRequest::read(body);
-        let mut cloud = self.cloud.lock().expect("cloud");
+        let mut cloud = self.cloud.lock().expect("cloud lock");
         if let Some(known) = cloud.provision_requests.get(&request.name) {
             return (200, json!({"mounts": known}));
         }
@@ -235,7 +237,7 @@
         (200, json!({"mounts": ids}))
     }
 
-    /// Adds a machine, which boots unless a fault keeps it from that; its id.
+    /// Adds a machine and boots it unless a fault prevents that; returns its id.
     fn provision_machine(
         self: &Arc<Self>,
         cloud: &mut Cloud,
@@ -243,7 +245,11 @@
         kind: &MachineKind,
     ) -> String {
         let id = format!("vm-{:06}", cloud.next);
-        let is_faulty = self.faulty.lock().expect("faulty").contains(&cloud.next);
+        let is_faulty = self
+            .faulty
+            .lock()
+            .expect("faulty machines lock")
+            .contains(&cloud.next);
         cloud.next += 1;
         let capacity = Capacity {
             cpus: machine_type.cpus,
@@ -265,7 +271,7 @@
         id
     }
 
-    /// Boots a machine, if it is not terminated until then, and lets it run to its end.
+    /// Waits for the boot time, then runs the machine unless it was terminated meanwhile.
     async fn boot_machine(self: Arc<Self>, machine: Arc<Machine>, boot_time: Duration) {
         tokio::time::sleep(boot_time).await;
         if !self.note_booted(&machine.id) {
@@ -278,9 +284,9 @@
         machine.run(self).await;
     }
 
-    /// The machine is up from now on; false: it is terminated.
+    /// Marks the machine as booted; returns false if it was terminated.
     fn note_booted(&self, id: &str) -> bool {
-        let mut cloud = self.cloud.lock().expect("cloud");
+        let mut cloud = self.cloud.lock().expect("cloud lock");
         match cloud.machines.get_mut(id) {
             Some(provisioned) if provisioned.terminated_at.is_none() => {
                 provisioned.up_at = Some(Instant::now());
@@ -290,10 +296,10 @@
         }
     }
 
-    /// The machine and all that was on it are gone.
+    /// Terminates a machine and all tasks on it.
     pub fn remove(&self, id: &str) {
         let machine = {
-            let mut cloud = self.cloud.lock().expect("cloud");
+            let mut cloud = self.cloud.lock().expect("cloud lock");
             let Some(provisioned) = cloud.machines.get_mut(id) else {
                 return;
             };
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers of the simulated cluster: their processes, versions and leader.
+//! Controllers of the simulated cluster: their processes, configuration, versions and leader.
 
 use std::{
     collections::BTreeMap,
@@ -26,16 +26,16 @@
     versions::Version,
 };
 
-/// Requests that the cloud allows a second.
+/// Maximum requests per second to the cloud, as configured in the controllers.
 const CLOUD_RPS: f64 = 5.0;
-/// Connections that a controller accepts.
+/// Maximum number of connections that a controller accepts.
 const MAX_CONNECTIONS: usize = 500;
-/// Machines that a controller's settings provide for.
+/// Maximum number of machines, as configured in the controllers.
 const MACHINES_TRACKED: usize = 8_192;
-/// The wall clock at the start of a scenario, since the Unix epoch.
+/// Wall-clock time at the start of a scenario, since the Unix epoch.
 const WALL_CLOCK_START: Duration = Duration::from_secs(1_700_000_000);
 
-/// Where a controller is, and the other controllers with their zones.
+/// Zone of a controller, and the other controllers with their zones.
 struct ControllerPlace {
     zone: ZoneName,
     peers: Vec<(ControllerName, ZoneName)>,
@@ -51,41 +51,41 @@
 ) -> &'a mut ControllerSlot {
     controllers
         .get_mut(name)
-        .expect("a controller of the scenario")
+        .expect("the scenario has a controller of this name")
 }
 
 impl Simulation {
-    /// The names of all controllers, running or not.
+    /// Returns the names of all controllers, running or not.
     pub fn controller_names(&self) -> Vec<String> {
         self.controllers
             .lock()
-            .expect("controllers")
+            .expect("controllers lock")
             .keys()
             .cloned()
             .collect()
     }
 
-    /// The sides of a network partition that the controller is on.
+    /// Returns the tags by which network partitions select the controller.
     pub(super) fn controller_tags(&self, name: &str) -> Vec<String> {
-        let zone = self.controllers.lock().expect("controllers")[name]
+        let zone = self.controllers.lock().expect("controllers lock")[name]
             .zone
             .clone();
         vec![name.to_owned(), "controllers".into(), zone]
     }
 
-    /// The server and the incarnation of a running controller.
+    /// Returns the HTTP router and the incarnation of a controller, if it is running.
     pub(super) fn router(&self, name: &str) -> Option<(Router, u64)> {
-        let controllers = self.controllers.lock().expect("controllers");
+        let controllers = self.controllers.lock().expect("controllers lock");
         let running = controllers.get(name)?.running.as_ref()?;
         Some((running.router.clone(), running.incarnation))
     }
 
-    /// Whether this incarnation of the controller still runs.
+    /// Whether this incarnation of the controller is still running.
     pub(super) fn is_alive(&self, name: &str, incarnation: u64) -> bool {
         self.router(name).is_some_and(|(_, now)| now == incarnation)
     }
 
-    /// Starts the controller, unless it runs already.
+    /// Starts the controller unless it is already running.
     pub fn boot_controller(self: &Arc<Self>, name: &str) {
         let Some(place) = self.place_of_stopped(name) else {
             return;
@@ -97,13 +97,13 @@
             Some(loopback) => self.start_on_loopback(loopback, name, incarnation, config),
             None => self.start_simulated(name, incarnation, config, &peers),
         };
-        let mut controllers = self.controllers.lock().expect("controllers");
+        let mut controllers = self.controllers.lock().expect("controllers lock");
         slot_of(&mut controllers, name).running = Some(process);
     }
 
-    /// Zone and peers of a controller that does not run; none: it runs.
+    /// Returns zone and peers of a stopped controller, or `None` if it is running.
     fn place_of_stopped(&self, name: &str) -> Option<ControllerPlace> {
-        let controllers = self.controllers.lock().expect("controllers");
+        let controllers = self.controllers.lock().expect("controllers lock");
         if controllers[name].running.is_some() {
             return None;
         }
@@ -145,7 +145,7 @@
         }
     }
 
-    /// The state service's limits as the settings of a controller of this version have them.
+    /// Returns the state service's limits as configured in a controller of this version.
     fn state_limits_for(&self, version: Version) -> StateLimits {
         let rates = self.state_rates;
         let sizes = self.limits_of(version);
@@ -167,7 +167,7 @@
         config: Config,
     ) -> ControllerProcess {
         let ended = {
-            let mut controllers = self.controllers.lock().expect("controllers");
+            let mut controllers = self.controllers.lock().expect("controllers lock");
             slot_of(&mut controllers, name).ended.take()
         };
         let process = loopback.start(config, ended);
@@ -213,12 +213,13 @@
         }
     }
 
-    /// Moves this cluster to real sockets.
+    /// Switches this cluster to loopback mode (real sockets).
     pub fn use_loopback(&mut self) {
         self.loopback = Some(Loopback::default());
     }
 
-    /// With real sockets: lets state service and cloud listen.
+    /// Starts the listeners of the state service and the cloud in loopback mode; does nothing if
+    /// the network is simulated.
     pub async fn serve_services(self: &Arc<Self>) {
         if let Some(loopback) = &self.loopback {
             for name in self.controller_names() {
@@ -227,7 +228,8 @@
         }
     }
 
-    /// The sizes that a version keeps to: the oldest knows nothing of limits to come.
+    /// Returns the limits whose sizes a version respects: the oldest one does not know the
+    /// announced limits.
     pub(super) fn limits_of(&self, version: Version) -> Limits {
         match version {
             Version::BeforeGangs => Limits::default(),
@@ -237,24 +239,24 @@
         }
     }
 
-    /// The controller is of this version from its next start on.
+    /// Sets the version with which the controller runs from its next start.
     pub fn set_version(&self, name: &str, version: Version) {
-        let mut versions = self.versions.lock().expect("versions");
+        let mut versions = self.versions.lock().expect("versions lock");
         versions.insert(name.to_owned(), version);
     }
 
-    /// The version that the controller has, or will have from its next start on.
+    /// Returns the controller's version: the one last set, even before the restart.
     pub(super) fn version(&self, name: &str) -> Version {
-        let versions = self.versions.lock().expect("versions");
+        let versions = self.versions.lock().expect("versions lock");
         versions.get(name).copied().unwrap_or_default()
     }
 
-    /// What the controller can read and write.
+    /// Returns the protocol version that the controller announces.
     pub(super) fn protocol_version_of(&self, name: &str) -> ProtocolVersion {
         self.version(name).protocol_version(&self.tuning)
     }
 
-    /// The state service's limits fall to those that were announced.
+    /// Lowers the state service's limits to the announced ones.
     pub fn lower_limits(&self) {
         let announced = &self.announced_limits;
         self.state.set_limits(StateRates {
@@ -264,10 +266,10 @@
         self.state.set_sizes(announced.ops, announced.value);
     }
 
-    /// Ends the controller's process at once, if it runs.
+    /// Kills the controller's process if it is running.
     pub fn kill_controller(&self, name: &str) {
         let running = {
-            let mut controllers = self.controllers.lock().expect("controllers");
+            let mut controllers = self.controllers.lock().expect("controllers lock");
             slot_of(&mut controllers, name).running.take()
         };
         let Some(mut running) = running else {
@@ -276,13 +278,13 @@
         running.duties.abort_all();
         running.stop.cancel();
         let ended = running.process.map(Process::kill);
-        let mut controllers = self.controllers.lock().expect("controllers");
+        let mut controllers = self.controllers.lock().expect("controllers lock");
         slot_of(&mut controllers, name).ended = ended;
     }
 
-    /// The controller that leads, as far as anybody thinks so.
+    /// Returns the first running controller that is the leader according to its own state cache.
     pub fn leader(&self) -> Option<String> {
-        let controllers = self.controllers.lock().expect("controllers");
+        let controllers = self.controllers.lock().expect("controllers lock");
         controllers
             .iter()
             .filter_map(|(name, slot)| Some((name, slot.running.as_ref()?)))
@@ -296,10 +298,10 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// The leading process: its controller, and which incarnation of that controller.
+    /// Returns name and incarnation of the leading controller, which identify its process.
     pub fn leader_incarnation(&self) -> Option<String> {
         let name = self.leader()?;
-        let controllers = self.controllers.lock().expect("controllers");
+        let controllers = self.controllers.lock().expect("controllers lock");
         let incarnation = controllers.get(&name)?.running.as_ref()?.incarnation;
         Some(format!("{name}-{incarnation}"))
     }
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -1,5 +1,5 @@
-//! The simulated network, as one controller's process sees it: delays, partitions, lost
-//! answers and process pauses stand between it and the simulated services.
+//! The simulated network of one controller's process: applies delays, partitions, lost answers
+//! and process pauses to its traffic with the simulated services and other controllers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,10 +16,10 @@
 use super::Simulation;
 use crate::rules::Event;
 
-/// How often a held request looks whether its partition has healed.
+/// Interval at which a held request checks whether its partition has healed.
 const HELD_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The protocol version that a controller must have to read a request.
+/// Returns the minimum protocol version that a controller needs to read a request.
 fn needed_version(request: &PeerRequest) -> ProtocolVersion {
     match request {
         PeerRequest::CancelledSince(_) => ProtocolVersion::CANCELLATIONS,
@@ -33,7 +33,7 @@
     }
 }
 
-/// One controller's network.
+/// Simulated network of one controller's process.
 pub struct SimNet {
     simulation: Arc<Simulation>,
     controller: String,
@@ -41,7 +41,7 @@
 }
 
 impl SimNet {
-    /// The network of one process of a controller.
+    /// Creates the network of one process of a controller.
     pub fn new(simulation: &Arc<Simulation>, controller: &str, incarnation: u64) -> Self {
         Self {
             simulation: simulation.clone(),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The network of the process that the controller runs now.
+    /// Creates the network of the controller's running process, if there is one.
     pub fn of_living(simulation: &Arc<Simulation>, controller: &str) -> Option<Self> {
         let (_, incarnation) = simulation.router(controller)?;
         Some(Self::new(simulation, controller, incarnation))
@@ -75,7 +75,7 @@
         });
         match request.address.as_str() {
             "state" => {
-                let latency = *simulation.latency.lock().expect("latency");
+                let latency = *simulation.latency.lock().expect("latency lock");
                 if !latency.is_zero() {
                     tokio::time::sleep(latency.mul_f64(jitter::uniform(0.1, 1.0))).await;
                 }
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Sends a request; its answer may never come.
+    /// Sends a request. The future never completes if the request or its answer is lost.
     pub async fn send(&self, request: HttpRequest) -> Result<HttpResponse, SendError> {
         let here = self.simulation.controller_tags(&self.controller);
         let there = self.tags(&request.address);
@@ -138,23 +138,32 @@
         })
     }
 
-    /// How late an unanswered request is carried out; none: at once, with an answer.
+    /// Draws the delay of a request that is executed late and never answered; `None` if the
+    /// request is not affected.
     fn draw_delay(&self, request: &HttpRequest) -> Option<Duration> {
         if request.path == "/orders"
             && let Some(delay) = self.simulation.faults.draw_command_delay()
         {
             return Some(delay);
         }
-        let delay = *self.simulation.commit_delay.lock().expect("commit delay");
+        let delay = *self
+            .simulation
+            .commit_delay
+            .lock()
+            .expect("commit delay lock");
         if request.path == "/commit" && jitter::uniform(0.0, 1.0) < delay.share {
             return Some(delay.max.mul_f64(jitter::uniform(0.0, 1.0)));
         }
         None
     }
 
-    /// Whether the answer to an executed request is lost.
+    /// Draws whether the answer to an executed request is lost.
     fn draw_response_loss(&self, request: &HttpRequest) -> bool {
-        let share = *self.simulation.response_loss.lock().expect("response loss");
+        let share = *self
+            .simulation
+            .response_loss
+            .lock()
+            .expect("response loss lock");
         request.address == "state"
             && !request.path.starts_with("/follow")
             && jitter::uniform(0.0, 1.0) < share
@@ -168,7 +177,7 @@
         });
     }
 
-    /// Delivers a request once the partition has healed, whoever has given up by then.
+    /// Delivers a request once the partition has healed, even if its sender has timed out by then.
     fn execute_once_healed(&self, request: HttpRequest, here: Vec<String>, there: Vec<String>) {
         let (simulation, controller) = (self.simulation.clone(), self.controller.clone());
         tokio::spawn(async move {
@@ -189,8 +198,8 @@
             tokio::pin!(sending);
             let mut answer = tokio::time::timeout(timeout, sending.as_mut()).await;
             if self.simulation.is_paused(&self.controller) {
-                // Answer and timeout are found together when it goes on; the answer
-                // is looked at first.
+                // When the process resumes, it may find both an answer and an expired timeout. The
+                // answer takes precedence.
                 self.simulation.until_resumed(&self.controller).await;
                 if answer.is_err() {
                     let at_once = Duration::from_millis(1);
@@ -221,7 +230,11 @@
                     return futures::future::pending().await;
                 }
                 let controller = {
-                    let controllers = self.simulation.controllers.lock().expect("controllers");
+                    let controllers = self
+                        .simulation
+                        .controllers
+                        .lock()
+                        .expect("controllers lock");
                     controllers
                         .get(address)
                         .and_then(|slot| slot.running.as_ref())
--- a/crates/simulator/src/simulation/network_faults.rs
+++ b/crates/simulator/src/simulation/network_faults.rs
@@ -9,37 +9,42 @@
 use super::Simulation;
 use crate::faults::{Delay, DuplicateHeartbeat};
 
-/// A duplicated heartbeat is delivered this much later, at least.
+/// Minimum delay of the copy of a duplicated heartbeat.
 const MIN_DUPLICATE_DELAY: Duration = Duration::from_secs(1);
 
-/// A network partition: between two tags nothing passes.
+/// A network partition between all members with one tag and all members with another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Partition {
-    /// The tag of one side: a zone, a controller, a machine or a kind of them.
+    /// Tag of one side: name of a zone, controller, machine or service, or a group of them such as
+    /// `agents`.
     pub a: String,
-    /// The tag of the other side.
+    /// Tag of the other side.
     pub b: String,
-    /// Requests pass once the partition has healed; otherwise they are lost.
+    /// Whether requests of controllers to the services and agents are delivered once the partition
+    /// has healed; otherwise they are lost.
     pub holds_packets: bool,
 }
 
 impl Simulation {
-    /// A partition begins.
+    /// Starts a partition.
     pub fn add_partition(&self, partition: Partition) {
-        self.partitions.lock().expect("partitions").push(partition);
+        self.partitions
+            .lock()
+            .expect("partitions lock")
+            .push(partition);
     }
 
-    /// A partition is over.
+    /// Ends a partition.
     pub fn heal_partition(&self, partition: &Partition) {
         self.partitions
             .lock()
-            .expect("partitions")
+            .expect("partitions lock")
             .retain(|other| other != partition);
     }
 
-    /// A partition that separates these two, by their tags.
+    /// Returns a partition that separates the owners of these tags, if there is one.
     pub(super) fn partition_between(&self, from: &[String], to: &[String]) -> Option<Partition> {
-        let partitions = self.partitions.lock().expect("partitions");
+        let partitions = self.partitions.lock().expect("partitions lock");
         partitions
             .iter()
             .find(|partition| {
@@ -50,25 +55,25 @@
             .cloned()
     }
 
-    /// This share of the state service's answers is lost after execution.
+    /// Sets the share of the state service's answers that are lost after the request was executed.
     pub fn set_response_loss(&self, share: f64) {
-        *self.response_loss.lock().expect("response loss") = share;
+        *self.response_loss.lock().expect("response loss lock") = share;
     }
 
-    /// The state service takes up to this much longer for an answer.
+    /// Sets the maximum additional latency of the state service's answers.
     pub fn set_latency(&self, max: Duration) {
-        *self.latency.lock().expect("latency") = max;
+        *self.latency.lock().expect("latency lock") = max;
     }
 
-    /// A share of the transactions is unanswered and applied late.
+    /// Sets the share of the transactions that are applied late and never answered.
     pub fn set_commit_delay(&self, delay: Delay) {
-        *self.commit_delay.lock().expect("commit delay") = delay;
+        *self.commit_delay.lock().expect("commit delay lock") = delay;
     }
 
-    /// The controller's process stands still for this long, while its clocks run on.
+    /// Pauses the controller's process for this long, while its clocks keep running.
     pub fn pause_controller(&self, controller: &str, time: Duration) {
         if self.loopback.is_some() {
-            let controllers = self.controllers.lock().expect("controllers");
+            let controllers = self.controllers.lock().expect("controllers lock");
             let running = controllers
                 .get(controller)
                 .and_then(|slot| slot.running.as_ref());
@@ -80,33 +85,44 @@
         let until = Instant::now() + time;
         self.paused
             .lock()
-            .expect("paused")
+            .expect("paused controllers lock")
             .insert(controller.into(), until);
     }
 
-    /// What a paused controller was about to send or to receive waits until it goes on.
+    /// Waits while the controller is paused.
     pub(super) async fn until_resumed(&self, controller: &str) {
-        let until = self.paused.lock().expect("paused").get(controller).copied();
+        let until = self
+            .paused
+            .lock()
+            .expect("paused controllers lock")
+            .get(controller)
+            .copied();
         if let Some(until) = until {
             tokio::time::sleep_until(until).await;
         }
     }
 
-    /// Whether the controller's process stands still.
+    /// Whether the controller's process is paused.
     pub(super) fn is_paused(&self, controller: &str) -> bool {
-        let until = self.paused.lock().expect("paused").get(controller).copied();
+        let until = self
+            .paused
+            .lock()
+            .expect("paused controllers lock")
+            .get(controller)
+            .copied();
         until.is_some_and(|until| until > Instant::now())
     }
 
-    /// From now on a share of all heartbeats is delivered again, up to this much
-    /// later, to any controller.
+    /// Sets the share of the heartbeats that are delivered again to a random controller, and the
+    /// maximum delay of the copy (beyond a minimum of one second).
     pub fn set_duplicates(&self, delay: Delay) {
-        *self.duplicates.lock().expect("duplicates") = delay;
+        *self.duplicates.lock().expect("duplicates lock") = delay;
     }
 
-    /// Delivers a copy of this heartbeat later, if it is one of that share.
+    /// Draws whether this heartbeat is duplicated; if so, delivers a copy later or keeps it for the
+    /// next leader.
     pub fn duplicate_heartbeat(self: &Arc<Self>, tags: &[String], body: &str) {
-        let delay = *self.duplicates.lock().expect("duplicates");
+        let delay = *self.duplicates.lock().expect("duplicates lock");
         if delay.share <= 0.0 || jitter::uniform(0.0, 1.0) >= delay.share {
             return;
         }
--- a/crates/simulator/src/simulation/requests.rs
+++ b/crates/simulator/src/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of users and agents to a controller's server.
+//! Requests of users and agents to controllers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,13 +8,14 @@
 
 use super::Simulation;
 
-/// How often a sender on the other side of a partition looks whether it has healed.
+/// Interval at which a request that a partition blocks checks whether it has healed.
 const PARTITION_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// The largest answer that a controller may give.
+/// Maximum size of a controller's answer.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
 impl Simulation {
-    /// A request to a controller's server; none: no connection.
+    /// Sends a request to a controller; returns `None` if the controller is not running, or stops
+    /// before it has answered. Waits while a partition blocks the request or its answer.
     pub async fn to_controller(
         self: &Arc<Self>,
         from: &[String],
@@ -51,7 +52,7 @@
             .await
             .ok()?;
         tokio::time::sleep(jitter::millis(1, 4)).await;
-        // Decided before the pause, sent after it.
+        // An answer computed before a pause of the process is sent after it.
         self.until_resumed(name).await;
         while self.partition_between(from, &tags).is_some() {
             tokio::time::sleep(PARTITION_CHECK_INTERVAL).await;
--- a/crates/simulator/src/state_service/database.rs
+++ b/crates/simulator/src/state_service/database.rs
@@ -1,4 +1,4 @@
-//! What the simulated state service stores, and its transactions.
+//! Data of the simulated state service, and its transactions.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,28 +11,29 @@
 
 use super::{Limits, Reply, rate_limit::RateLimit};
 
-/// A transaction may have this many times as many conditions as changes.
+/// Maximum number of conditions in a transaction, per change that the size limits allow.
 const CONDITIONS_PER_CHANGE: usize = 4;
-/// A transaction's message is never larger.
+/// Maximum size of a transaction's message. The service panics on a larger one, since a controller
+/// must never send it.
 const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
-/// Keys of outcomes, which are written once and never removed.
+/// Prefix of the keys of job outcomes, which are written once and never removed.
 const OUTCOME_PREFIX: &str = "fate/";
 
 /// A stored value.
 pub(super) struct Entry {
-    /// What was written, as JSON.
+    /// The value as JSON.
     pub(super) value: Value,
     /// The revision that wrote it.
     pub(super) revision: u64,
-    /// The lease that it goes with.
+    /// The lease with whose expiry the entry is removed.
     lease: Option<u64>,
 }
 
-/// A change that followers are told of.
+/// A change as sent to the controllers that follow the changes.
 pub(super) struct Change {
     /// The revision that made it.
     pub(super) revision: u64,
-    /// The change in the protocol's words.
+    /// The change as the protocol's JSON.
     pub(super) event: Value,
 }
 
@@ -41,41 +42,42 @@
     expires_at: Instant,
 }
 
-/// Keys, leases and changes, the limits and faults of the service, and what it has counted.
+/// Keys, leases, changes, limits, faults and counters of the service.
 #[derive(Default)]
 pub(super) struct Database {
-    /// The last change's revision.
+    /// Revision of the last change.
     pub(super) revision: u64,
-    /// What is stored now, by key.
+    /// The stored entries, by key.
     pub(super) entries: BTreeMap<String, Entry>,
-    /// All changes ever, by revision.
+    /// All changes since the start, ordered by revision.
     pub(super) changes: Vec<Change>,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
-    /// It answers nobody, and its leases do not expire.
+    /// Whether the service is down: requests get 503, long polls are held until the outage ends, and
+    /// leases do not expire.
     pub(super) is_down: bool,
-    /// Controllers that it answers with 503 only.
+    /// Controllers that the service rejects: their requests get 503, their long polls are held.
     pub(super) rejected_controllers: BTreeSet<String>,
-    /// Requests a second.
+    /// Limit on requests per second.
     pub(super) request_limit: RateLimit,
-    /// Changes a second.
+    /// Limit on changes per second.
     pub(super) write_limit: RateLimit,
-    /// Changes in a transaction and bytes in a value; none: those of the start.
+    /// Size limits of transactions; `None` while the defaults apply.
     pub(super) size_limits: Option<SizeLimits>,
-    /// Transactions beyond these.
+    /// Descriptions of the transactions that exceeded the size limits.
     pub(super) too_large: Vec<String>,
-    /// Changes asked for, those of failed transactions included.
+    /// Number of requested changes, including those of failed transactions.
     pub(super) requested_changes: usize,
-    /// Changes made, by the kind of record: `+` written, `-` removed.
+    /// Number of changes made by transactions, by the kind of record: `+` written, `-` removed.
     pub(super) changes_by_kind: BTreeMap<String, usize>,
 }
 
-/// How large a transaction may be.
+/// Size limits of a transaction.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SizeLimits {
-    /// Changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub(super) changes: usize,
-    /// Bytes in a value.
+    /// Maximum size of a value in bytes.
     pub(super) value_bytes: usize,
 }
 
@@ -124,7 +126,7 @@
         }
     }
 
-    /// A new lease; its number.
+    /// Grants a lease; returns its id.
     pub(super) fn grant_lease(&mut self, time_to_live: Duration) -> u64 {
         self.last_lease += 1;
         let lease = Lease {
@@ -135,7 +137,7 @@
         self.last_lease
     }
 
-    /// Renews a lease; false: it does not exist.
+    /// Renews a lease; returns false if it does not exist.
     #[must_use]
     pub(super) fn renew_lease(&mut self, id: u64) -> bool {
         let Some(lease) = self.leases.get_mut(&id) else {
@@ -145,7 +147,7 @@
         true
     }
 
-    /// Renews all leases, as the service does when it comes back.
+    /// Renews all leases, as the service does at the end of an outage.
     pub(super) fn renew_all_leases(&mut self) {
         let now = Instant::now();
         for lease in self.leases.values_mut() {
@@ -159,7 +161,7 @@
             return (400, json!({"error": "malformed"}));
         };
         if let Some(what) = self.find_too_large(&transaction) {
-            // Nobody is to send such a transaction.
+            // The violation is reported: a controller must never send such a transaction.
             self.too_large.push(format!("too large: {what}"));
             return (400, json!({"error": "too large"}));
         }
@@ -190,7 +192,7 @@
         (200, json!({"ledger": self.revision}))
     }
 
-    /// What is too large in a transaction, if anything is.
+    /// Returns which size limit a transaction exceeds, if any.
     fn find_too_large(&self, transaction: &TransactionRequest) -> Option<String> {
         let limits = self.size_limits.unwrap_or_default();
         let changes = transaction.operations.len();
@@ -207,7 +209,7 @@
         })
     }
 
-    /// The keys whose revision is not the one that the transaction depends on.
+    /// Returns the keys whose revision differs from the one in the transaction's condition.
     fn failed_conditions<'a>(&self, transaction: &'a TransactionRequest) -> Vec<&'a String> {
         transaction
             .conditions
@@ -220,8 +222,8 @@
             .collect()
     }
 
-    /// Whether all leases that the operations name exist. Panics if a key changes twice, or an
-    /// outcome is written twice or removed: no controller may ask for that.
+    /// Returns whether all leases named in the operations exist. Panics if a key is changed twice,
+    /// or if an outcome is written twice or removed: a controller must never request that.
     fn check_operations(&self, operations: &[OperationMessage]) -> bool {
         let mut changed_keys = BTreeSet::new();
         for operation in operations {
@@ -252,7 +254,7 @@
         true
     }
 
-    /// Makes a change at the current revision.
+    /// Applies a change at the current revision.
     fn apply(&mut self, operation: OperationMessage) {
         match operation {
             OperationMessage::Put { key, value, lease } => {
--- a/crates/simulator/src/state_service/mod.rs
+++ b/crates/simulator/src/state_service/mod.rs
@@ -2,8 +2,8 @@
 //! and a stream of changes.
 //!
 //! [`StateService`] owns the keys, the leases and the service's limits and faults. The simulated
-//! network passes it the controllers' requests; scenarios set the faults. It also checks what
-//! no controller may ever ask for: such a transaction is reported or panics.
+//! network passes it the controllers' requests; scenarios set the faults. It also detects
+//! transactions that no controller may ever send: it reports them as violations or panics.
 
 mod database;
 mod rate_limit;
@@ -21,21 +21,21 @@
 use database::{Database, SizeLimits};
 use rate_limit::RateLimit;
 
-/// Entries on a page of a listing.
+/// Maximum number of entries on a page of a listing.
 const PAGE_ENTRIES: usize = 50;
-/// How often a held request for changes looks at the clock and the service's faults.
+/// Interval at which a long poll for changes checks its timeout and the service's faults.
 const FOLLOW_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What it allows, and what it will allow from some moment on.
+/// Rate and size limits of the service, current or announced.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Requests a second.
+    /// Maximum requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Maximum changes per second.
     pub writes: f64,
-    /// Changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub ops: usize,
-    /// Bytes in a value.
+    /// Maximum size of a value in bytes.
     pub value: usize,
 }
 
@@ -50,12 +50,12 @@
     }
 }
 
-/// What it allows a second.
+/// Rate limits of the service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StateRates {
-    /// Requests a second.
+    /// Maximum requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Maximum changes per second.
     pub write_rps: f64,
 }
 
@@ -69,7 +69,7 @@
     changed: Arc<Notify>,
 }
 
-/// A parameter of the query in a path.
+/// Returns a query parameter of a path.
 fn query_parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = path.split_once('?')?;
     query
@@ -86,8 +86,8 @@
             .expect("no thread panics while it holds the database")
     }
 
-    /// Takes the service down, or up again. While it is down no lease expires; as it comes
-    /// back, all are renewed.
+    /// Starts or ends an outage of the service. During an outage no lease expires; at its end, all
+    /// leases are renewed.
     pub fn set_down(&self, down: bool) {
         let mut database = self.lock();
         database.expire_leases();
@@ -99,19 +99,19 @@
         self.changed.notify_waiters();
     }
 
-    /// Limits requests and changes a second.
+    /// Sets the limits on requests and changes per second.
     pub fn set_limits(&self, rates: StateRates) {
         let mut database = self.lock();
         database.request_limit = RateLimit::new(rates.rps);
         database.write_limit = RateLimit::new(rates.write_rps);
     }
 
-    /// The transactions that were refused because of their size.
+    /// Returns descriptions of the transactions that exceeded the size limits.
     pub fn too_large(&self) -> Vec<String> {
         self.lock().too_large.clone()
     }
 
-    /// Limits the changes in a transaction and the bytes in a value.
+    /// Sets the limits on the changes in a transaction and the bytes in a value.
     pub fn set_sizes(&self, changes: usize, value_bytes: usize) {
         self.lock().size_limits = Some(SizeLimits {
             changes,
@@ -119,17 +119,18 @@
         });
     }
 
-    /// Changes asked for, those of failed transactions included.
+    /// Returns the number of requested changes, including those of failed transactions.
     pub fn changes(&self) -> usize {
         self.lock().requested_changes
     }
 
-    /// Changes made, by the kind of record: `+` written, `-` removed.
+    /// Returns the number of changes made by transactions, by the kind of record: `+` written, `-`
+    /// removed.
     pub fn changes_by_kind(&self) -> BTreeMap<String, usize> {
         self.lock().changes_by_kind.clone()
     }
 
-    /// How many keys begin with the prefix, for scenarios that say how many there should be.
+    /// Returns the number of keys with the prefix, for expectations of scenarios.
     pub fn keys(&self, prefix: &str) -> usize {
         let database = self.lock();
         database
@@ -139,7 +140,8 @@
             .count()
     }
 
-    /// Answers this controller with 503 only, or normally again.
+    /// Starts or ends a fault in which this controller's requests get 503 and its long polls are
+    /// held.
     pub fn set_rejected(&self, controller: &str, rejected: bool) {
         let mut database = self.lock();
         if rejected {
@@ -149,7 +151,8 @@
         }
     }
 
-    /// Answers a controller's request. One for changes is held until there are some.
+    /// Answers a controller's request. A request for changes is a long poll: it is held until
+    /// there are changes or its hold time has passed, and as long as the service rejects it.
     pub async fn handle(&self, from: &str, method: &str, path: &str, body: &[u8]) -> Reply {
         if path.starts_with("/follow") {
             return self.follow(from, path).await;
@@ -172,7 +175,7 @@
     async fn follow(&self, controller: &str, path: &str) -> Reply {
         let from: u64 = query_parameter(path, "from")
             .and_then(|number| number.parse().ok())
-            .expect("a controller names the revision that it follows from");
+            .expect("a request for changes has a start revision");
         let hold_ms: u64 = query_parameter(path, "hold_ms")
             .and_then(|number| number.parse().ok())
             .unwrap_or(0);
@@ -208,13 +211,13 @@
     }
 }
 
-/// Carries out a request that is answered at once.
+/// Executes a request other than a long poll.
 fn execute(database: &mut Database, method: &str, path: &str, body: &[u8]) -> Reply {
     match (method, path) {
         ("POST", "/commit") => database.commit(body),
         ("POST", "/grants") => {
-            let request: LeaseRequest =
-                serde_json::from_slice(body).expect("a controller says how long a lease lasts");
+            let request: LeaseRequest = serde_json::from_slice(body)
+                .expect("a lease request is valid and has a time to live");
             let id = database.grant_lease(Duration::from_millis(request.ttl_ms));
             (200, json!({"tether": id}))
         }
@@ -223,7 +226,7 @@
                 .trim_start_matches("/grants/")
                 .trim_end_matches("/touch")
                 .parse()
-                .expect("a controller renews a lease by its number");
+                .expect("a renewal names a lease by its id");
             match database.renew_lease(id) {
                 true => (200, json!({})),
                 false => (404, json!({})),
@@ -245,7 +248,7 @@
     }
 }
 
-/// A page of the entries with a prefix, in the order of their keys.
+/// Returns a page of the entries with a prefix, ordered by key.
 fn list(database: &Database, path: &str) -> Reply {
     let prefix = query_parameter(path, "starts").unwrap_or("");
     let after = query_parameter(path, "from").unwrap_or("");
--- a/crates/simulator/src/state_service/rate_limit.rs
+++ b/crates/simulator/src/state_service/rate_limit.rs
@@ -1,14 +1,14 @@
-//! A limit of the state service on requests or changes a second.
+//! Rate limit of the state service on requests or changes.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// A limit a second, with bursts of one second's worth.
+/// A token bucket that holds up to one second's worth of tokens.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RateLimit {
     per_second: f64,
-    /// What may be used at once.
+    /// Amount that may be used now.
     available: f64,
     updated_at: Option<Instant>,
 }
@@ -24,7 +24,7 @@
 }
 
 impl RateLimit {
-    /// A limit of which a second's worth may be used at once.
+    /// Creates a limit whose bucket is full.
     pub(super) fn new(per_second: f64) -> Self {
         Self {
             per_second,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Whether this much may be used now; if so, it is.
+    /// Uses this amount if it is available now; returns whether it was.
     #[must_use]
     pub(super) fn try_use(&mut self, amount: f64) -> bool {
         let now = Instant::now();
--- a/crates/simulator/src/user_choices.rs
+++ b/crates/simulator/src/user_choices.rs
@@ -1,9 +1,9 @@
-//! What simulated users draw at random.
+//! Random choices of simulated users.
 //!
-//! Each errand of a user has a generator of its own, seeded by the play's seed, the job and the
-//! errand: what the user does next does not depend on how much the program, the network or other
-//! users have drawn. With one generator for all, a change of the program had users turn to other
-//! controllers, and a scenario failed or held by that.
+//! Each action of a user has its own generator, seeded with the scenario's seed, the job and the
+//! action. The user's choices therefore do not depend on how many random numbers the program,
+//! the network or other users have drawn. With one shared generator, a change to the program made
+//! users contact other controllers, and whether a scenario passed depended on that.
 
 use std::{
     cell::Cell,
@@ -15,39 +15,39 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use stallcove::storage::JobId;
 
-/// The pause before a request is repeated, in seconds.
+/// Delay before a request is retried, in seconds.
 const RETRY_PAUSE_S: std::ops::Range<f64> = 1.0..2.0;
 
 thread_local! {
-    /// The seed of the play on this thread; none: what users draw does not repeat.
+    /// Seed of the scenario on this thread; without one, users' choices are not repeatable.
     static SEED: Cell<Option<u64>> = const { Cell::new(None) };
 }
 
-/// Makes what this thread's users draw repeatable.
+/// Makes the random choices of this thread's users repeatable.
 pub(crate) fn seed(seed: u64) {
     SEED.set(Some(seed));
 }
 
-/// What a user is about.
+/// Action of a user; each has its own random generator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Errand {
-    /// Submits a job, and polls.
+    /// Submits a job and polls its state.
     Submit,
-    /// Submits a known job once more, so many milliseconds after the start.
+    /// Submits a known job again, `at_ms` milliseconds after the start of the scenario.
     SubmitAgain { at_ms: u128 },
-    /// Asks to cancel a job.
+    /// Requests the cancellation of a job.
     Cancel,
-    /// Sends submissions that are invalid.
+    /// Sends invalid submissions.
     SendInvalid,
 }
 
-/// The generator of one errand.
+/// Random generator for one action of a user.
 pub(crate) struct UserChoices {
     generator: StdRng,
 }
 
 impl UserChoices {
-    /// The generator for this errand about the job.
+    /// Creates the generator for this action on the job.
     pub(crate) fn new(errand: Errand, job: &JobId) -> Self {
         let generator = match SEED.get() {
             Some(seed) => {
@@ -60,12 +60,12 @@
         Self { generator }
     }
 
-    /// The one of so many controllers that the load balancer tries first.
+    /// Draws the index of the controller that the load balancer tries first.
     pub(crate) fn first_controller(&mut self, controllers: usize) -> usize {
         self.generator.random_range(0..controllers)
     }
 
-    /// The pause before the request is repeated.
+    /// Draws the delay before the request is retried.
     pub(crate) fn retry_pause(&mut self) -> Duration {
         Duration::from_secs_f64(self.generator.random_range(RETRY_PAUSE_S))
     }
--- a/crates/simulator/src/users.rs
+++ b/crates/simulator/src/users.rs
@@ -1,4 +1,4 @@
-//! Simulated users: they submit, poll and cancel, and repeat what got no answer.
+//! Simulated users: they submit, poll and cancel jobs, and retry requests without an answer.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,12 +15,12 @@
 const SUBMISSION_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a user waits for the answer to a poll.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often a user submits a job that is neither accepted nor refused for good.
+/// Maximum number of attempts to submit a job that is neither accepted nor refused permanently.
 const MAX_SUBMISSIONS: usize = 30;
-/// How often a user asks to cancel a job.
+/// Maximum number of attempts to cancel a job.
 const MAX_CANCEL_REQUESTS: usize = 60;
 
-/// A submission as users write it.
+/// Returns the JSON that users submit for a job.
 pub fn write_job(id: &JobId, spec: &JobSpec) -> Value {
     json!({
         "uid": id.as_str(), "herd": spec.class.as_str(), "stable": spec.team.as_str(),
@@ -40,8 +40,8 @@
     })
 }
 
-/// A request through the load balancer, with this time limit at each controller; none: no
-/// answer in time.
+/// Sends a request through the load balancer. Returns `None` if all controllers are down, or if
+/// one does not answer within `limit`.
 async fn ask(
     simulation: &Arc<Simulation>,
     choices: &mut UserChoices,
@@ -53,7 +53,7 @@
     let names = simulation.controller_names();
     let tags = ["users".to_owned()];
     let first = choices.first_controller(names.len());
-    // The load balancer tries another controller when one refuses.
+    // The load balancer tries the next controller if one refuses the connection.
     for n in 0..names.len() {
         let name = &names[(first + n) % names.len()];
         let call = simulation.to_controller(&tags, name, method, path, body.clone());
@@ -68,13 +68,17 @@
     None
 }
 
-/// A user has got an answer about a job.
+/// Records an answer to a user, and starts a burst of polls if that fault is active and the
+/// answer reports a significant change.
 fn take_answer(simulation: &Arc<Simulation>, request: SentRequest<'_>, answer: (u16, &Value)) {
     let (status, body) = answer;
     let job = request.job;
     let state = body["stance"].as_str().map(str::to_owned);
     if let Some(state) = &state {
-        let mut reported = simulation.reported_states.lock().expect("reported states");
+        let mut reported = simulation
+            .reported_states
+            .lock()
+            .expect("reported states lock");
         let before = reported.insert(job.clone(), state.clone());
         if simulation.faults.polls_in_bursts() && is_news(before.as_deref(), state) {
             simulation.poll_in_burst(job);
@@ -89,7 +93,7 @@
     }));
 }
 
-/// A request about a job that is on its way.
+/// A sent request about a job.
 #[derive(Clone, Copy)]
 struct SentRequest<'a> {
     job: &'a JobId,
@@ -98,12 +102,13 @@
     is_submission: bool,
 }
 
-/// Whether a user learns that the job was accepted, is over, or was cancelled.
+/// Whether the reported state shows for the first time that the job was accepted, is done or was
+/// cancelled.
 fn is_news(before: Option<&str>, now: &str) -> bool {
     before.is_none() || (before != Some(now) && matches!(now, "done" | "cancelled"))
 }
 
-/// Asks one controller about the job.
+/// Polls the job's state at one controller.
 pub async fn poll(simulation: &Arc<Simulation>, name: &str, job: &JobId) {
     let tags = ["users".to_owned()];
     let path = format!("/api/jobs/{job}");
@@ -123,7 +128,7 @@
     }
 }
 
-/// Sends the submission once more.
+/// Sends the submission again, without retries.
 pub async fn submit_at_once(simulation: &Arc<Simulation>, job: &JobId, spec: &JobSpec) {
     let body = write_job(job, spec).to_string();
     let requested_at = simulation.at();
@@ -151,9 +156,9 @@
     }
 }
 
-/// Submits, until it is accepted or refused for good; then polls to the end. One that
-/// got no answer at all is polled as well, since it may have been accepted, by a later
-/// repeat for example.
+/// Submits a job until it is accepted or refused permanently, then polls it until the end of the
+/// scenario. A job without either answer is polled as well, since it may have been accepted, for
+/// example by a later retry.
 pub async fn submit(simulation: Arc<Simulation>, job: JobId, spec: JobSpec, fails: bool) {
     simulation.upload(&job, spec.clone(), fails);
     let mut choices = UserChoices::new(Errand::Submit, &job);
@@ -187,14 +192,15 @@
     }
 }
 
-/// Submits a known job once more, until it is accepted or refused for good.
+/// Submits a known job again, until it is accepted or refused permanently.
 pub async fn resubmit(simulation: Arc<Simulation>, job: JobId, spec: JobSpec) {
     let at_ms = simulation.at().as_millis();
     let mut choices = UserChoices::new(Errand::SubmitAgain { at_ms }, &job);
     submit_until_answered(&simulation, &mut choices, &job, &spec).await;
 }
 
-/// Whether it was accepted, or refused for good; none: no such answer in time.
+/// Retries a submission. Returns true if it was accepted, false if it was refused permanently and
+/// `None` if all attempts ended without either answer.
 async fn submit_until_answered(
     simulation: &Arc<Simulation>,
     choices: &mut UserChoices,
@@ -217,7 +223,7 @@
             simulation
                 .submission_statuses
                 .lock()
-                .expect("submission statuses")
+                .expect("submission statuses lock")
                 .insert(job.clone(), status);
             take_answer(
                 simulation,
@@ -239,7 +245,8 @@
     None
 }
 
-/// Asks to cancel the job, until a controller has confirmed it.
+/// Requests the cancellation of the job until a controller confirms it, or the attempts are used
+/// up.
 pub async fn cancel(simulation: Arc<Simulation>, job: JobId) {
     simulation.record(Event::CancelRequested(job.clone()));
     let mut choices = UserChoices::new(Errand::Cancel, &job);
@@ -273,7 +280,7 @@
     }
 }
 
-/// Fields that a submission must have.
+/// Mandatory fields of a submission.
 const REQUIRED: [&str; 17] = [
     "uid",
     "herd",
@@ -294,7 +301,7 @@
     "saddle_s",
 ];
 
-/// Changed fields with which a submission is refused with a status.
+/// Returns fields with invalid values, and the HTTP status with which each must be refused.
 fn invalid_fields() -> [(&'static str, Value, u16); 9] {
     [
         ("stable", json!("nobody"), 422),
@@ -309,11 +316,11 @@
     ]
 }
 
-/// A submission that must be refused.
+/// An invalid submission, which must be refused.
 struct InvalidSubmission {
     /// What is invalid in it.
     what: String,
-    /// The HTTP status that it must get.
+    /// The HTTP status of the expected answer.
     expected: u16,
     body: Value,
 }
@@ -328,7 +335,7 @@
     }
 }
 
-/// A valid submission in all the ways that make it invalid.
+/// Derives invalid submissions from a valid one.
 fn invalid_submissions(valid: &Value) -> Vec<InvalidSubmission> {
     let mut invalid = Vec::new();
     for field in REQUIRED {
@@ -345,7 +352,7 @@
         body[field] = value;
         invalid.push(InvalidSubmission::new(what, status, body));
     }
-    // Only their first task would fit; they need capacity for all at once.
+    // A single task would fit, but a gang or service needs capacity for all tasks at once.
     for kind in ["group", "daemon"] {
         let mut body = valid.clone();
         body["gait"] = json!(kind);
@@ -360,7 +367,7 @@
     invalid
 }
 
-/// Sends submissions that lack a field or can never run.
+/// Sends submissions that lack a field, have an invalid one or can never run.
 pub async fn send_invalid(simulation: Arc<Simulation>, spec: JobSpec) {
     let first = JobId::new("job-990000");
     let mut choices = UserChoices::new(Errand::SendInvalid, &first);
--- a/crates/simulator/src/versions.rs
+++ b/crates/simulator/src/versions.rs
@@ -1,25 +1,25 @@
-//! Versions of the program that serve side by side while an upgrade rolls.
+//! Versions of the program that run side by side during a rolling upgrade.
 
 use stallcove::coordination::{Tuning, clients::ProtocolVersion};
 
-/// What a controller of the simulated cluster plays. An earlier version is played by this
-/// one, which tells the protocol version of the earlier one and keeps to what that one knew.
+/// Version of a simulated controller. All versions run the current code; an earlier version is
+/// emulated by announcing its protocol version and limiting the settings to those it supports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Version {
-    /// Says nothing of what it reads, closes connections on frames that it can't read, and
-    /// knows nothing of formats and limits to come.
+    /// Announces no protocol version, closes connections on frames that it can't read, and
+    /// knows neither newer formats nor announced size limits.
     BeforeGangs,
-    /// Runs gangs, and keeps to limits to come.
+    /// Supports gangs and respects announced size limits.
     Gangs,
-    /// Knows nothing of quota transfers.
+    /// Does not support quota transfers.
     BeforeTransfers,
-    /// This version.
+    /// The current version.
     #[default]
     Current,
 }
 
 impl Version {
-    /// The version that a scenario names.
+    /// Returns the version with this name in the scenario language.
     pub fn named(name: &str) -> Self {
         match name {
             "before-gangs" => Version::BeforeGangs,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// What a controller of this version can read and write.
+    /// Returns the protocol version that a controller of this version announces.
     pub fn protocol_version(self, tuning: &Tuning) -> ProtocolVersion {
         match self {
             Version::BeforeGangs => ProtocolVersion::default(),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The settings that this version knows of.
+    /// Returns the settings, limited to those that this version supports.
     pub fn tuning(self, tuning: &Tuning) -> Tuning {
         Tuning {
             quota_transfers: tuning.quota_transfers && self == Version::Current,
