--- a/crates/quota-report/src/cases.rs
+++ b/crates/quota-report/src/cases.rs
@@ -4,7 +4,7 @@
 use std::{thread, time::Duration};
 
 use hdrhistogram::Histogram;
-use simulator::scenario::{Measured, Scenario};
+use simulator::scenario::{Measurements, Scenario};
 
 /// Controllers and teams of a case, and whether controllers transfer quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -188,10 +188,10 @@
 }
 
 impl CaseResult {
-    fn add(&mut self, measured: &Measured, seeds: f64) {
+    fn add(&mut self, measured: &Measurements, seeds: f64) {
         let second = Duration::from_secs_f64;
         let is_burst = |at: Duration| at >= second(BURSTS_FROM) && at < second(FLOOD_FROM);
-        for (at, wait) in measured.waits.iter().filter(|(at, _)| is_burst(*at)) {
+        for (at, wait) in measured.start_delays.iter().filter(|(at, _)| is_burst(*at)) {
             let Some(wait) = wait else {
                 self.not_begun += 1;
                 continue;
@@ -206,22 +206,23 @@
             waits.saturating_record(wait.as_millis() as u64);
         }
         self.use_of_limits += self.flooded(measured) / seeds;
-        self.changes += measured.changes as f64 / measured.starts.max(1) as f64 / seeds;
-        self.broken.extend(measured.wrong.iter().cloned());
+        self.changes +=
+            measured.requested_changes as f64 / measured.task_starts.max(1) as f64 / seeds;
+        self.broken.extend(measured.failures.iter().cloned());
     }
 
     /// The mean part of the flooding teams' limits in use, once the first tasks run.
-    fn flooded(&self, measured: &Measured) -> f64 {
+    fn flooded(&self, measured: &Measurements) -> f64 {
         let from = Duration::from_secs_f64(FLOOD_FROM + 5.0);
         let until = Duration::from_secs_f64(FLOOD_FROM + 30.0);
         let samples = measured
-            .used
+            .usage_samples
             .iter()
             .filter(|s| s.at >= from && s.at < until);
         let parts: Vec<f64> = samples
             .map(|sample| {
                 let teams = sample
-                    .used
+                    .cpus_by_team
                     .iter()
                     .filter(|(team, _)| team.as_str() != "base");
                 let used: f64 = teams.map(|(_, cpus)| cpus).sum();
--- a/crates/simulator/src/agent/commands.rs
+++ b/crates/simulator/src/agent/commands.rs
@@ -28,7 +28,7 @@
         path: &str,
         body: &[u8],
     ) -> (u16, Value) {
-        self.until_responsive().await;
+        self.wait_until_responsive().await;
         let mut state = self.lock();
         match path {
             "/inspect" => (200, self.heartbeat(&mut state)),
@@ -47,7 +47,7 @@
 
     /// Waits while a fault keeps requests from reaching the agent; never returns once the machine
     /// is terminated.
-    async fn until_responsive(&self) {
+    async fn wait_until_responsive(&self) {
         while self.is_terminated() || self.is_hung() || self.is_inbound_lost() {
             tokio::time::sleep(AGENT_INTERVAL).await;
         }
@@ -65,7 +65,7 @@
         let now = Instant::now();
         if token > state.token {
             state.token = token;
-            state.has_news = true;
+            state.has_unreported_change = true;
         }
         for command in commands {
             let key = TaskAttempt {
@@ -100,7 +100,7 @@
             Err(cause) => Stage::Exited(cause),
         };
         state.tasks.insert(key, stage);
-        state.has_news = true;
+        state.has_unreported_change = true;
     }
 
     /// Returns the image download time of a new task, or why it cannot be started on this
@@ -175,7 +175,7 @@
             Stage::Fetching(_) => *stage = Stage::Exited(ExitCause::Stopped),
             Stage::Exited(_) => return,
         }
-        state.has_news = true;
+        state.has_unreported_change = true;
     }
 }
 
@@ -183,6 +183,6 @@
 fn clear(state: &mut MachineState, key: &TaskAttempt) {
     if matches!(state.tasks.get(key), Some(Stage::Exited(_))) {
         state.tasks.remove(key);
-        state.has_news = true;
+        state.has_unreported_change = true;
     }
 }
--- a/crates/simulator/src/agent/heartbeat.rs
+++ b/crates/simulator/src/agent/heartbeat.rs
@@ -62,15 +62,18 @@
         let now = Instant::now();
         let mut state = self.lock();
         let is_early_due =
-            state.has_news && now >= state.last_heartbeat_at + MIN_HEARTBEAT_INTERVAL;
+            state.has_unreported_change && now >= state.last_heartbeat_at + MIN_HEARTBEAT_INTERVAL;
         let is_due = is_early_due || now >= state.next_heartbeat_at;
         if state.is_terminated || state.is_heartbeat_in_flight || !is_due {
             return None;
         }
         state.is_heartbeat_in_flight = true;
-        state.has_news = false;
+        state.has_unreported_change = false;
         state.last_heartbeat_at = now;
-        state.next_heartbeat_at = now + simulation.heartbeat.mul_f64(jitter::uniform(0.75, 1.25));
+        state.next_heartbeat_at = now
+            + simulation
+                .heartbeat_interval
+                .mul_f64(jitter::uniform(0.75, 1.25));
         Some(SentHeartbeat {
             body: self.heartbeat(&mut state),
             epoch: state.epoch,
--- a/crates/simulator/src/agent/mod.rs
+++ b/crates/simulator/src/agent/mod.rs
@@ -40,7 +40,7 @@
     last_heartbeat_at: Instant,
     next_heartbeat_at: Instant,
     /// Whether something has changed since the last heartbeat.
-    has_news: bool,
+    has_unreported_change: bool,
     is_heartbeat_in_flight: bool,
     /// Index of the controller that gets the next heartbeat, modulo the number of controllers.
     target_controller: usize,
@@ -66,7 +66,7 @@
             lease_renewed_at: now,
             last_heartbeat_at: now,
             next_heartbeat_at: now,
-            has_news: false,
+            has_unreported_change: false,
             is_heartbeat_in_flight: false,
             target_controller: jitter::uniform(0.0, 100.0) as usize,
             tasks: BTreeMap::new(),
@@ -81,7 +81,7 @@
 }
 
 /// Whether a fault that ends at `until` is still in effect.
-fn lasts(until: Option<Instant>) -> bool {
+fn is_ongoing(until: Option<Instant>) -> bool {
     until.is_some_and(|until| until > Instant::now())
 }
 
@@ -163,19 +163,19 @@
     pub fn announce_reclaim(&self, time: Duration) {
         let mut state = self.lock();
         state.reclaimed_at = Some(Instant::now() + time);
-        state.has_news = true;
+        state.has_unreported_change = true;
     }
 
     fn is_hung(&self) -> bool {
-        lasts(self.lock().hung_until)
+        is_ongoing(self.lock().hung_until)
     }
 
     fn is_inbound_lost(&self) -> bool {
-        lasts(self.lock().inbound_lost_until)
+        is_ongoing(self.lock().inbound_lost_until)
     }
 
     fn is_outbound_lost(&self) -> bool {
-        lasts(self.lock().outbound_lost_until)
+        is_ongoing(self.lock().outbound_lost_until)
     }
 
     /// Whether the machine has been terminated.
--- a/crates/simulator/src/agent/stage.rs
+++ b/crates/simulator/src/agent/stage.rs
@@ -28,9 +28,9 @@
     /// The machine has too little free capacity.
     Full,
     /// The other tasks of its gang were not ready within the start timeout.
-    Alone,
+    GangIncomplete,
     /// Another task of its running gang was lost.
-    MatesGone,
+    MemberLost,
 }
 
 impl ExitCause {
@@ -43,8 +43,8 @@
             ExitCause::Unknown => "unknown",
             ExitCause::Busy => "busy",
             ExitCause::Full => "full",
-            ExitCause::Alone => "alone",
-            ExitCause::MatesGone => "mates_gone",
+            ExitCause::GangIncomplete => "alone",
+            ExitCause::MemberLost => "mates_gone",
         }
     }
 }
--- a/crates/simulator/src/agent/tasks.rs
+++ b/crates/simulator/src/agent/tasks.rs
@@ -31,7 +31,7 @@
             self.terminate(simulation);
             return;
         }
-        if now > state.lease_renewed_at + simulation.lease {
+        if now > state.lease_renewed_at + simulation.agent_lease {
             self.expire_lease(simulation, &mut state, now);
         }
         let keys: Vec<TaskAttempt> = state.tasks.keys().cloned().collect();
@@ -41,7 +41,7 @@
             };
             if let Some(next) = self.next_stage(simulation, &mut state, &key, &spec, now) {
                 state.tasks.insert(key, next);
-                state.has_news = true;
+                state.has_unreported_change = true;
             }
         }
     }
@@ -52,7 +52,7 @@
         self.end_tasks(simulation, tasks);
         state.epoch += 1;
         state.lease_renewed_at = now;
-        state.has_news = true;
+        state.has_unreported_change = true;
     }
 
     /// Returns the stage that an attempt enters now, or `None` if it remains in its current one.
@@ -100,7 +100,7 @@
             self.kind.clone(),
         ));
         let is_completed = simulation.is_completed(&key.task);
-        let job_fails = simulation.fails(&key.task.job);
+        let job_fails = simulation.job_fails(&key.task.job);
         if spec.kind == JobKind::Gang && !is_completed && !job_fails {
             simulation.join_gang(&key.task, key.attempt);
             return Stage::WaitingForGang(now);
@@ -124,11 +124,11 @@
 
     /// Completes or fails a task, not part of a gang, at the end of its run time.
     fn finish_run(&self, simulation: &Arc<Simulation>, key: &TaskAttempt) -> ExitCause {
-        let fails = self.is_faulty || simulation.fails(&key.task.job);
+        let fails = self.is_faulty || simulation.job_fails(&key.task.job);
         if fails && !simulation.is_completed(&key.task) {
             return ExitCause::Error;
         }
-        simulation.complete(&key.task);
+        simulation.complete_task(&key.task);
         ExitCause::Done
     }
 
@@ -147,7 +147,7 @@
         }
         simulation.leave_gang(&key.task, key.attempt);
         self.record_stop(simulation, &key.task);
-        Some(Stage::Exited(ExitCause::Alone))
+        Some(Stage::Exited(ExitCause::GangIncomplete))
     }
 
     /// Returns the next stage of a task of a running gang. `has_saved` means that the task was
@@ -162,12 +162,12 @@
         let cause = match simulation.run_in_gang(&key.task, key.attempt, spec, has_saved) {
             GangStep::Done => ExitCause::Done,
             GangStep::Saved => ExitCause::Stopped,
-            GangStep::MatesGone => ExitCause::MatesGone,
+            GangStep::MemberLost => ExitCause::MemberLost,
             GangStep::Stay | GangStep::Run => return None,
         };
         self.record_stop(simulation, &key.task);
         if cause == ExitCause::Done {
-            simulation.complete(&key.task);
+            simulation.complete_task(&key.task);
         }
         Some(Stage::Exited(cause))
     }
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -54,18 +54,18 @@
 
 /// Faults in the boot of newly provisioned machines.
 #[derive(Clone, Copy, Debug)]
-pub struct Boots {
+pub struct BootFaults {
     /// Factor on the typical boot time.
-    pub factor: f64,
+    pub time_factor: f64,
     /// Share of the machines that never finish booting.
-    pub never: f64,
+    pub never_share: f64,
 }
 
-impl Default for Boots {
+impl Default for BootFaults {
     fn default() -> Self {
         Self {
-            factor: 1.0,
-            never: 0.0,
+            time_factor: 1.0,
+            never_share: 0.0,
         }
     }
 }
@@ -73,14 +73,14 @@
 /// State of these faults.
 #[derive(Default)]
 pub struct FaultInjection {
-    boots: Mutex<Boots>,
+    boot_faults: Mutex<BootFaults>,
     /// Interval between polls of a job; `None` if the default applies.
     poll_interval: Mutex<Option<Duration>>,
     command_delay: Mutex<Delay>,
     /// Whether copies of heartbeats are kept for the next leader.
     keeps_for_next_leader: Mutex<bool>,
     kept_duplicates: Mutex<Vec<DuplicateHeartbeat>>,
-    leader: Mutex<Option<String>>,
+    last_leader: Mutex<Option<String>>,
     burst_polls: Mutex<bool>,
 }
 
@@ -98,19 +98,21 @@
     }
 
     /// Sets the boot faults of machines provisioned from now on.
-    pub fn set_boots(&self, boots: Boots) {
-        *self.boots.lock().expect("boot faults lock") = boots;
+    pub fn set_boot_faults(&self, faults: BootFaults) {
+        *self.boot_faults.lock().expect("boot faults lock") = faults;
     }
 
     /// Draws the boot time of a new machine from its type's typical boot time in seconds; `None`
     /// if it never finishes booting.
-    pub fn boot_time(&self, usual: f64) -> Option<Duration> {
-        let boots = *self.boots.lock().expect("boot faults lock");
-        if boots.never > 0.0 && jitter::uniform(0.0, 1.0) < boots.never {
+    pub fn boot_time(&self, typical_s: f64) -> Option<Duration> {
+        let faults = *self.boot_faults.lock().expect("boot faults lock");
+        if faults.never_share > 0.0 && jitter::uniform(0.0, 1.0) < faults.never_share {
             return None;
         }
         let share = jitter::uniform(0.6, 1.5);
-        Some(Duration::from_secs_f64(usual * boots.factor * share))
+        Some(Duration::from_secs_f64(
+            typical_s * faults.time_factor * share,
+        ))
     }
 
     /// Sets the interval between polls of a job; `None` restores the default.
@@ -120,21 +122,21 @@
 
     /// Returns how long a user waits before the next poll of a job.
     pub fn poll_interval(&self) -> Duration {
-        let usual = Duration::from_secs_f64(jitter::uniform(4.0, 6.0));
+        let default = Duration::from_secs_f64(jitter::uniform(4.0, 6.0));
         self.poll_interval
             .lock()
             .expect("poll interval lock")
-            .unwrap_or(usual)
+            .unwrap_or(default)
     }
 
     /// Sets whether copies of heartbeats are kept until a new leader starts.
-    pub fn keep_for_next_leader(&self, on: bool) {
+    pub fn set_keep_for_next_leader(&self, on: bool) {
         *self.keeps_for_next_leader.lock().expect("flag lock") = on;
     }
 
     /// Keeps a copy for the next leader and returns `None`, or returns the copy if copies are not
     /// being kept. A copy beyond the maximum number is dropped.
-    pub fn keep(&self, copy: DuplicateHeartbeat) -> Option<DuplicateHeartbeat> {
+    pub fn keep_or_return(&self, copy: DuplicateHeartbeat) -> Option<DuplicateHeartbeat> {
         if !*self.keeps_for_next_leader.lock().expect("flag lock") {
             return Some(copy);
         }
@@ -146,12 +148,12 @@
     }
 
     /// Returns and clears the kept copies if `leader` is not the last known leading process.
-    fn due(&self, leader: Option<String>) -> Vec<DuplicateHeartbeat> {
-        let mut known = self.leader.lock().expect("leader lock");
-        if leader.is_none() || *known == leader {
+    fn take_due_duplicates(&self, leader: Option<String>) -> Vec<DuplicateHeartbeat> {
+        let mut last_leader = self.last_leader.lock().expect("leader lock");
+        if leader.is_none() || *last_leader == leader {
             return Vec::new();
         }
-        *known = leader;
+        *last_leader = leader;
         std::mem::take(&mut *self.kept_duplicates.lock().expect("kept duplicates lock"))
     }
 
@@ -170,7 +172,7 @@
 impl Simulation {
     /// Delivers the kept copies to every controller if a new leader has started.
     pub fn deliver_kept_duplicates(self: &Arc<Self>) {
-        for copy in self.faults.due(self.leader_incarnation()) {
+        for copy in self.faults.take_due_duplicates(self.leader_incarnation()) {
             for name in self.controller_names() {
                 let (simulation, tags, body) = (self.clone(), copy.tags.clone(), copy.body.clone());
                 tokio::spawn(async move {
@@ -198,7 +200,7 @@
         tokio::spawn(async move {
             tokio::time::sleep(jitter::millis(0, 12)).await;
             if let Some(spec) = simulation.spec(&job) {
-                users::submit_at_once(&simulation, &job, &spec).await;
+                users::submit_once(&simulation, &job, &spec).await;
             }
         });
     }
--- a/crates/simulator/src/gangs.rs
+++ b/crates/simulator/src/gangs.rs
@@ -14,7 +14,7 @@
 /// A task of a waiting gang that was last seen longer ago than this does not count as present.
 /// Also the time that all tasks of a stopped gang have to save their checkpoints, from the first
 /// stop command.
-const MATE_TIMEOUT: Duration = Duration::from_secs(4);
+const MEMBER_TIMEOUT: Duration = Duration::from_secs(4);
 /// A task of a running gang that was last seen longer ago than this is lost; the other tasks
 /// exit after the same time again.
 const LOSS_TIMEOUT: Duration = Duration::from_secs(2);
@@ -64,7 +64,7 @@
             self.is_over = true;
             return GangStep::Saved;
         }
-        if now.duration_since(stopped_at) > MATE_TIMEOUT {
+        if now.duration_since(stopped_at) > MEMBER_TIMEOUT {
             self.lost_at = Some(now);
         }
         GangStep::Stay
@@ -91,7 +91,7 @@
     /// The gang was stopped and all tasks have saved their checkpoints.
     Saved,
     /// Another task of the gang was lost.
-    MatesGone,
+    MemberLost,
 }
 
 /// Returns the run time covered by the last periodic checkpoint of a job that has run for
@@ -141,8 +141,8 @@
             return GangStep::Stay;
         };
         gang.members.insert(task, now);
-        let is_there = |seen_at: &&Instant| now.duration_since(**seen_at) < MATE_TIMEOUT;
-        if gang.members.values().filter(is_there).count() as u32 == spec.tasks {
+        let is_present = |seen_at: &&Instant| now.duration_since(**seen_at) < MEMBER_TIMEOUT;
+        if gang.members.values().filter(is_present).count() as u32 == spec.tasks {
             gang.started_at.get_or_insert(now);
         }
         match gang.started_at {
@@ -164,7 +164,7 @@
         let now = Instant::now();
         let progress_before = self.progress.get(job).copied().unwrap_or_default();
         let Some(gang) = self.attempts.get_mut(&(job.clone(), attempt)) else {
-            return GangStep::MatesGone;
+            return GangStep::MemberLost;
         };
         gang.members.insert(task, now);
         if gang.is_done {
@@ -176,26 +176,26 @@
         if gang.lost_at.is_none() && gang.has_silent_member(now) {
             gang.lost_at = Some(now);
         }
-        let reached = progress_before + gang.run_time(now);
+        let progress_now = progress_before + gang.run_time(now);
         if let Some(lost_at) = gang.lost_at {
             if now.duration_since(lost_at) < LOSS_TIMEOUT {
                 return GangStep::Stay;
             }
             gang.is_over = true;
-            let safe = last_checkpoint(spec, reached);
+            let checkpointed = last_checkpoint(spec, progress_now);
             let progress = self.progress.entry(job.clone()).or_default();
-            *progress = (*progress).max(safe);
-            return GangStep::MatesGone;
+            *progress = (*progress).max(checkpointed);
+            return GangStep::MemberLost;
         }
         if let Some(stopped_at) = gang.stopped_at {
             let saved = has_saved.then_some(task);
             let step = gang.advance_stop(now, stopped_at, saved, spec.tasks);
             if step == GangStep::Saved {
-                self.progress.insert(job.clone(), reached);
+                self.progress.insert(job.clone(), progress_now);
             }
             return step;
         }
-        if reached < spec.estimate {
+        if progress_now < spec.estimate {
             return GangStep::Stay;
         }
         gang.is_done = true;
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,6 +1,6 @@
 //! Simulator of the controllers' environment, for tests of the whole program.
 //!
-//! [`scenario`] reads and plays scenarios on a [`simulation`]: a cluster with a simulated
+//! [`scenario`] parses scenarios and runs them on a [`simulation`]: a cluster with a simulated
 //! [`state_service`], cloud, network, [`agent`]s and [`users`], into which faults are injected.
 //! The [`rules`] of the protocol are checked against every event of the cluster.
 
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -50,20 +50,20 @@
 /// Last octet of the address that all machines share.
 const MACHINES_HOST: u8 = 250;
 /// Maximum number of open sockets of a controller.
-const SOCKETS: usize = 500;
+const MAX_SOCKETS: usize = 500;
 /// Time after which a request that the simulator leaves unanswered is closed.
-const UNANSWERED: Duration = Duration::from_secs(6);
+const UNANSWERED_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long a user or an agent waits for an answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum size of a request's body.
-const BODY_LIMIT: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// The addresses of one simulated cluster.
 pub struct Loopback {
     /// Second and third octet of all addresses, derived from the process id, so that test
     /// processes on the same machine use different addresses.
-    network: [u8; 2],
-    next_machine: AtomicU16,
+    network_octets: [u8; 2],
+    next_machine_port: AtomicU16,
     /// HTTP client of users and agents.
     client: HttpNetwork,
 }
@@ -72,21 +72,21 @@
     fn default() -> Self {
         let process = std::process::id();
         Self {
-            network: [(process >> 8) as u8 | 1, process as u8],
-            next_machine: AtomicU16::new(FIRST_MACHINE_PORT),
-            client: HttpNetwork::new(SocketBudget::new(4 * SOCKETS)),
+            network_octets: [(process >> 8) as u8 | 1, process as u8],
+            next_machine_port: AtomicU16::new(FIRST_MACHINE_PORT),
+            client: HttpNetwork::new(SocketBudget::new(4 * MAX_SOCKETS)),
         }
     }
 }
 
 impl Loopback {
     fn address(&self, host: u8, port: u16) -> SocketAddr {
-        let [a, b] = self.network;
+        let [a, b] = self.network_octets;
         SocketAddr::from((Ipv4Addr::new(127, a, b, host), port))
     }
 
     /// Returns a controller's address. Controllers are named `n0`, `n1` and so on.
-    fn of_controller(&self, name: &str, port: u16) -> SocketAddr {
+    fn controller_address(&self, name: &str, port: u16) -> SocketAddr {
         let number: u8 = name[1..].parse().expect("a controller is named n<number>");
         self.address(number + 1, port)
     }
@@ -102,7 +102,7 @@
     ) -> Option<(u16, String)> {
         let request = HttpRequest {
             destination: Destination::Service,
-            address: self.of_controller(controller, PUBLIC_PORT).to_string(),
+            address: self.controller_address(controller, PUBLIC_PORT).to_string(),
             method: if method == "GET" {
                 Method::Get
             } else {
@@ -128,7 +128,7 @@
                 service,
             };
             let router = Router::new().fallback(forward).with_state(gateway);
-            serve(self.of_controller(controller, port), router).await;
+            serve(self.controller_address(controller, port), router).await;
         }
     }
 
@@ -138,7 +138,7 @@
         simulation: &Arc<Simulation>,
         machine: &Arc<Machine>,
     ) -> String {
-        let port = self.next_machine.fetch_add(1, Ordering::Relaxed);
+        let port = self.next_machine_port.fetch_add(1, Ordering::Relaxed);
         let address = self.address(MACHINES_HOST, port);
         let state = (simulation.clone(), machine.clone());
         let router = Router::new().fallback(answer_for_machine).with_state(state);
@@ -148,20 +148,21 @@
 
     /// Starts a controller's process. `previous` is the thread of the process that used the same
     /// addresses before.
-    pub fn start(&self, config: Config, before: Option<JoinHandle<()>>) -> Process {
+    pub fn start(&self, config: Config, previous: Option<JoinHandle<()>>) -> Process {
         let name = config.name.as_str();
         let addresses = Addresses {
-            public: self.of_controller(name, PUBLIC_PORT),
-            private: self.of_controller(name, PRIVATE_PORT),
-            state: self.of_controller(name, STATE_PORT),
-            cloud: self.of_controller(name, CLOUD_PORT),
+            public: self.controller_address(name, PUBLIC_PORT),
+            private: self.controller_address(name, PRIVATE_PORT),
+            state: self.controller_address(name, STATE_PORT),
+            cloud: self.controller_address(name, CLOUD_PORT),
             peers: config
                 .peers
                 .iter()
                 .map(|(peer, _)| {
                     (
                         peer.clone(),
-                        self.of_controller(peer.as_str(), PRIVATE_PORT).to_string(),
+                        self.controller_address(peer.as_str(), PRIVATE_PORT)
+                            .to_string(),
                     )
                 })
                 .collect(),
@@ -170,7 +171,7 @@
         let (started, controller) = mpsc::channel();
         let thread = {
             let stop = stop.clone();
-            std::thread::spawn(move || run(config, addresses, before, stop, &started))
+            std::thread::spawn(move || run(config, addresses, previous, stop, &started))
         };
         let (controller, handle) = controller.recv().expect("the controller's thread starts");
         Process {
@@ -219,7 +220,7 @@
 fn run(
     config: Config,
     addresses: Addresses,
-    before: Option<JoinHandle<()>>,
+    previous: Option<JoinHandle<()>>,
     stop: CancellationToken,
     started: &mpsc::Sender<(Arc<Controller>, Handle)>,
 ) {
@@ -227,7 +228,7 @@
         .enable_all()
         .build()
         .expect("the runtime starts");
-    let sockets = SocketBudget::new(SOCKETS);
+    let sockets = SocketBudget::new(MAX_SOCKETS);
     let net: Arc<dyn Network> = Arc::new(HttpNetwork::new(sockets.clone()));
     let controller = Controller::new(
         config,
@@ -243,9 +244,9 @@
     );
     // The receiver is gone only if the test has ended.
     let _ = started.send((controller.clone(), runtime.handle().clone()));
-    if let Some(before) = before {
+    if let Some(previous) = previous {
         // A paused process keeps its addresses until it resumes.
-        before
+        previous
             .join()
             .expect("the previous process ends without a panic");
     }
@@ -267,8 +268,12 @@
     sockets: &SocketBudget,
     stop: &CancellationToken,
 ) {
-    let public = TcpListener::bind(public).await.expect("a free port");
-    let private = TcpListener::bind(private).await.expect("a free port");
+    let public = TcpListener::bind(public)
+        .await
+        .expect("the loopback address is free");
+    let private = TcpListener::bind(private)
+        .await
+        .expect("the loopback address is free");
     let mut duties = JoinSet::new();
     controller.start(&mut duties);
     let router = server::router(controller.clone(), sockets.clone());
@@ -299,8 +304,10 @@
 }
 
 async fn serve(address: SocketAddr, router: Router) {
-    let listener = TcpListener::bind(address).await.expect("a free port");
-    let sockets = SocketBudget::new(4 * SOCKETS);
+    let listener = TcpListener::bind(address)
+        .await
+        .expect("the loopback address is free");
+    let sockets = SocketBudget::new(4 * MAX_SOCKETS);
     tokio::spawn(server::serve(
         router,
         listener,
@@ -311,7 +318,7 @@
 
 async fn forward(State(gateway): State<Gateway>, request: Request<Body>) -> Response {
     let (parts, body) = request.into_parts();
-    let Ok(body) = axum::body::to_bytes(body, BODY_LIMIT).await else {
+    let Ok(body) = axum::body::to_bytes(body, MAX_BODY_BYTES).await else {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     };
     let request = HttpRequest {
@@ -327,18 +334,22 @@
             .path_and_query()
             .map_or_else(String::new, ToString::to_string),
         body,
-        timeout: UNANSWERED,
+        timeout: UNANSWERED_TIMEOUT,
     };
-    let held = request.path.starts_with("/follow");
-    let network = SimNet::of_living(&gateway.simulation, &gateway.controller);
+    let is_long_poll = request.path.starts_with("/follow");
+    let network = SimNet::of_running(&gateway.simulation, &gateway.controller);
     let answer = async {
         match network {
             Some(network) => network.send(request).await.ok(),
             None => None,
         }
     };
-    let patience = if held { UNANSWERED * 4 } else { UNANSWERED };
-    match tokio::time::timeout(patience, answer).await {
+    let timeout = if is_long_poll {
+        UNANSWERED_TIMEOUT * 4
+    } else {
+        UNANSWERED_TIMEOUT
+    };
+    match tokio::time::timeout(timeout, answer).await {
         Ok(Some(reply)) => reply_with(reply.status, reply.body),
         // The caller's own timeout has expired by now.
         _ => StatusCode::GATEWAY_TIMEOUT.into_response(),
@@ -350,7 +361,7 @@
     request: Request<Body>,
 ) -> Response {
     let path = request.uri().path().to_owned();
-    let Ok(body) = axum::body::to_bytes(request.into_body(), BODY_LIMIT).await else {
+    let Ok(body) = axum::body::to_bytes(request.into_body(), MAX_BODY_BYTES).await else {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     };
     if machine.is_terminated() {
--- a/crates/simulator/src/rules/answers.rs
+++ b/crates/simulator/src/rules/answers.rs
@@ -63,12 +63,12 @@
             let Some(accepted) = job.accepted_at else {
                 continue;
             };
-            let known_at = job
+            let last_known_at = job
                 .answered_at
                 .unwrap_or_default()
                 .max(accepted)
                 .max(faults_ended_at);
-            if at > known_at + MAX_UNANSWERED && !job.is_reported_forgotten {
+            if at > last_known_at + MAX_UNANSWERED && !job.is_reported_forgotten {
                 job.is_reported_forgotten = true;
                 forgotten.push(id.clone());
             }
--- a/crates/simulator/src/rules/mod.rs
+++ b/crates/simulator/src/rules/mod.rs
@@ -97,27 +97,27 @@
     limits: BTreeMap<TeamName, f64>,
     /// Maximum time that tasks may stay on machines after their user was informed that the
     /// job is cancelled.
-    cancel: Duration,
+    max_cancel_time: Duration,
     /// When all injected faults were over; `None` until then.
     faults_ended_at: Option<Duration>,
     /// The rule violations found so far, one line each.
     pub violations: Vec<String>,
     /// Number of task starts.
-    pub starts: usize,
+    pub task_starts: usize,
 }
 
 impl Rules {
-    /// Creates checkers without history. `limits` are the teams' CPU limits; `cancel` is how long
-    /// tasks may stay on machines after their user was informed that the job is cancelled.
-    pub fn new(limits: BTreeMap<TeamName, f64>, cancel: Duration) -> Self {
+    /// Creates checkers without history. `limits` are the teams' CPU limits; `max_cancel_time` is
+    /// how long tasks may stay on machines after their user was informed that the job is cancelled.
+    pub fn new(limits: BTreeMap<TeamName, f64>, max_cancel_time: Duration) -> Self {
         Self {
             jobs: BTreeMap::new(),
             running: BTreeMap::new(),
             limits,
-            cancel,
+            max_cancel_time,
             faults_ended_at: None,
             violations: Vec::new(),
-            starts: 0,
+            task_starts: 0,
         }
     }
 
@@ -214,7 +214,7 @@
 
     /// Returns for each submitted job its submission time, and the delay until its first task
     /// started; `None` if none has started.
-    pub fn waits(&self) -> Vec<(Duration, Option<Duration>)> {
+    pub fn start_delays(&self) -> Vec<(Duration, Option<Duration>)> {
         let jobs = self.jobs.values().filter(|job| job.spec.is_some());
         jobs.map(|job| {
             let wait = job.begun_at.map(|at| at.saturating_sub(job.submitted_at));
@@ -224,7 +224,7 @@
     }
 
     /// Returns the CPUs that each team's tasks use on machines now.
-    pub fn used(&self) -> BTreeMap<TeamName, f64> {
+    pub fn used_cpus(&self) -> BTreeMap<TeamName, f64> {
         self.cpus_by_team(self.running.keys())
     }
 
@@ -243,7 +243,7 @@
     }
 
     /// Returns the number of the job's tasks that are on machines.
-    pub fn running(&self, job: &JobId) -> usize {
+    pub fn running_tasks(&self, job: &JobId) -> usize {
         self.running.keys().filter(|task| task.job == *job).count()
     }
 }
--- a/crates/simulator/src/rules/placement.rs
+++ b/crates/simulator/src/rules/placement.rs
@@ -27,7 +27,7 @@
 impl Rules {
     /// Records the start of a task on a machine, and checks the rules on it.
     pub(super) fn check_start(&mut self, at: Duration, task: TaskId, running_on: RunningOn) {
-        self.starts += 1;
+        self.task_starts += 1;
         self.check_runs_once(at, &task, &running_on);
         let Some(spec) = self.jobs.get(&task.job).and_then(|job| job.spec.clone()) else {
             self.report(at, Rule::Invented, format!("{task} was started"));
@@ -92,7 +92,7 @@
     fn is_past_cancellation(&self, at: Duration, job: &JobId) -> bool {
         self.jobs[job]
             .reported_cancelled_at
-            .is_some_and(|reported| at > reported + self.cancel)
+            .is_some_and(|reported| at > reported + self.max_cancel_time)
     }
 
     /// Reports tasks of cancelled jobs that are still on machines after the maximum time.
--- a/crates/simulator/src/rules/service_levels.rs
+++ b/crates/simulator/src/rules/service_levels.rs
@@ -16,13 +16,13 @@
 const MAX_TIME_TO_BEGIN: Duration = Duration::from_secs(240);
 
 /// A job that had enough time and quota to be served.
-struct JudgedJob<'a> {
+struct EligibleJob<'a> {
     id: &'a JobId,
     history: &'a JobHistory,
     spec: &'a JobSpec,
 }
 
-impl JudgedJob<'_> {
+impl EligibleJob<'_> {
     fn began_late(&self) -> bool {
         self.history
             .begun_at
@@ -54,11 +54,11 @@
     /// class, of each team and of each class's largest jobs must be served, and the largest must
     /// start in time.
     pub fn finish(&mut self, at: Duration) {
-        let judged = self.judged_jobs(at);
-        let largest = largest_by_class(&judged);
+        let eligible = self.eligible_jobs(at);
+        let largest = largest_by_class(&eligible);
         let mut groups: BTreeMap<String, ServedShare> = BTreeMap::new();
         let mut late: Vec<JobId> = Vec::new();
-        for job in judged {
+        for job in eligible {
             let is_largest = job.spec.tasks == largest[job.spec.class.as_str()];
             if is_largest && job.began_late() {
                 late.push(job.id.clone());
@@ -82,11 +82,11 @@
 
     /// Returns the jobs that had to be served by now. An unserved job is excluded if its team's
     /// limit leaves no room for it: services keep their share of the limit until cancelled.
-    fn judged_jobs(&self, at: Duration) -> Vec<JudgedJob<'_>> {
-        let used = self.used();
+    fn eligible_jobs(&self, at: Duration) -> Vec<EligibleJob<'_>> {
+        let used = self.used_cpus();
         let submitted = self.jobs.iter().filter_map(|(id, history)| {
             let spec = history.spec.as_deref()?;
-            Some(JudgedJob { id, history, spec })
+            Some(EligibleJob { id, history, spec })
         });
         submitted
             .filter(|job| {
@@ -100,9 +100,9 @@
 }
 
 /// Returns the number of tasks of the largest of these jobs in each class.
-fn largest_by_class(judged: &[JudgedJob<'_>]) -> BTreeMap<String, u32> {
+fn largest_by_class(eligible: &[EligibleJob<'_>]) -> BTreeMap<String, u32> {
     let mut largest: BTreeMap<String, u32> = BTreeMap::new();
-    for job in judged {
+    for job in eligible {
         let tasks = largest.entry(job.spec.class.to_string()).or_default();
         *tasks = job.spec.tasks.max(*tasks);
     }
--- a/crates/simulator/src/rules/waiting.rs
+++ b/crates/simulator/src/rules/waiting.rs
@@ -41,12 +41,12 @@
             of_job.insert(task.index, kind);
         }
         let mut found = Vec::new();
-        let nowhere = MachinesOfJob::new();
+        let no_machines = MachinesOfJob::new();
         for (id, job) in &mut self.jobs {
             let Some(spec) = job.spec.as_deref() else {
                 continue;
             };
-            let machines = machines.get(id).unwrap_or(&nowhere);
+            let machines = machines.get(id).unwrap_or(&no_machines);
             let counted_tasks = count_placed_or_completed(spec, machines, &job.completed);
             let missing = spec.tasks as usize - counted_tasks;
             let waits = missing > 0
@@ -130,13 +130,13 @@
     if !allows(spec, &free.kind, others) {
         return 0;
     }
-    let by_cpus = times_contained(free.cpus, spec.per_task.cpus);
-    let by_memory = times_contained(free.memory, spec.per_task.memory);
+    let by_cpus = fit_count(free.cpus, spec.per_task.cpus);
+    let by_memory = fit_count(free.memory, spec.per_task.memory);
     by_cpus.min(by_memory) as usize
 }
 
 /// Returns how often a demand fits into the free capacity; a zero demand always fits.
-fn times_contained(free: f64, demand: f64) -> f64 {
+fn fit_count(free: f64, demand: f64) -> f64 {
     if demand > 0.0 {
         (free + TOLERANCE) / demand
     } else {
--- a/crates/simulator/src/scenario/actions.rs
+++ b/crates/simulator/src/scenario/actions.rs
@@ -9,7 +9,7 @@
     words::{Words, parse},
 };
 use crate::{
-    faults::{Boots, Delay, Stream},
+    faults::{BootFaults, Delay, Stream},
     simulation::{Partition, Simulation},
     users,
     versions::Version,
@@ -21,31 +21,34 @@
 /// Parses a job id; panics if it is invalid.
 pub(super) fn job_id(word: &str) -> JobId {
     let Some(job) = JobId::parse(word) else {
-        panic!("{word:?} is no job id");
+        panic!("{word:?} is not a job id");
     };
     job
 }
 
 /// Executes one timed action. Returns an error if it is an expectation that fails.
-pub(super) fn act(simulation: &Arc<Simulation>, parts: &[&str]) -> Result<(), FailedExpectation> {
+pub(super) fn run_action(
+    simulation: &Arc<Simulation>,
+    parts: &[&str],
+) -> Result<(), FailedExpectation> {
     let words = Words::new(&parts[1..]);
     let duration = words.seconds("for", 0.0);
     match parts[0] {
         "expect" => return expect(simulation, &parts[1..]),
         "submit" | "resubmit" | "stream" | "cancel" | "invalid-requests" => {
-            act_as_user(simulation, parts, &words, duration);
+            run_user_action(simulation, parts, &words, duration);
         }
-        "poll" | "burst-polls" => act_as_impatient_user(simulation, parts, &words, duration),
+        "poll" | "burst-polls" => set_poll_load(simulation, parts, &words, duration),
         "crash" | "upgrade" | "downgrade" | "pause" => {
-            disturb_controller(simulation, parts, &words, duration);
+            inject_controller_fault(simulation, parts, &words, duration);
         }
-        "state" => disturb_state(simulation, parts, &words, duration),
-        "cloud" => disturb_cloud(simulation, parts, &words, duration),
+        "state" => inject_state_fault(simulation, parts, &words, duration),
+        "cloud" => inject_cloud_fault(simulation, parts, &words, duration),
         "partition" | "delay" | "duplicate" => {
-            disturb_network(simulation, parts, &words, duration);
+            inject_network_fault(simulation, parts, &words, duration);
         }
         "hang" | "lose-inbound" | "lose-outbound" | "reclaim" => {
-            disturb_machines(simulation, parts, &words, duration);
+            inject_machine_fault(simulation, parts, &words, duration);
         }
         other => panic!("unknown action {other}"),
     }
@@ -70,7 +73,7 @@
     run_later(after, move || undo(&simulation));
 }
 
-fn act_as_user(
+fn run_user_action(
     simulation: &Arc<Simulation>,
     parts: &[&str],
     words: &Words<'_>,
@@ -122,7 +125,7 @@
     }
 }
 
-fn act_as_impatient_user(
+fn set_poll_load(
     simulation: &Arc<Simulation>,
     parts: &[&str],
     words: &Words<'_>,
@@ -151,7 +154,7 @@
     }
 }
 
-fn disturb_controller(
+fn inject_controller_fault(
     simulation: &Arc<Simulation>,
     parts: &[&str],
     words: &Words<'_>,
@@ -175,7 +178,7 @@
     }
 }
 
-fn disturb_state(
+fn inject_state_fault(
     simulation: &Arc<Simulation>,
     parts: &[&str],
     words: &Words<'_>,
@@ -220,7 +223,7 @@
     }
 }
 
-fn disturb_cloud(
+fn inject_cloud_fault(
     simulation: &Arc<Simulation>,
     parts: &[&str],
     words: &Words<'_>,
@@ -228,9 +231,9 @@
 ) {
     match parts[1] {
         "outage" => {
-            simulation.set_cloud(true);
+            simulation.set_cloud_down(true);
             undo_later(simulation, duration, |simulation| {
-                simulation.set_cloud(false);
+                simulation.set_cloud_down(false);
             });
         }
         "no-capacity" => {
@@ -240,20 +243,20 @@
             });
         }
         "boot" => {
-            simulation.faults.set_boots(Boots {
-                factor: words.number("factor", 1.0),
-                never: words.number("never", 0.0),
+            simulation.faults.set_boot_faults(BootFaults {
+                time_factor: words.number("factor", 1.0),
+                never_share: words.number("never", 0.0),
             });
             undo_later(simulation, duration, |simulation| {
-                simulation.faults.set_boots(Boots::default());
+                simulation.faults.set_boot_faults(BootFaults::default());
             });
         }
-        "faulty" => simulation.set_faulty(parse(parts[2], "a machine's number")),
+        "faulty" => simulation.set_machine_faulty(parse(parts[2], "a machine's number")),
         other => panic!("unknown action cloud {other}"),
     }
 }
 
-fn disturb_network(
+fn inject_network_fault(
     simulation: &Arc<Simulation>,
     parts: &[&str],
     words: &Words<'_>,
@@ -283,17 +286,17 @@
             let late = words.seconds("late", 30.0);
             simulation.set_duplicates(Delay::new(words.number("share", 0.3), late));
             let for_next = words.has("for_next");
-            simulation.faults.keep_for_next_leader(for_next);
+            simulation.faults.set_keep_for_next_leader(for_next);
             undo_later(simulation, duration, |simulation| {
                 simulation.set_duplicates(Delay::default());
-                simulation.faults.keep_for_next_leader(false);
+                simulation.faults.set_keep_for_next_leader(false);
             });
         }
         other => panic!("unknown action {other:?}"),
     }
 }
 
-fn disturb_machines(
+fn inject_machine_fault(
     simulation: &Arc<Simulation>,
     parts: &[&str],
     words: &Words<'_>,
@@ -320,7 +323,7 @@
         if words.has("notice") {
             machine.announce_reclaim(words.seconds("notice", 5.0));
         } else {
-            simulation.remove(&machine.id);
+            simulation.remove_machine(&machine.id);
         }
     }
 }
--- a/crates/simulator/src/scenario/expectations.rs
+++ b/crates/simulator/src/scenario/expectations.rs
@@ -41,20 +41,25 @@
 ) -> Result<(), FailedExpectation> {
     match parts {
         ["machines", comparison, bound] => {
-            compare(simulation.paid(), comparison, bound, "machines")
+            compare(simulation.paid_machines(), comparison, bound, "machines")
         }
         ["provisioned", comparison, bound] => compare(
-            simulation.provisioned(),
+            simulation.provisioned_machines(),
             comparison,
             bound,
             "machines provisioned",
         ),
-        ["starts", comparison, bound] => compare(simulation.starts(), comparison, bound, "starts"),
-        ["changes", comparison, bound] => {
-            compare(simulation.state.changes(), comparison, bound, "changes")
+        ["starts", comparison, bound] => {
+            compare(simulation.task_starts(), comparison, bound, "starts")
         }
+        ["changes", comparison, bound] => compare(
+            simulation.state.requested_changes(),
+            comparison,
+            bound,
+            "changes",
+        ),
         ["keys", prefix, count] => {
-            let keys = simulation.state.keys(prefix);
+            let keys = simulation.state.count_keys(prefix);
             check(
                 keys == parse::<usize>(count, "a count"),
                 format!("{keys} keys"),
@@ -69,7 +74,7 @@
             check(found.as_deref() == Some(*code), format!("code {found:?}"))
         }
         [job, "running", count] => {
-            let running = simulation.running(&job_id(job));
+            let running = simulation.running_tasks(&job_id(job));
             let holds = running.to_string() == **count;
             check(holds, format!("{running} tasks run"))
         }
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -23,7 +23,7 @@
     user_choices,
     versions::Version,
 };
-use actions::{act, run_later};
+use actions::{run_action, run_later};
 use words::Words;
 
 /// An action and its time since the start of the scenario.
@@ -40,48 +40,48 @@
     /// Time of the sample, since the start of the scenario.
     pub at: Duration,
     /// CPUs in use, by team.
-    pub used: BTreeMap<TeamName, f64>,
+    pub cpus_by_team: BTreeMap<TeamName, f64>,
 }
 
 /// Results of a scenario.
 #[derive(Clone, Debug)]
-pub struct Measured {
+pub struct Measurements {
     /// Rule violations and failed expectations, one line each.
-    pub wrong: Vec<String>,
+    pub failures: Vec<String>,
     /// Submission time of each job, and its delay until the first task started; `None` if none
     /// has started.
-    pub waits: Vec<(Duration, Option<Duration>)>,
+    pub start_delays: Vec<(Duration, Option<Duration>)>,
     /// CPU usage of the teams over time.
-    pub used: Vec<UsageSample>,
+    pub usage_samples: Vec<UsageSample>,
     /// Number of task starts.
-    pub starts: usize,
+    pub task_starts: usize,
     /// Changes requested from the state service, including those of failed transactions.
-    pub changes: usize,
+    pub requested_changes: usize,
     /// Changes that controllers made in the state service, by the kind of record: `+` written,
     /// `-` removed.
     pub changes_by_kind: BTreeMap<String, usize>,
     /// Number of machines ever provisioned.
-    pub provisioned: usize,
+    pub provisioned_machines: usize,
     /// The job state last reported to each job's user.
-    pub outcomes: BTreeMap<JobId, String>,
+    pub reported_states: BTreeMap<JobId, String>,
 }
 
-impl fmt::Display for Measured {
+impl fmt::Display for Measurements {
     /// Writes one line of figures. Two versions of the code that behave alike give the same line.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "failed={} starts={} provisioned={} changes={}",
-            self.wrong.len(),
-            self.starts,
-            self.provisioned,
-            self.changes
+            self.failures.len(),
+            self.task_starts,
+            self.provisioned_machines,
+            self.requested_changes
         )?;
         for (kind, count) in &self.changes_by_kind {
             write!(f, " {kind}={count}")?;
         }
-        for (job, outcome) in &self.outcomes {
-            write!(f, " {job}={outcome}")?;
+        for (job, state) in &self.reported_states {
+            write!(f, " {job}={state}")?;
         }
         Ok(())
     }
@@ -94,13 +94,13 @@
     cluster: ClusterSettings,
     /// The version of all controllers at the start.
     version: Version,
-    timed: Vec<TimedAction>,
+    actions: Vec<TimedAction>,
     until: Duration,
 }
 
 /// Network and clock with which a scenario runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Surroundings {
+enum RunMode {
     /// Simulated network, paused clock.
     Simulated,
     /// Simulated network, paused clock, events recorded.
@@ -111,8 +111,7 @@
 
 /// Actions that do not count as faults and do not defer the time from which all faults are over.
 /// That includes faults of the cloud. All other actions count, also polls and invalid requests.
-const FAULTLESS_STATEMENTS: [&str; 6] =
-    ["submit", "stream", "resubmit", "cancel", "expect", "cloud"];
+const NON_FAULT_ACTIONS: [&str; 6] = ["submit", "stream", "resubmit", "cancel", "expect", "cloud"];
 /// Default duration of a fault, in seconds.
 const DEFAULT_FAULT_S: f64 = 5.0;
 /// Interval between checks of the rules.
@@ -122,11 +121,11 @@
     /// Returns the time at which the last fault is over. Jobs that wait or get no answer until
     /// then violate no rule.
     fn faults_end_at(&self) -> Duration {
-        let ends = self.timed.iter().filter_map(|timed| {
+        let ends = self.actions.iter().filter_map(|timed| {
             let parts: Vec<&str> = timed.words.iter().map(String::as_str).collect();
             let words = Words::new(&parts[1..]);
             let late = words.seconds("late", 0.0);
-            (!FAULTLESS_STATEMENTS.contains(&parts[0]))
+            (!NON_FAULT_ACTIONS.contains(&parts[0]))
                 .then(|| timed.at + words.seconds("for", DEFAULT_FAULT_S) + late)
         });
         ends.max().unwrap_or_default()
@@ -134,7 +133,7 @@
 
     /// Runs the scenario on its own paused clock; returns rule violations and failed expectations.
     pub fn play(self) -> Vec<String> {
-        self.measure().wrong
+        self.measure().failures
     }
 
     /// Returns the scenario with another seed.
@@ -150,17 +149,15 @@
     }
 
     /// Runs the scenario like [`Self::play`]; returns all results.
-    pub fn measure(self) -> Measured {
+    pub fn measure(self) -> Measurements {
         self.seed_draws();
-        paused_runtime()
-            .block_on(self.run(Surroundings::Simulated))
-            .0
+        paused_runtime().block_on(self.run(RunMode::Simulated)).0
     }
 
     /// Runs the scenario like [`Self::measure`]; also returns its events.
-    pub fn measure_traced(self) -> (Measured, EventTrace) {
+    pub fn measure_traced(self) -> (Measurements, EventTrace) {
         self.seed_draws();
-        paused_runtime().block_on(self.run(Surroundings::Traced))
+        paused_runtime().block_on(self.run(RunMode::Traced))
     }
 
     /// Runs the scenario in real time on real sockets of the loopback range; returns rule
@@ -170,20 +167,20 @@
             .enable_all()
             .build()
             .expect("the runtime starts");
-        runtime.block_on(self.run(Surroundings::Loopback)).0.wrong
+        runtime.block_on(self.run(RunMode::Loopback)).0.failures
     }
 
-    async fn run(self, surroundings: Surroundings) -> (Measured, EventTrace) {
+    async fn run(self, mode: RunMode) -> (Measurements, EventTrace) {
         logging::start_clock();
         let faults_end_at = self.faults_end_at();
         let mut simulation = Simulation::new(self.cluster);
         {
             let simulation =
                 Arc::get_mut(&mut simulation).expect("the simulation is not shared yet");
-            match surroundings {
-                Surroundings::Simulated => {}
-                Surroundings::Traced => simulation.keep_trace(),
-                Surroundings::Loopback => simulation.use_loopback(),
+            match mode {
+                RunMode::Simulated => {}
+                RunMode::Traced => simulation.keep_trace(),
+                RunMode::Loopback => simulation.use_loopback(),
             }
         }
         simulation.serve_services().await;
@@ -193,19 +190,22 @@
         }
         let start = Instant::now();
         let usage_samples: Arc<Mutex<Vec<UsageSample>>> = Arc::default();
-        let checks = tokio::spawn(check_often(simulation.clone(), usage_samples.clone()));
+        let checks = tokio::spawn(check_periodically(
+            simulation.clone(),
+            usage_samples.clone(),
+        ));
         {
             let simulation = simulation.clone();
             run_later(faults_end_at, move || simulation.note_faults_ended());
         }
-        let mut violations = play_actions(&simulation, &self.timed, start).await;
+        let mut violations = play_actions(&simulation, &self.actions, start).await;
         tokio::time::sleep_until(start + self.until).await;
         checks.abort();
         simulation.finish();
         violations.extend(simulation.violations());
-        let used = std::mem::take(&mut *usage_samples.lock().expect("samples lock"));
+        let samples = std::mem::take(&mut *usage_samples.lock().expect("samples lock"));
         let trace = simulation.take_trace();
-        (measure(&simulation, violations, used), trace)
+        (measure(&simulation, violations, samples), trace)
     }
 }
 
@@ -227,7 +227,7 @@
     for timed in actions {
         tokio::time::sleep_until(start + timed.at).await;
         let parts: Vec<&str> = timed.words.iter().map(String::as_str).collect();
-        if let Err(failure) = act(simulation, &parts) {
+        if let Err(failure) = run_action(simulation, &parts) {
             failed.push(format!("{}: {failure}", timed.line));
         }
     }
@@ -235,28 +235,32 @@
 }
 
 /// Periodically checks the rules and samples the teams' CPU usage, until aborted.
-async fn check_often(simulation: Arc<Simulation>, samples: Arc<Mutex<Vec<UsageSample>>>) {
+async fn check_periodically(simulation: Arc<Simulation>, samples: Arc<Mutex<Vec<UsageSample>>>) {
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
         simulation.check_rules();
         let sample = UsageSample {
-            at: simulation.at(),
-            used: simulation.used(),
+            at: simulation.elapsed(),
+            cpus_by_team: simulation.used_cpus(),
         };
         samples.lock().expect("samples lock").push(sample);
     }
 }
 
-fn measure(simulation: &Simulation, violations: Vec<String>, used: Vec<UsageSample>) -> Measured {
-    Measured {
-        wrong: violations,
-        waits: simulation.waits(),
-        used,
-        starts: simulation.starts(),
-        changes: simulation.state.changes(),
+fn measure(
+    simulation: &Simulation,
+    violations: Vec<String>,
+    usage_samples: Vec<UsageSample>,
+) -> Measurements {
+    Measurements {
+        failures: violations,
+        start_delays: simulation.start_delays(),
+        usage_samples,
+        task_starts: simulation.task_starts(),
+        requested_changes: simulation.state.requested_changes(),
         changes_by_kind: simulation.state.changes_by_kind(),
-        provisioned: simulation.provisioned(),
-        outcomes: simulation
+        provisioned_machines: simulation.provisioned_machines(),
+        reported_states: simulation
             .reported_states
             .lock()
             .expect("reported states lock")
--- a/crates/simulator/src/scenario/parser.rs
+++ b/crates/simulator/src/scenario/parser.rs
@@ -12,7 +12,7 @@
     words::{Words, parse},
 };
 use crate::{
-    simulation::{ClusterSettings, TypeSpec},
+    simulation::{ClusterSettings, MachineTypeSpec},
     state_service::{Limits, StateRates},
     versions::Version,
 };
@@ -40,7 +40,7 @@
                 announced_limits: Limits::default(),
                 tuning: Tuning::default(),
             },
-            timed: Vec::new(),
+            actions: Vec::new(),
             until: Duration::from_secs(60),
             version: Version::Current,
         }
@@ -59,7 +59,7 @@
                 scenario.read_statement(line, name, rest);
             }
         }
-        scenario.timed.sort_by_key(|timed| timed.at);
+        scenario.actions.sort_by_key(|timed| timed.at);
         scenario
     }
 
@@ -81,7 +81,7 @@
             "version" => self.version = Version::named(rest[0]),
             "team" => self.cluster.teams.push(team(rest[0], &words)),
             "type" => self.cluster.types.push(machine_type(rest[0], &words)),
-            "at" => self.timed.push(TimedAction {
+            "at" => self.actions.push(TimedAction {
                 at: Duration::from_secs_f64(parse(rest[0], "a time")),
                 words: rest[1..].iter().map(|word| (*word).to_owned()).collect(),
                 line: line.to_owned(),
@@ -94,9 +94,9 @@
 fn announced_limits(words: &Words<'_>) -> Limits {
     Limits {
         rps: words.number("rps", DEFAULT_RPS),
-        writes: words.number("writes", DEFAULT_WRITE_RPS),
-        ops: words.number("ops", DEFAULT_ANNOUNCED_OPS) as usize,
-        value: words.number("value", DEFAULT_ANNOUNCED_VALUE_BYTES) as usize,
+        write_rps: words.number("writes", DEFAULT_WRITE_RPS),
+        txn_ops: words.number("ops", DEFAULT_ANNOUNCED_OPS) as usize,
+        value_bytes: words.number("value", DEFAULT_ANNOUNCED_VALUE_BYTES) as usize,
     }
 }
 
@@ -111,15 +111,15 @@
     }
 }
 
-fn machine_type(name: &str, words: &Words<'_>) -> TypeSpec {
+fn machine_type(name: &str, words: &Words<'_>) -> MachineTypeSpec {
     let zones = words.names("zones").unwrap_or(vec!["a"]);
-    TypeSpec {
+    MachineTypeSpec {
         name: name.into(),
         cpus: words.number("cpus", 8.0),
         memory: words.number("memory", 64.0),
         price: words.number("price", 1.0),
         spot_price: words.number("spot_price", 0.4),
-        boot: words.number("boot", 5.0),
+        boot_s: words.number("boot", 5.0),
         zones: zones.into_iter().map(str::to_owned).collect(),
         count: words.number("count", 8.0) as usize,
         spot_count: words.number("spot_count", 0.0) as usize,
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -42,7 +42,7 @@
 
 /// A machine type of the cloud's catalog.
 #[derive(Clone, Debug)]
-pub struct TypeSpec {
+pub struct MachineTypeSpec {
     /// Name of the machine type.
     pub name: String,
     /// CPUs per machine.
@@ -54,7 +54,7 @@
     /// Spot price per hour.
     pub spot_price: f64,
     /// Typical boot time, in seconds.
-    pub boot: f64,
+    pub boot_s: f64,
     /// Zones that offer this type.
     pub zones: Vec<String>,
     /// On-demand machines that exist in each zone.
@@ -90,16 +90,16 @@
     provision_requests: BTreeMap<String, Vec<String>>,
     machines: BTreeMap<String, ProvisionedMachine>,
     /// Number of the next machine, counted from 0.
-    next: usize,
-    down: bool,
+    next_number: usize,
+    is_down: bool,
     no_capacity: bool,
 }
 
 /// A provisioned machine with the times of its lifecycle.
 struct ProvisionedMachine {
     machine: Arc<Machine>,
-    created: Instant,
-    up_at: Option<Instant>,
+    created_at: Instant,
+    booted_at: Option<Instant>,
     terminated_at: Option<Instant>,
 }
 
@@ -108,22 +108,22 @@
     /// When the scenario began.
     pub start: Instant,
     /// Duration of an agent's lease.
-    pub lease: Duration,
+    pub agent_lease: Duration,
     /// Average interval between an agent's heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Maximum time that tasks may stay on machines after their user was informed that the
     /// job is cancelled.
-    pub cancel: Duration,
+    pub max_cancel_time: Duration,
     /// The state service.
     pub state: StateService,
     state_rates: StateRates,
     teams: Vec<Team>,
-    types: Vec<TypeSpec>,
+    types: Vec<MachineTypeSpec>,
     rules: Mutex<Rules>,
     specs: Mutex<BTreeMap<JobId, JobSpec>>,
-    /// Jobs whose tasks fail wherever they run.
-    failing: Mutex<BTreeSet<JobId>>,
-    completed: Mutex<BTreeSet<TaskId>>,
+    /// Jobs whose tasks fail on any machine.
+    failing_jobs: Mutex<BTreeSet<JobId>>,
+    completed_tasks: Mutex<BTreeSet<TaskId>>,
     controllers: Mutex<BTreeMap<String, ControllerSlot>>,
     partitions: Mutex<Vec<Partition>>,
     /// Share of the state service's answers that are lost after the request was executed.
@@ -132,25 +132,25 @@
     /// delay.
     commit_delay: Mutex<Delay>,
     /// End of the pause of each paused controller. The clocks of a paused process keep running.
-    paused: Mutex<BTreeMap<String, Instant>>,
+    paused_until: Mutex<BTreeMap<String, Instant>>,
     cloud: Mutex<Cloud>,
     /// Numbers of the machines on which every task fails.
-    faulty: Mutex<BTreeSet<usize>>,
+    faulty_machines: Mutex<BTreeSet<usize>>,
     /// The job state last reported to each job's user.
     pub reported_states: Mutex<BTreeMap<JobId, String>>,
     /// The HTTP status of the last answer to each job's submission.
     pub submission_statuses: Mutex<BTreeMap<JobId, u16>>,
     /// Share of the heartbeats that are delivered twice, and the maximum delay of the copy.
-    duplicates: Mutex<Delay>,
+    heartbeat_duplicates: Mutex<Delay>,
     /// Share of the jobs whose users cancel them when the last task completes.
-    cancel_at_end: Mutex<f64>,
+    cancel_at_end_share: Mutex<f64>,
     gangs: Mutex<Gangs>,
     versions: Mutex<BTreeMap<String, Version>>,
     /// Faults whose state is kept separately.
     pub faults: FaultInjection,
     announced_limits: Limits,
     /// Maximum additional latency of the state service's answers.
-    latency: Mutex<Duration>,
+    max_latency: Mutex<Duration>,
     tuning: Tuning,
     /// Real sockets that replace the simulated network; `None` if the network is simulated.
     pub loopback: Option<Loopback>,
@@ -175,7 +175,7 @@
     /// The teams with their guarantees and limits.
     pub teams: Vec<Team>,
     /// The cloud's catalog.
-    pub types: Vec<TypeSpec>,
+    pub types: Vec<MachineTypeSpec>,
     /// The state service's rate limits at the start.
     pub state_rates: StateRates,
     /// The limits that the state service announces and enforces after `state lower-limits`.
@@ -209,33 +209,33 @@
             .collect();
         Arc::new(Self {
             start: Instant::now(),
-            lease: AGENT_LEASE,
-            heartbeat: HEARTBEAT_INTERVAL,
-            cancel: MAX_CANCEL_TIME,
+            agent_lease: AGENT_LEASE,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
+            max_cancel_time: MAX_CANCEL_TIME,
             state,
             state_rates: settings.state_rates,
             teams: settings.teams,
             types: settings.types,
             rules: Mutex::new(Rules::new(limits, MAX_CANCEL_TIME)),
             specs: Mutex::default(),
-            failing: Mutex::default(),
-            completed: Mutex::default(),
+            failing_jobs: Mutex::default(),
+            completed_tasks: Mutex::default(),
             controllers: Mutex::new(controller_slots(&settings.zones, settings.controllers)),
             partitions: Mutex::default(),
             response_loss: Mutex::new(0.0),
             commit_delay: Mutex::default(),
-            paused: Mutex::default(),
+            paused_until: Mutex::default(),
             cloud: Mutex::default(),
-            faulty: Mutex::default(),
+            faulty_machines: Mutex::default(),
             reported_states: Mutex::default(),
             submission_statuses: Mutex::default(),
-            duplicates: Mutex::default(),
-            cancel_at_end: Mutex::new(0.0),
+            heartbeat_duplicates: Mutex::default(),
+            cancel_at_end_share: Mutex::new(0.0),
             gangs: Mutex::default(),
             versions: Mutex::default(),
             faults: FaultInjection::default(),
             announced_limits: settings.announced_limits,
-            latency: Mutex::default(),
+            max_latency: Mutex::default(),
             tuning: settings.tuning,
             loopback: None,
             trace: None,
@@ -243,7 +243,7 @@
     }
 
     /// Returns the time since the start of the scenario.
-    pub fn at(&self) -> Duration {
+    pub fn elapsed(&self) -> Duration {
         self.start.elapsed()
     }
 
@@ -264,7 +264,10 @@
     pub(crate) fn trace(&self, describe: impl FnOnce() -> String) {
         if let Some(trace) = &self.trace {
             let event = describe();
-            trace.lock().expect("trace lock").record(self.at(), &event);
+            trace
+                .lock()
+                .expect("trace lock")
+                .record(self.elapsed(), &event);
         }
     }
 
@@ -274,7 +277,7 @@
         self.rules
             .lock()
             .expect("rules lock")
-            .record(self.at(), event);
+            .record(self.elapsed(), event);
     }
 
     /// Informs the rule checkers that all injected faults are over.
@@ -282,12 +285,15 @@
         self.rules
             .lock()
             .expect("rules lock")
-            .note_faults_ended(self.at());
+            .note_faults_ended(self.elapsed());
     }
 
     /// Checks the rules that apply to the scenario as a whole, at its end.
     pub fn finish(&self) {
-        self.rules.lock().expect("rules lock").finish(self.at());
+        self.rules
+            .lock()
+            .expect("rules lock")
+            .finish(self.elapsed());
     }
 
     /// Checks the rules that can be violated by the passing of time. Must be called periodically.
@@ -297,7 +303,7 @@
         self.rules
             .lock()
             .expect("rules lock")
-            .check_deadlines(self.at());
+            .check_deadlines(self.elapsed());
         let machines = self.machines();
         let free: Vec<FreeCapacity> = machines
             .iter()
@@ -311,33 +317,33 @@
             })
             .collect();
         let mut rules = self.rules.lock().expect("rules lock");
-        rules.check_waiting(self.at(), &free, &placed);
+        rules.check_waiting(self.elapsed(), &free, &placed);
     }
 
     /// Returns the rule violations found so far, one line each.
     pub fn violations(&self) -> Vec<String> {
         let mut broken = self.rules.lock().expect("rules lock").violations.clone();
-        broken.extend(self.state.too_large());
+        broken.extend(self.state.oversized_transactions());
         broken
     }
 
     /// Returns the number of the job's tasks that are on machines.
-    pub fn running(&self, job: &JobId) -> usize {
-        self.rules.lock().expect("rules lock").running(job)
+    pub fn running_tasks(&self, job: &JobId) -> usize {
+        self.rules.lock().expect("rules lock").running_tasks(job)
     }
 
-    /// See [`Rules::waits`].
-    pub fn waits(&self) -> Vec<(Duration, Option<Duration>)> {
-        self.rules.lock().expect("rules lock").waits()
+    /// See [`Rules::start_delays`].
+    pub fn start_delays(&self) -> Vec<(Duration, Option<Duration>)> {
+        self.rules.lock().expect("rules lock").start_delays()
     }
 
-    /// See [`Rules::used`].
-    pub fn used(&self) -> BTreeMap<TeamName, f64> {
-        self.rules.lock().expect("rules lock").used()
+    /// See [`Rules::used_cpus`].
+    pub fn used_cpus(&self) -> BTreeMap<TeamName, f64> {
+        self.rules.lock().expect("rules lock").used_cpus()
     }
 
     /// Returns the number of task starts.
-    pub fn starts(&self) -> usize {
-        self.rules.lock().expect("rules lock").starts
+    pub fn task_starts(&self) -> usize {
+        self.rules.lock().expect("rules lock").task_starts
     }
 }
--- a/crates/simulator/src/simulation/cloud.rs
+++ b/crates/simulator/src/simulation/cloud.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-use super::{Cloud, LIST_LAG, ProvisionedMachine, Simulation, TypeSpec};
+use super::{Cloud, LIST_LAG, MachineTypeSpec, ProvisionedMachine, Simulation};
 use crate::{
     agent::{Capacity, Machine},
     rules::MachineKind,
@@ -19,26 +19,26 @@
 impl ProvisionedMachine {
     /// Whether the machine existed at this time.
     fn is_listed(&self, at: Instant) -> bool {
-        self.created <= at && self.terminated_at.is_none_or(|terminated| terminated > at)
+        self.created_at <= at && self.terminated_at.is_none_or(|terminated| terminated > at)
     }
 
     /// Returns the machine's entry in a list as of this time.
     fn list_entry(&self, id: &str, at: Instant) -> Value {
-        let is_up = self.up_at.is_some_and(|up_at| up_at <= at);
+        let is_up = self.booted_at.is_some_and(|booted_at| booted_at <= at);
         let kind = &self.machine.kind;
         json!({"uid": id, "addr": id, "breed": kind.machine_type,
             "paddock": kind.zone, "loaners": kind.spot,
             "stance": if is_up { "running" } else { "starting" },
-            "age_s": (at - self.created).as_secs_f64()})
+            "age_s": (at - self.created_at).as_secs_f64()})
     }
 }
 
-impl TypeSpec {
+impl MachineTypeSpec {
     /// Returns the type's entry in the catalog.
     fn catalog_entry(&self) -> Value {
         json!({"label": self.name, "cpus": self.cpus, "gpus": 0, "ram_gb": self.memory,
             "cache_gb": 40.0, "fetch_gb_per_s": 0.5, "rate": self.price,
-            "market_price": self.spot_price, "boot_s": self.boot, "paddocks": self.zones})
+            "market_price": self.spot_price, "boot_s": self.boot_s, "paddocks": self.zones})
     }
 }
 
@@ -82,7 +82,7 @@
 
 impl Cloud {
     /// Returns how many more machines of a kind can be provisioned.
-    fn capacity_left(&self, machine_type: &TypeSpec, kind: &MachineKind) -> usize {
+    fn capacity_left(&self, machine_type: &MachineTypeSpec, kind: &MachineKind) -> usize {
         if self.no_capacity {
             return 0;
         }
@@ -103,8 +103,8 @@
 
 impl Simulation {
     /// Starts or ends an outage of the cloud's API.
-    pub fn set_cloud(&self, down: bool) {
-        self.cloud.lock().expect("cloud lock").down = down;
+    pub fn set_cloud_down(&self, down: bool) {
+        self.cloud.lock().expect("cloud lock").is_down = down;
     }
 
     /// Starts or ends a fault in which the cloud has no capacity for further machines.
@@ -114,8 +114,11 @@
 
     /// Makes every task fail on machine number `n`, counted from 0 in the order of provisioning.
     /// Must be called before that machine is provisioned.
-    pub fn set_faulty(&self, n: usize) {
-        self.faulty.lock().expect("faulty machines lock").insert(n);
+    pub fn set_machine_faulty(&self, n: usize) {
+        self.faulty_machines
+            .lock()
+            .expect("faulty machines lock")
+            .insert(n);
     }
 
     /// Returns the machines that have booted and are not terminated.
@@ -125,7 +128,7 @@
             .machines
             .values()
             .filter(|provisioned| {
-                provisioned.terminated_at.is_none() && provisioned.up_at.is_some()
+                provisioned.terminated_at.is_none() && provisioned.booted_at.is_some()
             })
             .map(|provisioned| provisioned.machine.clone())
             .filter(|machine| !machine.is_terminated())
@@ -133,7 +136,7 @@
     }
 
     /// Returns the number of machines that are paid for: provisioned and not terminated.
-    pub fn paid(&self) -> usize {
+    pub fn paid_machines(&self) -> usize {
         let cloud = self.cloud.lock().expect("cloud lock");
         cloud
             .machines
@@ -145,7 +148,7 @@
     }
 
     /// Returns the number of machines ever provisioned.
-    pub fn provisioned(&self) -> usize {
+    pub fn provisioned_machines(&self) -> usize {
         self.cloud.lock().expect("cloud lock").machines.len()
     }
 
@@ -154,7 +157,7 @@
         let cloud = self.cloud.lock().expect("cloud lock");
         let provisioned = cloud.machines.get(id)?;
         provisioned
-            .up_at
+            .booted_at
             .is_some_and(|at| at <= Instant::now())
             .then(|| provisioned.machine.clone())
     }
@@ -166,12 +169,16 @@
         path: &str,
         body: &[u8],
     ) -> (u16, Value) {
-        if self.cloud.lock().expect("cloud lock").down {
+        if self.cloud.lock().expect("cloud lock").is_down {
             return (503, json!({"error": "trouble"}));
         }
         match (method, path.split('?').next().unwrap_or(path)) {
             ("GET", "/catalog") => {
-                let types: Vec<Value> = self.types.iter().map(TypeSpec::catalog_entry).collect();
+                let types: Vec<Value> = self
+                    .types
+                    .iter()
+                    .map(MachineTypeSpec::catalog_entry)
+                    .collect();
                 (200, json!({"breeds": types}))
             }
             ("POST", "/machines") => self.provision(body),
@@ -195,7 +202,7 @@
             "too many machines in a release"
         );
         for id in ids {
-            self.remove(id.as_str().expect("an id is a string"));
+            self.remove_machine(id.as_str().expect("an id is a string"));
         }
     }
 
@@ -241,16 +248,16 @@
     fn provision_machine(
         self: &Arc<Self>,
         cloud: &mut Cloud,
-        machine_type: &TypeSpec,
+        machine_type: &MachineTypeSpec,
         kind: &MachineKind,
     ) -> String {
-        let id = format!("vm-{:06}", cloud.next);
+        let id = format!("vm-{:06}", cloud.next_number);
         let is_faulty = self
-            .faulty
+            .faulty_machines
             .lock()
             .expect("faulty machines lock")
-            .contains(&cloud.next);
-        cloud.next += 1;
+            .contains(&cloud.next_number);
+        cloud.next_number += 1;
         let capacity = Capacity {
             cpus: machine_type.cpus,
             memory: machine_type.memory,
@@ -260,12 +267,12 @@
             id.clone(),
             ProvisionedMachine {
                 machine: machine.clone(),
-                created: Instant::now(),
-                up_at: None,
+                created_at: Instant::now(),
+                booted_at: None,
                 terminated_at: None,
             },
         );
-        if let Some(boot_time) = self.faults.boot_time(machine_type.boot) {
+        if let Some(boot_time) = self.faults.boot_time(machine_type.boot_s) {
             tokio::spawn(self.clone().boot_machine(machine, boot_time));
         }
         id
@@ -289,7 +296,7 @@
         let mut cloud = self.cloud.lock().expect("cloud lock");
         match cloud.machines.get_mut(id) {
             Some(provisioned) if provisioned.terminated_at.is_none() => {
-                provisioned.up_at = Some(Instant::now());
+                provisioned.booted_at = Some(Instant::now());
                 true
             }
             _ => false,
@@ -297,7 +304,7 @@
     }
 
     /// Terminates a machine and all tasks on it.
-    pub fn remove(&self, id: &str) {
+    pub fn remove_machine(&self, id: &str) {
         let machine = {
             let mut cloud = self.cloud.lock().expect("cloud lock");
             let Some(provisioned) = cloud.machines.get_mut(id) else {
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -36,7 +36,7 @@
 const WALL_CLOCK_START: Duration = Duration::from_secs(1_700_000_000);
 
 /// Zone of a controller, and the other controllers with their zones.
-struct ControllerPlace {
+struct ControllerLocation {
     zone: ZoneName,
     peers: Vec<(ControllerName, ZoneName)>,
 }
@@ -87,12 +87,16 @@
 
     /// Starts the controller unless it is already running.
     pub fn boot_controller(self: &Arc<Self>, name: &str) {
-        let Some(place) = self.place_of_stopped(name) else {
+        let Some(location) = self.location_of_stopped(name) else {
             return;
         };
         let incarnation = jitter::uniform(1.0, 1e15) as u64;
-        let peers: Vec<ControllerName> = place.peers.iter().map(|(peer, _)| peer.clone()).collect();
-        let config = self.controller_config(name, incarnation, place);
+        let peers: Vec<ControllerName> = location
+            .peers
+            .iter()
+            .map(|(peer, _)| peer.clone())
+            .collect();
+        let config = self.controller_config(name, incarnation, location);
         let process = match &self.loopback {
             Some(loopback) => self.start_on_loopback(loopback, name, incarnation, config),
             None => self.start_simulated(name, incarnation, config, &peers),
@@ -102,7 +106,7 @@
     }
 
     /// Returns zone and peers of a stopped controller, or `None` if it is running.
-    fn place_of_stopped(&self, name: &str) -> Option<ControllerPlace> {
+    fn location_of_stopped(&self, name: &str) -> Option<ControllerLocation> {
         let controllers = self.controllers.lock().expect("controllers lock");
         if controllers[name].running.is_some() {
             return None;
@@ -115,25 +119,30 @@
                 (ControllerName::new(other.as_str()), zone)
             })
             .collect();
-        Some(ControllerPlace {
+        Some(ControllerLocation {
             zone: ZoneName::new(controllers[name].zone.as_str()),
             peers,
         })
     }
 
-    fn controller_config(&self, name: &str, incarnation: u64, place: ControllerPlace) -> Config {
+    fn controller_config(
+        &self,
+        name: &str,
+        incarnation: u64,
+        location: ControllerLocation,
+    ) -> Config {
         let version = self.version(name);
         let start = self.start;
         Config {
             name: ControllerName::new(name),
-            zone: place.zone,
+            zone: location.zone,
             incarnation: Incarnation(incarnation),
-            peers: place.peers,
+            peers: location.peers,
             teams: self.teams.clone(),
             objectives: Vec::new(),
-            heartbeat_interval: self.heartbeat,
-            agent_lease: self.lease,
-            cancel: self.cancel,
+            heartbeat_interval: self.heartbeat_interval,
+            agent_lease: self.agent_lease,
+            cancel: self.max_cancel_time,
             state: self.state_limits_for(version),
             cloud_rps: CLOUD_RPS,
             list_lag: LIST_LAG,
@@ -153,9 +162,9 @@
             rps: rates.rps,
             write_rps: rates.write_rps,
             next_rps: self.announced_limits.rps.min(rates.rps),
-            next_write_rps: self.announced_limits.writes.min(rates.write_rps),
-            value_bytes: sizes.value,
-            txn_ops: sizes.ops,
+            next_write_rps: self.announced_limits.write_rps.min(rates.write_rps),
+            value_bytes: sizes.value_bytes,
+            txn_ops: sizes.txn_ops,
         }
     }
 
@@ -261,9 +270,10 @@
         let announced = &self.announced_limits;
         self.state.set_limits(StateRates {
             rps: announced.rps,
-            write_rps: announced.writes,
+            write_rps: announced.write_rps,
         });
-        self.state.set_sizes(announced.ops, announced.value);
+        self.state
+            .set_size_limits(announced.txn_ops, announced.value_bytes);
     }
 
     /// Kills the controller's process if it is running.
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -51,7 +51,7 @@
     }
 
     /// Creates the network of the controller's running process, if there is one.
-    pub fn of_living(simulation: &Arc<Simulation>, controller: &str) -> Option<Self> {
+    pub fn of_running(simulation: &Arc<Simulation>, controller: &str) -> Option<Self> {
         let (_, incarnation) = simulation.router(controller)?;
         Some(Self::new(simulation, controller, incarnation))
     }
@@ -75,7 +75,7 @@
         });
         match request.address.as_str() {
             "state" => {
-                let latency = *simulation.latency.lock().expect("latency lock");
+                let latency = *simulation.max_latency.lock().expect("latency lock");
                 if !latency.is_zero() {
                     tokio::time::sleep(latency.mul_f64(jitter::uniform(0.1, 1.0))).await;
                 }
@@ -105,15 +105,15 @@
 
     /// Sends a request. The future never completes if the request or its answer is lost.
     pub async fn send(&self, request: HttpRequest) -> Result<HttpResponse, SendError> {
-        let here = self.simulation.controller_tags(&self.controller);
-        let there = self.tags(&request.address);
+        let from_tags = self.simulation.controller_tags(&self.controller);
+        let to_tags = self.tags(&request.address);
         tokio::time::sleep(jitter::millis(1, 5)).await;
         if !self.simulation.is_alive(&self.controller, self.incarnation) {
             return futures::future::pending().await;
         }
-        if let Some(partition) = self.simulation.partition_between(&here, &there) {
+        if let Some(partition) = self.simulation.partition_between(&from_tags, &to_tags) {
             if partition.holds_packets {
-                self.execute_once_healed(request, here, there);
+                self.execute_once_healed(request, from_tags, to_tags);
             }
             return futures::future::pending().await;
         }
@@ -128,7 +128,10 @@
         });
         tokio::time::sleep(jitter::millis(1, 5)).await;
         if self.draw_response_loss(&request)
-            || self.simulation.partition_between(&here, &there).is_some()
+            || self
+                .simulation
+                .partition_between(&from_tags, &to_tags)
+                .is_some()
         {
             return futures::future::pending().await;
         }
@@ -178,10 +181,15 @@
     }
 
     /// Delivers a request once the partition has healed, even if its sender has timed out by then.
-    fn execute_once_healed(&self, request: HttpRequest, here: Vec<String>, there: Vec<String>) {
+    fn execute_once_healed(
+        &self,
+        request: HttpRequest,
+        from_tags: Vec<String>,
+        to_tags: Vec<String>,
+    ) {
         let (simulation, controller) = (self.simulation.clone(), self.controller.clone());
         tokio::spawn(async move {
-            while simulation.partition_between(&here, &there).is_some() {
+            while simulation.partition_between(&from_tags, &to_tags).is_some() {
                 tokio::time::sleep(HELD_REQUEST_INTERVAL).await;
             }
             Self::execute(&simulation, &controller, &request).await;
@@ -190,17 +198,17 @@
 }
 
 impl Network for SimNet {
-    fn send_request(&self, call: HttpRequest) -> BoxFuture<'_, Result<HttpResponse, SendError>> {
+    fn send_request(&self, request: HttpRequest) -> BoxFuture<'_, Result<HttpResponse, SendError>> {
         async move {
-            self.simulation.until_resumed(&self.controller).await;
-            let timeout = call.timeout;
-            let sending = self.send(call);
+            self.simulation.wait_until_resumed(&self.controller).await;
+            let timeout = request.timeout;
+            let sending = self.send(request);
             tokio::pin!(sending);
             let mut answer = tokio::time::timeout(timeout, sending.as_mut()).await;
             if self.simulation.is_paused(&self.controller) {
                 // When the process resumes, it may find both an answer and an expired timeout. The
                 // answer takes precedence.
-                self.simulation.until_resumed(&self.controller).await;
+                self.simulation.wait_until_resumed(&self.controller).await;
                 if answer.is_err() {
                     let at_once = Duration::from_millis(1);
                     answer = tokio::time::timeout(at_once, sending.as_mut()).await;
@@ -220,11 +228,14 @@
         async move {
             let exchange = async {
                 tokio::time::sleep(jitter::millis(1, 3)).await;
-                self.simulation.until_resumed(&self.controller).await;
-                self.simulation.until_resumed(address).await;
-                let here = self.simulation.controller_tags(&self.controller);
-                let there = self.simulation.controller_tags(address);
-                if self.simulation.partition_between(&here, &there).is_some()
+                self.simulation.wait_until_resumed(&self.controller).await;
+                self.simulation.wait_until_resumed(address).await;
+                let from_tags = self.simulation.controller_tags(&self.controller);
+                let to_tags = self.simulation.controller_tags(address);
+                if self
+                    .simulation
+                    .partition_between(&from_tags, &to_tags)
+                    .is_some()
                     || !self.simulation.is_alive(&self.controller, self.incarnation)
                 {
                     return futures::future::pending().await;
--- a/crates/simulator/src/simulation/network_faults.rs
+++ b/crates/simulator/src/simulation/network_faults.rs
@@ -62,7 +62,7 @@
 
     /// Sets the maximum additional latency of the state service's answers.
     pub fn set_latency(&self, max: Duration) {
-        *self.latency.lock().expect("latency lock") = max;
+        *self.max_latency.lock().expect("latency lock") = max;
     }
 
     /// Sets the share of the transactions that are applied late and never answered.
@@ -83,16 +83,16 @@
             return;
         }
         let until = Instant::now() + time;
-        self.paused
+        self.paused_until
             .lock()
             .expect("paused controllers lock")
             .insert(controller.into(), until);
     }
 
     /// Waits while the controller is paused.
-    pub(super) async fn until_resumed(&self, controller: &str) {
+    pub(super) async fn wait_until_resumed(&self, controller: &str) {
         let until = self
-            .paused
+            .paused_until
             .lock()
             .expect("paused controllers lock")
             .get(controller)
@@ -105,7 +105,7 @@
     /// Whether the controller's process is paused.
     pub(super) fn is_paused(&self, controller: &str) -> bool {
         let until = self
-            .paused
+            .paused_until
             .lock()
             .expect("paused controllers lock")
             .get(controller)
@@ -114,15 +114,15 @@
     }
 
     /// Sets the share of the heartbeats that are delivered again to a random controller, and the
-    /// maximum delay of the copy (beyond a minimum of one second).
+    /// maximum delay of the copy (beyond the minimum delay).
     pub fn set_duplicates(&self, delay: Delay) {
-        *self.duplicates.lock().expect("duplicates lock") = delay;
+        *self.heartbeat_duplicates.lock().expect("duplicates lock") = delay;
     }
 
     /// Draws whether this heartbeat is duplicated; if so, delivers a copy later or keeps it for the
     /// next leader.
     pub fn duplicate_heartbeat(self: &Arc<Self>, tags: &[String], body: &str) {
-        let delay = *self.duplicates.lock().expect("duplicates lock");
+        let delay = *self.heartbeat_duplicates.lock().expect("duplicates lock");
         if delay.share <= 0.0 || jitter::uniform(0.0, 1.0) >= delay.share {
             return;
         }
@@ -130,7 +130,7 @@
             tags: tags.to_vec(),
             body: body.to_owned(),
         };
-        let Some(DuplicateHeartbeat { tags, body }) = self.faults.keep(copy) else {
+        let Some(DuplicateHeartbeat { tags, body }) = self.faults.keep_or_return(copy) else {
             return;
         };
         let names = self.controller_names();
--- a/crates/simulator/src/simulation/requests.rs
+++ b/crates/simulator/src/simulation/requests.rs
@@ -29,8 +29,8 @@
         while self.partition_between(from, &tags).is_some() {
             tokio::time::sleep(PARTITION_CHECK_INTERVAL).await;
         }
-        self.until_resumed(name).await;
-        let (router, life) = self.router(name)?;
+        self.wait_until_resumed(name).await;
+        let (router, incarnation) = self.router(name)?;
         if let Some(loopback) = &self.loopback {
             return loopback.request(name, method, path, body).await;
         }
@@ -53,11 +53,11 @@
             .ok()?;
         tokio::time::sleep(jitter::millis(1, 4)).await;
         // An answer computed before a pause of the process is sent after it.
-        self.until_resumed(name).await;
+        self.wait_until_resumed(name).await;
         while self.partition_between(from, &tags).is_some() {
             tokio::time::sleep(PARTITION_CHECK_INTERVAL).await;
         }
-        if !self.is_alive(name, life) {
+        if !self.is_alive(name, incarnation) {
             return None;
         }
         let text = String::from_utf8_lossy(&bytes).into_owned();
--- a/crates/simulator/src/simulation/tasks.rs
+++ b/crates/simulator/src/simulation/tasks.rs
@@ -21,14 +21,14 @@
 
     /// Registers a job that a user is about to submit. `fails` means that its tasks fail on any
     /// machine.
-    pub fn upload(&self, job: &JobId, spec: JobSpec, fails: bool) {
+    pub fn register_job(&self, job: &JobId, spec: JobSpec, fails: bool) {
         self.specs
             .lock()
             .expect("specs lock")
             .insert(job.clone(), spec.clone());
         self.record(Event::Submitted(job.clone(), Box::new(spec)));
         if fails {
-            self.failing
+            self.failing_jobs
                 .lock()
                 .expect("failing jobs lock")
                 .insert(job.clone());
@@ -37,8 +37,8 @@
     }
 
     /// Whether the tasks of the job fail on any machine.
-    pub fn fails(&self, job: &JobId) -> bool {
-        self.failing
+    pub fn job_fails(&self, job: &JobId) -> bool {
+        self.failing_jobs
             .lock()
             .expect("failing jobs lock")
             .contains(job)
@@ -84,7 +84,7 @@
 
     /// Whether the task has completed in any attempt.
     pub fn is_completed(&self, task: &TaskId) -> bool {
-        self.completed
+        self.completed_tasks
             .lock()
             .expect("completed tasks lock")
             .contains(task)
@@ -92,14 +92,17 @@
 
     /// Records that a task has completed. If it is the job's last one, the user may cancel the job,
     /// as set by [`Self::set_cancel_at_end`].
-    pub fn complete(self: &Arc<Self>, task: &TaskId) {
+    pub fn complete_task(self: &Arc<Self>, task: &TaskId) {
         let is_new = self
-            .completed
+            .completed_tasks
             .lock()
             .expect("completed tasks lock")
             .insert(task.clone());
         self.record(Event::TaskCompleted(task.clone()));
-        let share = *self.cancel_at_end.lock().expect("cancellation share lock");
+        let share = *self
+            .cancel_at_end_share
+            .lock()
+            .expect("cancellation share lock");
         let is_over = self
             .rules
             .lock()
@@ -135,6 +138,9 @@
 
     /// Sets the share of the jobs whose users cancel them when the last task completes.
     pub fn set_cancel_at_end(&self, share: f64) {
-        *self.cancel_at_end.lock().expect("cancellation share lock") = share;
+        *self
+            .cancel_at_end_share
+            .lock()
+            .expect("cancellation share lock") = share;
     }
 }
--- a/crates/simulator/src/state_service/database.rs
+++ b/crates/simulator/src/state_service/database.rs
@@ -53,8 +53,8 @@
     pub(super) changes: Vec<Change>,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
-    /// Whether the service is down: requests get 503, long polls are held until the outage ends, and
-    /// leases do not expire.
+    /// Whether the service is down: requests get 503, long polls are held until the outage ends,
+    /// and leases do not expire.
     pub(super) is_down: bool,
     /// Controllers that the service rejects: their requests get 503, their long polls are held.
     pub(super) rejected_controllers: BTreeSet<String>,
@@ -65,7 +65,7 @@
     /// Size limits of transactions; `None` while the defaults apply.
     pub(super) size_limits: Option<SizeLimits>,
     /// Descriptions of the transactions that exceeded the size limits.
-    pub(super) too_large: Vec<String>,
+    pub(super) oversized_transactions: Vec<String>,
     /// Number of requested changes, including those of failed transactions.
     pub(super) requested_changes: usize,
     /// Number of changes made by transactions, by the kind of record: `+` written, `-` removed.
@@ -85,8 +85,8 @@
     fn default() -> Self {
         let limits = Limits::default();
         Self {
-            changes: limits.ops,
-            value_bytes: limits.value,
+            changes: limits.txn_ops,
+            value_bytes: limits.value_bytes,
         }
     }
 }
@@ -160,9 +160,10 @@
         let Ok(transaction) = serde_json::from_slice::<TransactionRequest>(body) else {
             return (400, json!({"error": "malformed"}));
         };
-        if let Some(what) = self.find_too_large(&transaction) {
+        if let Some(what) = self.find_exceeded_limit(&transaction) {
             // The violation is reported: a controller must never send such a transaction.
-            self.too_large.push(format!("too large: {what}"));
+            self.oversized_transactions
+                .push(format!("too large: {what}"));
             return (400, json!({"error": "too large"}));
         }
         if !self
@@ -193,7 +194,7 @@
     }
 
     /// Returns which size limit a transaction exceeds, if any.
-    fn find_too_large(&self, transaction: &TransactionRequest) -> Option<String> {
+    fn find_exceeded_limit(&self, transaction: &TransactionRequest) -> Option<String> {
         let limits = self.size_limits.unwrap_or_default();
         let changes = transaction.operations.len();
         let conditions = transaction.conditions.len();
@@ -258,17 +259,17 @@
     fn apply(&mut self, operation: OperationMessage) {
         match operation {
             OperationMessage::Put { key, value, lease } => {
-                self.count('+', &key);
+                self.count_change('+', &key);
                 self.put(key, value, lease);
             }
             OperationMessage::Delete { key } => {
-                self.count('-', &key);
+                self.count_change('-', &key);
                 self.remove(key);
             }
         }
     }
 
-    fn count(&mut self, sign: char, key: &str) {
+    fn count_change(&mut self, sign: char, key: &str) {
         let kind = key.split('/').next().unwrap_or(key);
         let made = self.changes_by_kind.entry(format!("{sign}{kind}"));
         *made.or_default() += 1;
--- a/crates/simulator/src/state_service/mod.rs
+++ b/crates/simulator/src/state_service/mod.rs
@@ -32,20 +32,20 @@
     /// Maximum requests per second.
     pub rps: f64,
     /// Maximum changes per second.
-    pub writes: f64,
+    pub write_rps: f64,
     /// Maximum number of changes in a transaction.
-    pub ops: usize,
+    pub txn_ops: usize,
     /// Maximum size of a value in bytes.
-    pub value: usize,
+    pub value_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             rps: f64::MAX,
-            writes: f64::MAX,
-            ops: 16,
-            value: 8 * 1024,
+            write_rps: f64::MAX,
+            txn_ops: 16,
+            value_bytes: 8 * 1024,
         }
     }
 }
@@ -107,12 +107,12 @@
     }
 
     /// Returns descriptions of the transactions that exceeded the size limits.
-    pub fn too_large(&self) -> Vec<String> {
-        self.lock().too_large.clone()
+    pub fn oversized_transactions(&self) -> Vec<String> {
+        self.lock().oversized_transactions.clone()
     }
 
     /// Sets the limits on the changes in a transaction and the bytes in a value.
-    pub fn set_sizes(&self, changes: usize, value_bytes: usize) {
+    pub fn set_size_limits(&self, changes: usize, value_bytes: usize) {
         self.lock().size_limits = Some(SizeLimits {
             changes,
             value_bytes,
@@ -120,7 +120,7 @@
     }
 
     /// Returns the number of requested changes, including those of failed transactions.
-    pub fn changes(&self) -> usize {
+    pub fn requested_changes(&self) -> usize {
         self.lock().requested_changes
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Returns the number of keys with the prefix, for expectations of scenarios.
-    pub fn keys(&self, prefix: &str) -> usize {
+    pub fn count_keys(&self, prefix: &str) -> usize {
         let database = self.lock();
         database
             .entries
@@ -196,9 +196,10 @@
                 let first = database
                     .changes
                     .partition_point(|change| change.revision <= from);
-                let news = &database.changes[first..];
-                if !is_rejected && (!news.is_empty() || Instant::now() >= until) {
-                    let events: Vec<&Value> = news.iter().map(|change| &change.event).collect();
+                let new_changes = &database.changes[first..];
+                if !is_rejected && (!new_changes.is_empty() || Instant::now() >= until) {
+                    let events: Vec<&Value> =
+                        new_changes.iter().map(|change| &change.event).collect();
                     return (200, json!({"ledger": database.revision, "events": events}));
                 }
             }
--- a/crates/simulator/src/user_choices.rs
+++ b/crates/simulator/src/user_choices.rs
@@ -30,7 +30,7 @@
 
 /// Action of a user; each has its own random generator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Errand {
+pub(crate) enum UserAction {
     /// Submits a job and polls its state.
     Submit,
     /// Submits a known job again, `at_ms` milliseconds after the start of the scenario.
@@ -48,11 +48,11 @@
 
 impl UserChoices {
     /// Creates the generator for this action on the job.
-    pub(crate) fn new(errand: Errand, job: &JobId) -> Self {
+    pub(crate) fn new(action: UserAction, job: &JobId) -> Self {
         let generator = match SEED.get() {
             Some(seed) => {
                 let mut hasher = DefaultHasher::new();
-                (seed, errand, job.as_str()).hash(&mut hasher);
+                (seed, action, job.as_str()).hash(&mut hasher);
                 StdRng::seed_from_u64(hasher.finish())
             }
             None => StdRng::from_os_rng(),
--- a/crates/simulator/src/users.rs
+++ b/crates/simulator/src/users.rs
@@ -8,7 +8,7 @@
 use crate::{
     rules::{Event, UserAnswer},
     simulation::Simulation,
-    user_choices::{Errand, UserChoices},
+    user_choices::{UserAction, UserChoices},
 };
 
 /// How long a user waits for the answer to a submission or a cancellation.
@@ -41,14 +41,14 @@
 }
 
 /// Sends a request through the load balancer. Returns `None` if all controllers are down, or if
-/// one does not answer within `limit`.
-async fn ask(
+/// one does not answer within `timeout`.
+async fn send_request(
     simulation: &Arc<Simulation>,
     choices: &mut UserChoices,
     method: &str,
     path: &str,
     body: String,
-    limit: Duration,
+    timeout: Duration,
 ) -> Option<(u16, Value)> {
     let names = simulation.controller_names();
     let tags = ["users".to_owned()];
@@ -57,7 +57,7 @@
     for n in 0..names.len() {
         let name = &names[(first + n) % names.len()];
         let call = simulation.to_controller(&tags, name, method, path, body.clone());
-        match tokio::time::timeout(limit, call).await {
+        match tokio::time::timeout(timeout, call).await {
             Ok(Some((status, text))) => {
                 return Some((status, serde_json::from_str(&text).unwrap_or(Value::Null)));
             }
@@ -70,7 +70,7 @@
 
 /// Records an answer to a user, and starts a burst of polls if that fault is active and the
 /// answer reports a significant change.
-fn take_answer(simulation: &Arc<Simulation>, request: SentRequest<'_>, answer: (u16, &Value)) {
+fn record_answer(simulation: &Arc<Simulation>, request: SentRequest<'_>, answer: (u16, &Value)) {
     let (status, body) = answer;
     let job = request.job;
     let state = body["stance"].as_str().map(str::to_owned);
@@ -80,7 +80,7 @@
             .lock()
             .expect("reported states lock");
         let before = reported.insert(job.clone(), state.clone());
-        if simulation.faults.polls_in_bursts() && is_news(before.as_deref(), state) {
+        if simulation.faults.polls_in_bursts() && is_significant_change(before.as_deref(), state) {
             simulation.poll_in_burst(job);
         }
     }
@@ -104,7 +104,7 @@
 
 /// Whether the reported state shows for the first time that the job was accepted, is done or was
 /// cancelled.
-fn is_news(before: Option<&str>, now: &str) -> bool {
+fn is_significant_change(before: Option<&str>, now: &str) -> bool {
     before.is_none() || (before != Some(now) && matches!(now, "done" | "cancelled"))
 }
 
@@ -112,11 +112,11 @@
 pub async fn poll(simulation: &Arc<Simulation>, name: &str, job: &JobId) {
     let tags = ["users".to_owned()];
     let path = format!("/api/jobs/{job}");
-    let requested_at = simulation.at();
+    let requested_at = simulation.elapsed();
     let call = simulation.to_controller(&tags, name, "GET", &path, String::new());
     if let Ok(Some((status, text))) = tokio::time::timeout(POLL_TIMEOUT, call).await {
         let answer: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
-        take_answer(
+        record_answer(
             simulation,
             SentRequest {
                 job,
@@ -129,12 +129,12 @@
 }
 
 /// Sends the submission again, without retries.
-pub async fn submit_at_once(simulation: &Arc<Simulation>, job: &JobId, spec: &JobSpec) {
+pub async fn submit_once(simulation: &Arc<Simulation>, job: &JobId, spec: &JobSpec) {
     let body = write_job(job, spec).to_string();
-    let requested_at = simulation.at();
+    let requested_at = simulation.elapsed();
     let at_ms = requested_at.as_millis();
-    let mut choices = UserChoices::new(Errand::SubmitAgain { at_ms }, job);
-    let answer = ask(
+    let mut choices = UserChoices::new(UserAction::SubmitAgain { at_ms }, job);
+    let answer = send_request(
         simulation,
         &mut choices,
         "POST",
@@ -144,7 +144,7 @@
     )
     .await;
     if let Some((status, answer)) = answer {
-        take_answer(
+        record_answer(
             simulation,
             SentRequest {
                 job,
@@ -160,16 +160,16 @@
 /// scenario. A job without either answer is polled as well, since it may have been accepted, for
 /// example by a later retry.
 pub async fn submit(simulation: Arc<Simulation>, job: JobId, spec: JobSpec, fails: bool) {
-    simulation.upload(&job, spec.clone(), fails);
-    let mut choices = UserChoices::new(Errand::Submit, &job);
+    simulation.register_job(&job, spec.clone(), fails);
+    let mut choices = UserChoices::new(UserAction::Submit, &job);
     if submit_until_answered(&simulation, &mut choices, &job, &spec).await == Some(false) {
         return;
     }
     loop {
         tokio::time::sleep(simulation.faults.poll_interval()).await;
         let path = format!("/api/jobs/{job}");
-        let requested_at = simulation.at();
-        if let Some((status, answer)) = ask(
+        let requested_at = simulation.elapsed();
+        if let Some((status, answer)) = send_request(
             &simulation,
             &mut choices,
             "GET",
@@ -179,7 +179,7 @@
         )
         .await
         {
-            take_answer(
+            record_answer(
                 &simulation,
                 SentRequest {
                     job: &job,
@@ -194,8 +194,8 @@
 
 /// Submits a known job again, until it is accepted or refused permanently.
 pub async fn resubmit(simulation: Arc<Simulation>, job: JobId, spec: JobSpec) {
-    let at_ms = simulation.at().as_millis();
-    let mut choices = UserChoices::new(Errand::SubmitAgain { at_ms }, &job);
+    let at_ms = simulation.elapsed().as_millis();
+    let mut choices = UserChoices::new(UserAction::SubmitAgain { at_ms }, &job);
     submit_until_answered(&simulation, &mut choices, &job, &spec).await;
 }
 
@@ -209,8 +209,8 @@
 ) -> Option<bool> {
     let body = write_job(job, spec).to_string();
     for _ in 0..MAX_SUBMISSIONS {
-        let requested_at = simulation.at();
-        if let Some((status, answer)) = ask(
+        let requested_at = simulation.elapsed();
+        if let Some((status, answer)) = send_request(
             simulation,
             choices,
             "POST",
@@ -225,7 +225,7 @@
                 .lock()
                 .expect("submission statuses lock")
                 .insert(job.clone(), status);
-            take_answer(
+            record_answer(
                 simulation,
                 SentRequest {
                     job,
@@ -249,11 +249,11 @@
 /// up.
 pub async fn cancel(simulation: Arc<Simulation>, job: JobId) {
     simulation.record(Event::CancelRequested(job.clone()));
-    let mut choices = UserChoices::new(Errand::Cancel, &job);
+    let mut choices = UserChoices::new(UserAction::Cancel, &job);
     for _ in 0..MAX_CANCEL_REQUESTS {
         let path = format!("/api/jobs/{job}/abort");
-        let requested_at = simulation.at();
-        if let Some((status, answer)) = ask(
+        let requested_at = simulation.elapsed();
+        if let Some((status, answer)) = send_request(
             &simulation,
             &mut choices,
             "POST",
@@ -263,7 +263,7 @@
         )
         .await
         {
-            take_answer(
+            record_answer(
                 &simulation,
                 SentRequest {
                     job: &job,
@@ -281,7 +281,7 @@
 }
 
 /// Mandatory fields of a submission.
-const REQUIRED: [&str; 17] = [
+const REQUIRED_FIELDS: [&str; 17] = [
     "uid",
     "herd",
     "stable",
@@ -338,7 +338,7 @@
 /// Derives invalid submissions from a valid one.
 fn invalid_submissions(valid: &Value) -> Vec<InvalidSubmission> {
     let mut invalid = Vec::new();
-    for field in REQUIRED {
+    for field in REQUIRED_FIELDS {
         let mut body = valid.clone();
         let fields = body.as_object_mut().expect("a submission is an object");
         if fields.remove(field).is_some() {
@@ -370,14 +370,14 @@
 /// Sends submissions that lack a field, have an invalid one or can never run.
 pub async fn send_invalid(simulation: Arc<Simulation>, spec: JobSpec) {
     let first = JobId::new("job-990000");
-    let mut choices = UserChoices::new(Errand::SendInvalid, &first);
+    let mut choices = UserChoices::new(UserAction::SendInvalid, &first);
     let valid = write_job(&first, &spec);
     for (n, mut invalid) in invalid_submissions(&valid).into_iter().enumerate() {
         if invalid.body.get("uid").is_some() {
             invalid.body["uid"] = json!(format!("job-99{n:04}"));
         }
         let text = invalid.body.to_string();
-        let answer = ask(
+        let answer = send_request(
             &simulation,
             &mut choices,
             "POST",
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -16,7 +16,7 @@
     thread,
 };
 
-use simulator::scenario::{Measured, Scenario};
+use simulator::scenario::{Measurements, Scenario};
 
 /// The scenario's name: its file's name without the extension.
 fn name_of(path: &Path) -> String {
@@ -45,7 +45,7 @@
 }
 
 /// Plays a scenario as the environment asks for.
-fn play(name: &str, text: &str) -> Measured {
+fn play(name: &str, text: &str) -> Measurements {
     let mut scenario = Scenario::parse(text);
     if let Ok(seed) = std::env::var("SCENARIO_SEED") {
         scenario = scenario.with_seed(seed.parse().expect("a seed is a number"));
@@ -95,7 +95,7 @@
         let violations = match played.join() {
             Ok(measured) => {
                 figures += &format!("{name}: {measured}\n");
-                measured.wrong
+                measured.failures
             }
             Err(_) => vec!["panicked".into()],
         };
