--- a/crates/simulator/src/agent/stage.rs
+++ b/crates/simulator/src/agent/stage.rs
@@ -56,13 +56,13 @@
     Fetching(Instant),
     /// The task is running; not part of a running gang.
     Running(Instant),
-    /// The task, not part of a running gang, was told to stop and is saving a checkpoint.
+    /// The task, not part of a running gang, received a stop command and is saving a checkpoint.
     Saving(Instant),
     /// The task waits for the other tasks of its gang; the time is when it started to wait.
     WaitingForGang(Instant),
     /// The task is running as part of its gang.
     RunningInGang,
-    /// The task, part of a running gang, was told to stop and is saving a checkpoint.
+    /// The task, part of a running gang, received a stop command and is saving a checkpoint.
     SavingInGang(Instant),
     /// The attempt has exited; it remains in the table until a command clears it.
     Exited(ExitCause),
--- a/crates/simulator/src/agent/tasks.rs
+++ b/crates/simulator/src/agent/tasks.rs
@@ -150,8 +150,8 @@
         Some(Stage::Exited(ExitCause::GangIncomplete))
     }
 
-    /// Returns the next stage of a task of a running gang. `has_saved` means that the task was
-    /// told to stop and has saved its checkpoint.
+    /// Returns the next stage of a task of a running gang. `has_saved` means that the task
+    /// received a stop command and has saved its checkpoint.
     fn run_in_gang(
         &self,
         simulation: &Arc<Simulation>,
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -147,7 +147,8 @@
         None
     }
 
-    /// Returns and clears the kept copies if `leader` is not the last known leading process.
+    /// Returns and clears the kept copies if `leader` is a process other than the last known
+    /// leader, and records it as the last known one.
     fn take_due_duplicates(&self, leader: Option<String>) -> Vec<DuplicateHeartbeat> {
         let mut last_leader = self.last_leader.lock().expect("leader lock");
         if leader.is_none() || *last_leader == leader {
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -51,7 +51,8 @@
 const MACHINES_HOST: u8 = 250;
 /// Maximum number of open sockets of a controller.
 const MAX_SOCKETS: usize = 500;
-/// Time after which a request that the simulator leaves unanswered is closed.
+/// Time after which a request that the simulator leaves unanswered is closed; long polls get a
+/// multiple of it.
 const UNANSWERED_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long a user or an agent waits for an answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
