--- a/crates/simulator/src/agent/tasks.rs
+++ b/crates/simulator/src/agent/tasks.rs
@@ -1,4 +1,4 @@
-//! The course of tasks on a machine, from the fetch of their image to their exit.
+//! Progress of tasks on a machine, from the download of their image to their exit.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,14 +15,14 @@
     simulation::Simulation,
 };
 
-/// A replica runs until it is stopped.
+/// Run time of a service's replica: longer than any scenario, since it runs until stopped.
 const SERVICE_RUN_TIME: Duration = Duration::from_secs(1_000_000);
-/// A task that fails does so after this time.
+/// Run time of a task that fails.
 const FAILURE_RUN_TIME: Duration = Duration::from_secs(1);
 
 impl Machine {
-    /// Moves every task on to the stage that is due now. A machine whose reclaim is due ends
-    /// instead.
+    /// Advances every task to its next stage if that is due. Terminates the machine instead if
+    /// its announced reclaim is due.
     pub(super) fn advance_tasks(&self, simulation: &Arc<Simulation>) {
         let now = Instant::now();
         let mut state = self.lock();
@@ -31,7 +31,7 @@
             self.terminate(simulation);
             return;
         }
-        if now > state.lease_renewed_at + simulation.lease {
+        if now > state.lease_renewed_at + simulation.agent_lease {
             self.expire_lease(simulation, &mut state, now);
         }
         let keys: Vec<TaskAttempt> = state.tasks.keys().cloned().collect();
@@ -41,21 +41,21 @@
             };
             if let Some(next) = self.next_stage(simulation, &mut state, &key, &spec, now) {
                 state.tasks.insert(key, next);
-                state.has_news = true;
+                state.has_unreported_change = true;
             }
         }
     }
 
-    /// The lease has expired: everything is killed and forgotten, and a new epoch begins.
+    /// Handles the expiry of the lease: kills all tasks, clears the table and starts a new epoch.
     fn expire_lease(&self, simulation: &Simulation, state: &mut MachineState, now: Instant) {
         let tasks = std::mem::take(&mut state.tasks);
         self.end_tasks(simulation, tasks);
         state.epoch += 1;
         state.lease_renewed_at = now;
-        state.has_news = true;
+        state.has_unreported_change = true;
     }
 
-    /// The stage that an attempt enters now; none: it stays in its own.
+    /// Returns the stage that an attempt enters now, or `None` if it remains in its current one.
     fn next_stage(
         &self,
         simulation: &Arc<Simulation>,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The image is there: the task's process starts.
+    /// Starts the task's process once its image is downloaded; returns its new stage.
     fn begin_to_run(
         &self,
         simulation: &Simulation,
@@ -100,7 +100,7 @@
             self.kind.clone(),
         ));
         let is_completed = simulation.is_completed(&key.task);
-        let job_fails = simulation.fails(&key.task.job);
+        let job_fails = simulation.job_fails(&key.task.job);
         if spec.kind == JobKind::Gang && !is_completed && !job_fails {
             simulation.join_gang(&key.task, key.attempt);
             return Stage::WaitingForGang(now);
@@ -122,13 +122,13 @@
         }
     }
 
-    /// How a task that ran on its own to the end has ended.
+    /// Completes or fails a task, not part of a gang, at the end of its run time.
     fn finish_run(&self, simulation: &Arc<Simulation>, key: &TaskAttempt) -> ExitCause {
-        let fails = self.is_faulty || simulation.fails(&key.task.job);
+        let fails = self.is_faulty || simulation.job_fails(&key.task.job);
         if fails && !simulation.is_completed(&key.task) {
             return ExitCause::Error;
         }
-        simulation.complete(&key.task);
+        simulation.complete_task(&key.task);
         ExitCause::Done
     }
 
@@ -147,10 +147,11 @@
         }
         simulation.leave_gang(&key.task, key.attempt);
         self.record_stop(simulation, &key.task);
-        Some(Stage::Exited(ExitCause::Alone))
+        Some(Stage::Exited(ExitCause::GangIncomplete))
     }
 
-    /// `has_saved`: the task was stopped and its checkpoint is saved.
+    /// Returns the next stage of a task of a running gang. `has_saved` means that the task
+    /// received a stop command and has saved its checkpoint.
     fn run_in_gang(
         &self,
         simulation: &Arc<Simulation>,
@@ -161,12 +162,12 @@
         let cause = match simulation.run_in_gang(&key.task, key.attempt, spec, has_saved) {
             GangStep::Done => ExitCause::Done,
             GangStep::Saved => ExitCause::Stopped,
-            GangStep::MatesGone => ExitCause::MatesGone,
+            GangStep::MemberLost => ExitCause::MemberLost,
             GangStep::Stay | GangStep::Run => return None,
         };
         self.record_stop(simulation, &key.task);
         if cause == ExitCause::Done {
-            simulation.complete(&key.task);
+            simulation.complete_task(&key.task);
         }
         Some(Stage::Exited(cause))
     }
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -1,6 +1,6 @@
-//! Real sockets in place of the simulated network: each controller is a thread with a
-//! runtime of its own, and the state service, the cloud and the agents listen on
-//! addresses of the loopback range. Time is real.
+//! Loopback mode: real sockets replace the simulated network. Each controller is a thread with
+//! its own runtime, and the state service, the cloud and the agents listen on addresses of the
+//! loopback range. Time is real.
 
 use std::{
     collections::HashMap,
@@ -40,30 +40,32 @@
     simulation::{SimNet, Simulation},
 };
 
-/// Ports of each controller's address.
+/// Ports on each controller's address.
 const PUBLIC_PORT: u16 = 8080;
 const PRIVATE_PORT: u16 = 8081;
 const STATE_PORT: u16 = 8082;
 const CLOUD_PORT: u16 = 8083;
-/// The first machine's port, on the address of the machines.
+/// Port of the first machine, on the address that all machines share.
 const FIRST_MACHINE_PORT: u16 = 10_000;
-/// The host number of all machines.
+/// Last octet of the address that all machines share.
 const MACHINES_HOST: u8 = 250;
-/// Sockets that a controller may have open.
-const SOCKETS: usize = 500;
-/// A request that the simulator leaves unanswered ends by then.
-const UNANSWERED: Duration = Duration::from_secs(6);
+/// Maximum number of open sockets of a controller.
+const MAX_SOCKETS: usize = 500;
+/// Time after which a request that the simulator leaves unanswered is closed; long polls get a
+/// multiple of it.
+const UNANSWERED_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long a user or an agent waits for an answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// The largest body of a request.
-const BODY_LIMIT: usize = 1 << 20;
+/// Maximum size of a request's body.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// The addresses of one simulated cluster.
 pub struct Loopback {
-    /// Two bytes that tell this test process from others on the machine.
-    network: [u8; 2],
-    next_machine: AtomicU16,
-    /// For users and agents.
+    /// Second and third octet of all addresses, derived from the process id, so that test
+    /// processes on the same machine use different addresses.
+    network_octets: [u8; 2],
+    next_machine_port: AtomicU16,
+    /// HTTP client of users and agents.
     client: HttpNetwork,
 }
 
@@ -71,26 +73,27 @@
     fn default() -> Self {
         let process = std::process::id();
         Self {
-            network: [(process >> 8) as u8 | 1, process as u8],
-            next_machine: AtomicU16::new(FIRST_MACHINE_PORT),
-            client: HttpNetwork::new(SocketBudget::new(4 * SOCKETS)),
+            network_octets: [(process >> 8) as u8 | 1, process as u8],
+            next_machine_port: AtomicU16::new(FIRST_MACHINE_PORT),
+            client: HttpNetwork::new(SocketBudget::new(4 * MAX_SOCKETS)),
         }
     }
 }
 
 impl Loopback {
     fn address(&self, host: u8, port: u16) -> SocketAddr {
-        let [a, b] = self.network;
+        let [a, b] = self.network_octets;
         SocketAddr::from((Ipv4Addr::new(127, a, b, host), port))
     }
 
-    /// Controllers are named `n0`, `n1` and so on.
-    fn of_controller(&self, name: &str, port: u16) -> SocketAddr {
-        let number: u8 = name[1..].parse().expect("a controller's number");
+    /// Returns a controller's address. Controllers are named `n0`, `n1` and so on.
+    fn controller_address(&self, name: &str, port: u16) -> SocketAddr {
+        let number: u8 = name[1..].parse().expect("a controller is named n<number>");
         self.address(number + 1, port)
     }
 
-    /// A request of a user or an agent to a controller; none: no answer.
+    /// Sends a request of a user or an agent to a controller; returns `None` if there is no
+    /// answer.
     pub async fn request(
         &self,
         controller: &str,
@@ -100,7 +103,7 @@
     ) -> Option<(u16, String)> {
         let request = HttpRequest {
             destination: Destination::Service,
-            address: self.of_controller(controller, PUBLIC_PORT).to_string(),
+            address: self.controller_address(controller, PUBLIC_PORT).to_string(),
             method: if method == "GET" {
                 Method::Get
             } else {
@@ -117,7 +120,7 @@
         ))
     }
 
-    /// Lets the state service and the cloud listen for one controller.
+    /// Starts listeners of the state service and the cloud for one controller.
     pub async fn serve_services(&self, simulation: &Arc<Simulation>, controller: &str) {
         for (service, port) in [("state", STATE_PORT), ("cloud", CLOUD_PORT)] {
             let gateway = Gateway {
@@ -126,17 +129,17 @@
                 service,
             };
             let router = Router::new().fallback(forward).with_state(gateway);
-            serve(self.of_controller(controller, port), router).await;
+            serve(self.controller_address(controller, port), router).await;
         }
     }
 
-    /// Lets a machine's agent listen; its address.
+    /// Starts a listener for a machine's agent; returns its address.
     pub async fn serve_machine(
         &self,
         simulation: &Arc<Simulation>,
         machine: &Arc<Machine>,
     ) -> String {
-        let port = self.next_machine.fetch_add(1, Ordering::Relaxed);
+        let port = self.next_machine_port.fetch_add(1, Ordering::Relaxed);
         let address = self.address(MACHINES_HOST, port);
         let state = (simulation.clone(), machine.clone());
         let router = Router::new().fallback(answer_for_machine).with_state(state);
@@ -144,21 +147,23 @@
         address.to_string()
     }
 
-    /// Starts a controller's process. `before`: the process that had its addresses.
-    pub fn start(&self, config: Config, before: Option<JoinHandle<()>>) -> Process {
+    /// Starts a controller's process. `previous` is the thread of the process that used the same
+    /// addresses before.
+    pub fn start(&self, config: Config, previous: Option<JoinHandle<()>>) -> Process {
         let name = config.name.as_str();
         let addresses = Addresses {
-            public: self.of_controller(name, PUBLIC_PORT),
-            private: self.of_controller(name, PRIVATE_PORT),
-            state: self.of_controller(name, STATE_PORT),
-            cloud: self.of_controller(name, CLOUD_PORT),
+            public: self.controller_address(name, PUBLIC_PORT),
+            private: self.controller_address(name, PRIVATE_PORT),
+            state: self.controller_address(name, STATE_PORT),
+            cloud: self.controller_address(name, CLOUD_PORT),
             peers: config
                 .peers
                 .iter()
                 .map(|(peer, _)| {
                     (
                         peer.clone(),
-                        self.of_controller(peer.as_str(), PRIVATE_PORT).to_string(),
+                        self.controller_address(peer.as_str(), PRIVATE_PORT)
+                            .to_string(),
                     )
                 })
                 .collect(),
@@ -167,9 +172,9 @@
         let (started, controller) = mpsc::channel();
         let thread = {
             let stop = stop.clone();
-            std::thread::spawn(move || run(config, addresses, before, stop, &started))
+            std::thread::spawn(move || run(config, addresses, previous, stop, &started))
         };
-        let (controller, handle) = controller.recv().expect("the process starts");
+        let (controller, handle) = controller.recv().expect("the controller's thread starts");
         Process {
             controller,
             handle,
@@ -179,7 +184,7 @@
     }
 }
 
-/// Where a controller listens, and where it reaches the others.
+/// Addresses on which a controller listens, and those of the services and its peers.
 struct Addresses {
     public: SocketAddr,
     private: SocketAddr,
@@ -188,9 +193,9 @@
     peers: HashMap<ControllerName, String>,
 }
 
-/// A controller, as a thread with a runtime of its own.
+/// A controller's process, simulated by a thread with its own runtime.
 pub struct Process {
-    /// The controller that runs in it.
+    /// The controller that runs in the process.
     pub controller: Arc<Controller>,
     handle: Handle,
     stop: CancellationToken,
@@ -198,31 +203,33 @@
 }
 
 impl Process {
-    /// Ends it at once: its sockets close, whatever it was about to do. Its thread, to wait for.
+    /// Kills the process: it stops at once, without finishing its work, and its sockets are
+    /// closed. Returns its thread, which must be joined before its addresses are used again.
     pub fn kill(self) -> JoinHandle<()> {
         self.stop.cancel();
         self.thread
     }
 
-    /// The process stands still while its clocks run on.
+    /// Pauses the process for this long by blocking its only thread; its clocks keep running.
     pub fn pause(&self, time: Duration) {
         self.handle.spawn(async move { std::thread::sleep(time) });
     }
 }
 
-/// The thread of a controller: the process that had its addresses before must have ended.
+/// Runs a controller's thread. Waits for the end of the previous process before it binds the
+/// same addresses.
 fn run(
     config: Config,
     addresses: Addresses,
-    before: Option<JoinHandle<()>>,
+    previous: Option<JoinHandle<()>>,
     stop: CancellationToken,
     started: &mpsc::Sender<(Arc<Controller>, Handle)>,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
-    let sockets = SocketBudget::new(SOCKETS);
+        .expect("the runtime starts");
+    let sockets = SocketBudget::new(MAX_SOCKETS);
     let net: Arc<dyn Network> = Arc::new(HttpNetwork::new(sockets.clone()));
     let controller = Controller::new(
         config,
@@ -236,11 +243,13 @@
         ),
         stop.clone(),
     );
-    // Nobody waits for it only if the test has ended.
+    // The receiver is gone only if the test has ended.
     let _ = started.send((controller.clone(), runtime.handle().clone()));
-    if let Some(before) = before {
-        // A paused process keeps its addresses until it goes on.
-        before.join().expect("the process before ends in order");
+    if let Some(previous) = previous {
+        // A paused process keeps its addresses until it resumes.
+        previous
+            .join()
+            .expect("the previous process ends without a panic");
     }
     runtime.block_on(serve_controller(
         &controller,
@@ -260,8 +269,12 @@
     sockets: &SocketBudget,
     stop: &CancellationToken,
 ) {
-    let public = TcpListener::bind(public).await.expect("a free port");
-    let private = TcpListener::bind(private).await.expect("a free port");
+    let public = TcpListener::bind(public)
+        .await
+        .expect("the loopback address is free");
+    let private = TcpListener::bind(private)
+        .await
+        .expect("the loopback address is free");
     let mut duties = JoinSet::new();
     controller.start(&mut duties);
     let router = server::router(controller.clone(), sockets.clone());
@@ -283,7 +296,7 @@
     duties.abort_all();
 }
 
-/// What a service answers to one controller.
+/// Forwards requests of one controller to a simulated service.
 #[derive(Clone)]
 struct Gateway {
     simulation: Arc<Simulation>,
@@ -292,8 +305,10 @@
 }
 
 async fn serve(address: SocketAddr, router: Router) {
-    let listener = TcpListener::bind(address).await.expect("a free port");
-    let sockets = SocketBudget::new(4 * SOCKETS);
+    let listener = TcpListener::bind(address)
+        .await
+        .expect("the loopback address is free");
+    let sockets = SocketBudget::new(4 * MAX_SOCKETS);
     tokio::spawn(server::serve(
         router,
         listener,
@@ -304,7 +319,7 @@
 
 async fn forward(State(gateway): State<Gateway>, request: Request<Body>) -> Response {
     let (parts, body) = request.into_parts();
-    let Ok(body) = axum::body::to_bytes(body, BODY_LIMIT).await else {
+    let Ok(body) = axum::body::to_bytes(body, MAX_BODY_BYTES).await else {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     };
     let request = HttpRequest {
@@ -320,20 +335,24 @@
             .path_and_query()
             .map_or_else(String::new, ToString::to_string),
         body,
-        timeout: UNANSWERED,
+        timeout: UNANSWERED_TIMEOUT,
     };
-    let held = request.path.starts_with("/follow");
-    let network = SimNet::of_living(&gateway.simulation, &gateway.controller);
+    let is_long_poll = request.path.starts_with("/follow");
+    let network = SimNet::of_running(&gateway.simulation, &gateway.controller);
     let answer = async {
         match network {
             Some(network) => network.send(request).await.ok(),
             None => None,
         }
     };
-    let patience = if held { UNANSWERED * 4 } else { UNANSWERED };
-    match tokio::time::timeout(patience, answer).await {
+    let timeout = if is_long_poll {
+        UNANSWERED_TIMEOUT * 4
+    } else {
+        UNANSWERED_TIMEOUT
+    };
+    match tokio::time::timeout(timeout, answer).await {
         Ok(Some(reply)) => reply_with(reply.status, reply.body),
-        // The caller has given up by now.
+        // The caller's own timeout has expired by now.
         _ => StatusCode::GATEWAY_TIMEOUT.into_response(),
     }
 }
@@ -343,7 +362,7 @@
     request: Request<Body>,
 ) -> Response {
     let path = request.uri().path().to_owned();
-    let Ok(body) = axum::body::to_bytes(request.into_body(), BODY_LIMIT).await else {
+    let Ok(body) = axum::body::to_bytes(request.into_body(), MAX_BODY_BYTES).await else {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     };
     if machine.is_terminated() {
@@ -354,6 +373,6 @@
 }
 
 fn reply_with(status: u16, body: Bytes) -> Response {
-    let status = StatusCode::from_u16(status).expect("a status");
+    let status = StatusCode::from_u16(status).expect("a valid HTTP status");
     (status, body).into_response()
 }
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios: small text files, one line a statement. `tests/scenarios/README`
-//! describes them.
+//! Scenarios: small text files with one statement per line. `tests/scenarios/README` describes
+//! the statements.
 
 mod actions;
 mod expectations;
@@ -23,10 +23,10 @@
     user_choices,
     versions::Version,
 };
-use actions::{act, run_later};
+use actions::{run_action, run_later};
 use words::Words;
 
-/// What happens at a time, since the start of the scenario.
+/// An action and its time since the start of the scenario.
 #[derive(Clone, Debug)]
 struct TimedAction {
     at: Duration,
@@ -34,151 +34,153 @@
     line: String,
 }
 
-/// CPUs that teams used at one time.
+/// The teams' CPU usage at one time.
 #[derive(Clone, Debug)]
 pub struct UsageSample {
-    /// Since the start of the scenario.
+    /// Time of the sample, since the start of the scenario.
     pub at: Duration,
-    /// CPUs by team.
-    pub used: BTreeMap<TeamName, f64>,
+    /// CPUs in use, by team.
+    pub cpus_by_team: BTreeMap<TeamName, f64>,
 }
 
-/// What was seen in a scenario.
+/// Results of a scenario.
 #[derive(Clone, Debug)]
-pub struct Measured {
-    /// Broken rules and expectations that failed.
-    pub wrong: Vec<String>,
-    /// By time of submission, how long each job took to start.
-    pub waits: Vec<(Duration, Option<Duration>)>,
-    /// What teams used over time.
-    pub used: Vec<UsageSample>,
-    /// How often a task was started.
-    pub starts: usize,
-    /// Changes asked of the state service.
-    pub changes: usize,
-    /// Changes made there, by the kind of record: `+` written, `-` removed.
+pub struct Measurements {
+    /// Rule violations and failed expectations, one line each.
+    pub failures: Vec<String>,
+    /// Submission time of each job, and its delay until the first task started; `None` if none
+    /// has started.
+    pub start_delays: Vec<(Duration, Option<Duration>)>,
+    /// CPU usage of the teams over time.
+    pub usage_samples: Vec<UsageSample>,
+    /// Number of task starts.
+    pub task_starts: usize,
+    /// Changes requested from the state service, including those of failed transactions.
+    pub requested_changes: usize,
+    /// Changes that controllers made in the state service, by the kind of record: `+` written,
+    /// `-` removed.
     pub changes_by_kind: BTreeMap<String, usize>,
-    /// Machines ever provisioned.
-    pub provisioned: usize,
-    /// What each job's user was told last.
-    pub outcomes: BTreeMap<JobId, String>,
+    /// Number of machines ever provisioned.
+    pub provisioned_machines: usize,
+    /// The job state last reported to each job's user.
+    pub reported_states: BTreeMap<JobId, String>,
 }
 
-impl fmt::Display for Measured {
-    /// One line of figures: two versions of the code that act alike give the same.
+impl fmt::Display for Measurements {
+    /// Writes one line of figures. Two versions of the code that behave alike give the same line.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "failed={} starts={} provisioned={} changes={}",
-            self.wrong.len(),
-            self.starts,
-            self.provisioned,
-            self.changes
+            self.failures.len(),
+            self.task_starts,
+            self.provisioned_machines,
+            self.requested_changes
         )?;
         for (kind, count) in &self.changes_by_kind {
             write!(f, " {kind}={count}")?;
         }
-        for (job, outcome) in &self.outcomes {
-            write!(f, " {job}={outcome}")?;
+        for (job, state) in &self.reported_states {
+            write!(f, " {job}={state}")?;
         }
         Ok(())
     }
 }
 
-/// A scenario, ready to be played once.
+/// A parsed scenario, ready to run once.
 pub struct Scenario {
-    /// The seed of all random draws.
+    /// Seed of all random numbers.
     seed: u64,
     cluster: ClusterSettings,
     /// The version of all controllers at the start.
     version: Version,
-    timed: Vec<TimedAction>,
+    actions: Vec<TimedAction>,
     until: Duration,
 }
 
-/// What a scenario is played on.
+/// Network and clock with which a scenario runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Surroundings {
-    /// The simulated network, on a paused clock.
+enum RunMode {
+    /// Simulated network, paused clock.
     Simulated,
-    /// The same, with its events kept.
+    /// Simulated network, paused clock, events recorded.
     Traced,
-    /// Real sockets, in real time.
+    /// Real sockets, real time.
     Loopback,
 }
 
-/// Statements that are no faults. Those who submit late are faults of their own.
-const FAULTLESS_STATEMENTS: [&str; 6] =
-    ["submit", "stream", "resubmit", "cancel", "expect", "cloud"];
-/// How long a fault lasts, in seconds, if nothing is said.
+/// Actions that do not count as faults and do not defer the time from which all faults are over.
+/// That includes faults of the cloud. All other actions count, also polls and invalid requests.
+const NON_FAULT_ACTIONS: [&str; 6] = ["submit", "stream", "resubmit", "cancel", "expect", "cloud"];
+/// Default duration of a fault, in seconds.
 const DEFAULT_FAULT_S: f64 = 5.0;
-/// How often the rule checkers look at the cluster.
+/// Interval between checks of the rules.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Scenario {
-    /// When the last fault is over: what users were refused until then is
-    /// forgiven.
+    /// Returns the time at which the last fault is over. Jobs that wait or get no answer until
+    /// then violate no rule.
     fn faults_end_at(&self) -> Duration {
-        let ends = self.timed.iter().filter_map(|timed| {
+        let ends = self.actions.iter().filter_map(|timed| {
             let parts: Vec<&str> = timed.words.iter().map(String::as_str).collect();
             let words = Words::new(&parts[1..]);
             let late = words.seconds("late", 0.0);
-            (!FAULTLESS_STATEMENTS.contains(&parts[0]))
+            (!NON_FAULT_ACTIONS.contains(&parts[0]))
                 .then(|| timed.at + words.seconds("for", DEFAULT_FAULT_S) + late)
         });
         ends.max().unwrap_or_default()
     }
 
-    /// Plays the scenario on a clock of its own; returns what went wrong.
+    /// Runs the scenario on its own paused clock; returns rule violations and failed expectations.
     pub fn play(self) -> Vec<String> {
-        self.measure().wrong
+        self.measure().failures
     }
 
-    /// The same scenario with another seed.
+    /// Returns the scenario with another seed.
     pub fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Makes all that is drawn on this thread repeatable.
+    /// Seeds the random generators of this thread, to make the run repeatable.
     fn seed_draws(&self) {
         jitter::seed(self.seed);
         user_choices::seed(self.seed);
     }
 
-    /// Plays the scenario as [`Self::play`] does; what was seen in it.
-    pub fn measure(self) -> Measured {
+    /// Runs the scenario like [`Self::play`]; returns all results.
+    pub fn measure(self) -> Measurements {
         self.seed_draws();
-        paused_runtime()
-            .block_on(self.run(Surroundings::Simulated))
-            .0
+        paused_runtime().block_on(self.run(RunMode::Simulated)).0
     }
 
-    /// Plays the scenario as [`Self::measure`] does, and keeps its events.
-    pub fn measure_traced(self) -> (Measured, EventTrace) {
+    /// Runs the scenario like [`Self::measure`]; also returns its events.
+    pub fn measure_traced(self) -> (Measurements, EventTrace) {
         self.seed_draws();
-        paused_runtime().block_on(self.run(Surroundings::Traced))
+        paused_runtime().block_on(self.run(RunMode::Traced))
     }
 
-    /// Plays the scenario in real time, on real sockets of the loopback range.
+    /// Runs the scenario in real time on real sockets of the loopback range; returns rule
+    /// violations and failed expectations.
     pub fn play_on_loopback(self) -> Vec<String> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .expect("the runtime starts");
-        runtime.block_on(self.run(Surroundings::Loopback)).0.wrong
+        runtime.block_on(self.run(RunMode::Loopback)).0.failures
     }
 
-    async fn run(self, surroundings: Surroundings) -> (Measured, EventTrace) {
+    async fn run(self, mode: RunMode) -> (Measurements, EventTrace) {
         logging::start_clock();
         let faults_end_at = self.faults_end_at();
         let mut simulation = Simulation::new(self.cluster);
         {
-            let simulation = Arc::get_mut(&mut simulation).expect("nobody else has it yet");
-            match surroundings {
-                Surroundings::Simulated => {}
-                Surroundings::Traced => simulation.keep_trace(),
-                Surroundings::Loopback => simulation.use_loopback(),
+            let simulation =
+                Arc::get_mut(&mut simulation).expect("the simulation is not shared yet");
+            match mode {
+                RunMode::Simulated => {}
+                RunMode::Traced => simulation.keep_trace(),
+                RunMode::Loopback => simulation.use_loopback(),
             }
         }
         simulation.serve_services().await;
@@ -188,19 +190,22 @@
         }
         let start = Instant::now();
         let usage_samples: Arc<Mutex<Vec<UsageSample>>> = Arc::default();
-        let checks = tokio::spawn(check_often(simulation.clone(), usage_samples.clone()));
+        let checks = tokio::spawn(check_periodically(
+            simulation.clone(),
+            usage_samples.clone(),
+        ));
         {
             let simulation = simulation.clone();
             run_later(faults_end_at, move || simulation.note_faults_ended());
         }
-        let mut violations = play_actions(&simulation, &self.timed, start).await;
+        let mut violations = play_actions(&simulation, &self.actions, start).await;
         tokio::time::sleep_until(start + self.until).await;
         checks.abort();
         simulation.finish();
         violations.extend(simulation.violations());
-        let used = std::mem::take(&mut *usage_samples.lock().expect("samples"));
+        let samples = std::mem::take(&mut *usage_samples.lock().expect("samples lock"));
         let trace = simulation.take_trace();
-        (measure(&simulation, violations, used), trace)
+        (measure(&simulation, violations, samples), trace)
     }
 }
 
@@ -212,7 +217,7 @@
         .expect("the runtime starts")
 }
 
-/// Plays the timed actions; the expectations that failed.
+/// Executes the timed actions; returns the failed expectations.
 async fn play_actions(
     simulation: &Arc<Simulation>,
     actions: &[TimedAction],
@@ -222,39 +227,43 @@
     for timed in actions {
         tokio::time::sleep_until(start + timed.at).await;
         let parts: Vec<&str> = timed.words.iter().map(String::as_str).collect();
-        if let Err(failure) = act(simulation, &parts) {
+        if let Err(failure) = run_action(simulation, &parts) {
             failed.push(format!("{}: {failure}", timed.line));
         }
     }
     failed
 }
 
-/// Lets the rule checkers look at the cluster, and samples what teams use, until aborted.
-async fn check_often(simulation: Arc<Simulation>, samples: Arc<Mutex<Vec<UsageSample>>>) {
+/// Periodically checks the rules and samples the teams' CPU usage, until aborted.
+async fn check_periodically(simulation: Arc<Simulation>, samples: Arc<Mutex<Vec<UsageSample>>>) {
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
         simulation.check_rules();
         let sample = UsageSample {
-            at: simulation.at(),
-            used: simulation.used(),
+            at: simulation.elapsed(),
+            cpus_by_team: simulation.used_cpus(),
         };
-        samples.lock().expect("samples").push(sample);
+        samples.lock().expect("samples lock").push(sample);
     }
 }
 
-fn measure(simulation: &Simulation, violations: Vec<String>, used: Vec<UsageSample>) -> Measured {
-    Measured {
-        wrong: violations,
-        waits: simulation.waits(),
-        used,
-        starts: simulation.starts(),
-        changes: simulation.state.changes(),
+fn measure(
+    simulation: &Simulation,
+    violations: Vec<String>,
+    usage_samples: Vec<UsageSample>,
+) -> Measurements {
+    Measurements {
+        failures: violations,
+        start_delays: simulation.start_delays(),
+        usage_samples,
+        task_starts: simulation.task_starts(),
+        requested_changes: simulation.state.requested_changes(),
         changes_by_kind: simulation.state.changes_by_kind(),
-        provisioned: simulation.provisioned(),
-        outcomes: simulation
+        provisioned_machines: simulation.provisioned_machines(),
+        reported_states: simulation
             .reported_states
             .lock()
-            .expect("reported states")
+            .expect("reported states lock")
             .clone(),
     }
 }
--- a/crates/simulator/src/users.rs
+++ b/crates/simulator/src/users.rs
@@ -1,4 +1,4 @@
-//! Simulated users: they submit, poll and cancel, and repeat what got no answer.
+//! Simulated users: they submit, poll and cancel jobs, and retry requests without an answer.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,19 +8,19 @@
 use crate::{
     rules::{Event, UserAnswer},
     simulation::Simulation,
-    user_choices::{Errand, UserChoices},
+    user_choices::{UserAction, UserChoices},
 };
 
 /// How long a user waits for the answer to a submission or a cancellation.
 const SUBMISSION_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a user waits for the answer to a poll.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often a user submits a job that is neither accepted nor refused for good.
+/// Maximum number of attempts to submit a job that is neither accepted nor refused permanently.
 const MAX_SUBMISSIONS: usize = 30;
-/// How often a user asks to cancel a job.
+/// Maximum number of attempts to cancel a job.
 const MAX_CANCEL_REQUESTS: usize = 60;
 
-/// A submission as users write it.
+/// Returns the JSON that users submit for a job.
 pub fn write_job(id: &JobId, spec: &JobSpec) -> Value {
     json!({
         "uid": id.as_str(), "herd": spec.class.as_str(), "stable": spec.team.as_str(),
@@ -40,24 +40,24 @@
     })
 }
 
-/// A request through the load balancer, with this time limit at each controller; none: no
-/// answer in time.
-async fn ask(
+/// Sends a request through the load balancer. Returns `None` if all controllers are down, or if
+/// one does not answer within `timeout`.
+async fn send_request(
     simulation: &Arc<Simulation>,
     choices: &mut UserChoices,
     method: &str,
     path: &str,
     body: String,
-    limit: Duration,
+    timeout: Duration,
 ) -> Option<(u16, Value)> {
     let names = simulation.controller_names();
     let tags = ["users".to_owned()];
     let first = choices.first_controller(names.len());
-    // The load balancer tries another controller when one refuses.
+    // The load balancer tries the next controller if one refuses the connection.
     for n in 0..names.len() {
         let name = &names[(first + n) % names.len()];
         let call = simulation.to_controller(&tags, name, method, path, body.clone());
-        match tokio::time::timeout(limit, call).await {
+        match tokio::time::timeout(timeout, call).await {
             Ok(Some((status, text))) => {
                 return Some((status, serde_json::from_str(&text).unwrap_or(Value::Null)));
             }
@@ -68,15 +68,19 @@
     None
 }
 
-/// A user has got an answer about a job.
-fn take_answer(simulation: &Arc<Simulation>, request: SentRequest<'_>, answer: (u16, &Value)) {
+/// Records an answer to a user, and starts a burst of polls if that fault is active and the
+/// answer reports a significant change.
+fn record_answer(simulation: &Arc<Simulation>, request: SentRequest<'_>, answer: (u16, &Value)) {
     let (status, body) = answer;
     let job = request.job;
     let state = body["stance"].as_str().map(str::to_owned);
     if let Some(state) = &state {
-        let mut reported = simulation.reported_states.lock().expect("reported states");
+        let mut reported = simulation
+            .reported_states
+            .lock()
+            .expect("reported states lock");
         let before = reported.insert(job.clone(), state.clone());
-        if simulation.faults.polls_in_bursts() && is_news(before.as_deref(), state) {
+        if simulation.faults.polls_in_bursts() && is_significant_change(before.as_deref(), state) {
             simulation.poll_in_burst(job);
         }
     }
@@ -89,7 +93,7 @@
     }));
 }
 
-/// A request about a job that is on its way.
+/// A sent request about a job.
 #[derive(Clone, Copy)]
 struct SentRequest<'a> {
     job: &'a JobId,
@@ -98,20 +102,21 @@
     is_submission: bool,
 }
 
-/// Whether a user learns that the job was accepted, is over, or was cancelled.
-fn is_news(before: Option<&str>, now: &str) -> bool {
+/// Whether the reported state shows for the first time that the job was accepted, is done or was
+/// cancelled.
+fn is_significant_change(before: Option<&str>, now: &str) -> bool {
     before.is_none() || (before != Some(now) && matches!(now, "done" | "cancelled"))
 }
 
-/// Asks one controller about the job.
+/// Polls the job's state at one controller.
 pub async fn poll(simulation: &Arc<Simulation>, name: &str, job: &JobId) {
     let tags = ["users".to_owned()];
     let path = format!("/api/jobs/{job}");
-    let requested_at = simulation.at();
+    let requested_at = simulation.elapsed();
     let call = simulation.to_controller(&tags, name, "GET", &path, String::new());
     if let Ok(Some((status, text))) = tokio::time::timeout(POLL_TIMEOUT, call).await {
         let answer: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
-        take_answer(
+        record_answer(
             simulation,
             SentRequest {
                 job,
@@ -123,13 +128,13 @@
     }
 }
 
-/// Sends the submission once more.
-pub async fn submit_at_once(simulation: &Arc<Simulation>, job: &JobId, spec: &JobSpec) {
+/// Sends the submission again, without retries.
+pub async fn submit_once(simulation: &Arc<Simulation>, job: &JobId, spec: &JobSpec) {
     let body = write_job(job, spec).to_string();
-    let requested_at = simulation.at();
+    let requested_at = simulation.elapsed();
     let at_ms = requested_at.as_millis();
-    let mut choices = UserChoices::new(Errand::SubmitAgain { at_ms }, job);
-    let answer = ask(
+    let mut choices = UserChoices::new(UserAction::SubmitAgain { at_ms }, job);
+    let answer = send_request(
         simulation,
         &mut choices,
         "POST",
@@ -139,7 +144,7 @@
     )
     .await;
     if let Some((status, answer)) = answer {
-        take_answer(
+        record_answer(
             simulation,
             SentRequest {
                 job,
@@ -151,20 +156,20 @@
     }
 }
 
-/// Submits, until it is accepted or refused for good; then polls to the end. One that
-/// got no answer at all is polled as well, since it may have been accepted, by a later
-/// repeat for example.
+/// Submits a job until it is accepted or refused permanently, then polls it until the end of the
+/// scenario. A job without either answer is polled as well, since it may have been accepted, for
+/// example by a later retry.
 pub async fn submit(simulation: Arc<Simulation>, job: JobId, spec: JobSpec, fails: bool) {
-    simulation.upload(&job, spec.clone(), fails);
-    let mut choices = UserChoices::new(Errand::Submit, &job);
+    simulation.register_job(&job, spec.clone(), fails);
+    let mut choices = UserChoices::new(UserAction::Submit, &job);
     if submit_until_answered(&simulation, &mut choices, &job, &spec).await == Some(false) {
         return;
     }
     loop {
         tokio::time::sleep(simulation.faults.poll_interval()).await;
         let path = format!("/api/jobs/{job}");
-        let requested_at = simulation.at();
-        if let Some((status, answer)) = ask(
+        let requested_at = simulation.elapsed();
+        if let Some((status, answer)) = send_request(
             &simulation,
             &mut choices,
             "GET",
@@ -174,7 +179,7 @@
         )
         .await
         {
-            take_answer(
+            record_answer(
                 &simulation,
                 SentRequest {
                     job: &job,
@@ -187,14 +192,15 @@
     }
 }
 
-/// Submits a known job once more, until it is accepted or refused for good.
+/// Submits a known job again, until it is accepted or refused permanently.
 pub async fn resubmit(simulation: Arc<Simulation>, job: JobId, spec: JobSpec) {
-    let at_ms = simulation.at().as_millis();
-    let mut choices = UserChoices::new(Errand::SubmitAgain { at_ms }, &job);
+    let at_ms = simulation.elapsed().as_millis();
+    let mut choices = UserChoices::new(UserAction::SubmitAgain { at_ms }, &job);
     submit_until_answered(&simulation, &mut choices, &job, &spec).await;
 }
 
-/// Whether it was accepted, or refused for good; none: no such answer in time.
+/// Retries a submission. Returns true if it was accepted, false if it was refused permanently and
+/// `None` if all attempts ended without either answer.
 async fn submit_until_answered(
     simulation: &Arc<Simulation>,
     choices: &mut UserChoices,
@@ -203,8 +209,8 @@
 ) -> Option<bool> {
     let body = write_job(job, spec).to_string();
     for _ in 0..MAX_SUBMISSIONS {
-        let requested_at = simulation.at();
-        if let Some((status, answer)) = ask(
+        let requested_at = simulation.elapsed();
+        if let Some((status, answer)) = send_request(
             simulation,
             choices,
             "POST",
@@ -217,9 +223,9 @@
             simulation
                 .submission_statuses
                 .lock()
-                .expect("submission statuses")
+                .expect("submission statuses lock")
                 .insert(job.clone(), status);
-            take_answer(
+            record_answer(
                 simulation,
                 SentRequest {
                     job,
@@ -239,14 +245,15 @@
     None
 }
 
-/// Asks to cancel the job, until a controller has confirmed it.
+/// Requests the cancellation of the job until a controller confirms it, or the attempts are used
+/// up.
 pub async fn cancel(simulation: Arc<Simulation>, job: JobId) {
     simulation.record(Event::CancelRequested(job.clone()));
-    let mut choices = UserChoices::new(Errand::Cancel, &job);
+    let mut choices = UserChoices::new(UserAction::Cancel, &job);
     for _ in 0..MAX_CANCEL_REQUESTS {
         let path = format!("/api/jobs/{job}/abort");
-        let requested_at = simulation.at();
-        if let Some((status, answer)) = ask(
+        let requested_at = simulation.elapsed();
+        if let Some((status, answer)) = send_request(
             &simulation,
             &mut choices,
             "POST",
@@ -256,7 +263,7 @@
         )
         .await
         {
-            take_answer(
+            record_answer(
                 &simulation,
                 SentRequest {
                     job: &job,
@@ -273,8 +280,8 @@
     }
 }
 
-/// Fields that a submission must have.
-const REQUIRED: [&str; 17] = [
+/// Mandatory fields of a submission.
+const REQUIRED_FIELDS: [&str; 17] = [
     "uid",
     "herd",
     "stable",
@@ -294,7 +301,7 @@
     "saddle_s",
 ];
 
-/// Changed fields with which a submission is refused with a status.
+/// Returns fields with invalid values, and the HTTP status with which each must be refused.
 fn invalid_fields() -> [(&'static str, Value, u16); 9] {
     [
         ("stable", json!("nobody"), 422),
@@ -309,11 +316,11 @@
     ]
 }
 
-/// A submission that must be refused.
+/// An invalid submission, which must be refused.
 struct InvalidSubmission {
     /// What is invalid in it.
     what: String,
-    /// The HTTP status that it must get.
+    /// The HTTP status of the expected answer.
     expected: u16,
     body: Value,
 }
@@ -328,10 +335,10 @@
     }
 }
 
-/// A valid submission in all the ways that make it invalid.
+/// Derives invalid submissions from a valid one.
 fn invalid_submissions(valid: &Value) -> Vec<InvalidSubmission> {
     let mut invalid = Vec::new();
-    for field in REQUIRED {
+    for field in REQUIRED_FIELDS {
         let mut body = valid.clone();
         let fields = body.as_object_mut().expect("a submission is an object");
         if fields.remove(field).is_some() {
@@ -345,7 +352,7 @@
         body[field] = value;
         invalid.push(InvalidSubmission::new(what, status, body));
     }
-    // Only their first task would fit; they need capacity for all at once.
+    // A single task would fit, but a gang or service needs capacity for all tasks at once.
     for kind in ["group", "daemon"] {
         let mut body = valid.clone();
         body["gait"] = json!(kind);
@@ -360,17 +367,17 @@
     invalid
 }
 
-/// Sends submissions that lack a field or can never run.
+/// Sends submissions that lack a field, have an invalid one or can never run.
 pub async fn send_invalid(simulation: Arc<Simulation>, spec: JobSpec) {
     let first = JobId::new("job-990000");
-    let mut choices = UserChoices::new(Errand::SendInvalid, &first);
+    let mut choices = UserChoices::new(UserAction::SendInvalid, &first);
     let valid = write_job(&first, &spec);
     for (n, mut invalid) in invalid_submissions(&valid).into_iter().enumerate() {
         if invalid.body.get("uid").is_some() {
             invalid.body["uid"] = json!(format!("job-99{n:04}"));
         }
         let text = invalid.body.to_string();
-        let answer = ask(
+        let answer = send_request(
             &simulation,
             &mut choices,
             "POST",
