--- a/src/coordination/leader/fleet/miss_rate_band.rs
+++ b/src/coordination/leader/fleet/miss_rate_band.rs
@@ -96,7 +96,7 @@
             utilisation = mean_utilisation(&machines),
             draining = fleet.draining_machines.count(),
             requested = total,
-            "miss-rate band evaluated"
+            "band"
         );
         if total == 0 {
             let round = DrainRound {
--- a/src/main.rs
+++ b/src/main.rs
@@ -109,7 +109,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             let error = error.to_string();
-            tracing::error!(error, "exiting");
+            tracing::error!(error, "ending");
             ExitCode::FAILURE
         }
     }
@@ -139,7 +139,7 @@
 /// hook the process would continue without the background task that panicked.
 fn exit_on_panic() {
     std::panic::set_hook(Box::new(|info| {
-        tracing::error!(%info, "exiting after a panic");
+        tracing::error!(%info, "ending after a panic");
         std::process::exit(EXIT_PANIC);
     }));
 }
