--- a/src/coordination/clients/agents.rs
+++ b/src/coordination/clients/agents.rs
@@ -18,7 +18,7 @@
     Stopped,
     /// Ended with an error.
     Failed,
-    /// Start refused: not enough room.
+    /// Start refused: not enough free resources.
     NoRoom,
     /// Start refused: another attempt of the task is still on the machine.
     Busy,
--- a/src/coordination/clients/peers.rs
+++ b/src/coordination/clients/peers.rs
@@ -80,8 +80,7 @@
     pub owned: Vec<OwnedMachine>,
     /// Heartbeats that it received of machines that it does not own.
     pub indirect_heartbeats: Vec<IndirectHeartbeat>,
-    /// Jobs whose tasks fail on several machines, with the remaining pause before the next
-    /// attempt.
+    /// Jobs whose tasks fail on several machines, with the rest of their backoff.
     pub failing: Vec<(JobId, Duration)>,
 }
 
@@ -124,7 +123,7 @@
     Status(StatusMessage),
     /// Tasks to place.
     Offers(Vec<Offer>),
-    /// Tasks to stop, to make room for others.
+    /// Tasks to stop, to free capacity for others.
     Preempt(Vec<TaskId>),
     /// Probe the agent at this address.
     Probe(String),
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -62,9 +62,10 @@
             self.note_indirect(heartbeat);
             return HeartbeatResponse::NotOwner(is_owner_alive.then_some(controller));
         }
-        // This process has not taken the shard over from an earlier process of the controller,
-        // the cache is behind the token that the agent has seen, or the lease renewal window
-        // has passed. A 200 would wrongly renew the lease, or the agent would drop it.
+        // Responds with `Unavailable` if this process has not taken the shard over from an earlier
+        // process of the controller, if the cache is behind the token that the agent has seen, or
+        // if the lease renewal window has passed. A response with status 200 would wrongly renew
+        // the lease, or the agent would ignore it.
         if context.own_shard_of(&cache, &heartbeat.machine).is_none()
             || heartbeat.token > token
             || !self.may_renew_leases()
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -63,7 +63,7 @@
     /// Its team is not configured.
     #[error("unknown team")]
     UnknownTeam,
-    /// No machine type in an allowed zone has room for one of its tasks.
+    /// No machine type in an allowed zone is large enough for one of its tasks.
     #[error("a task fits no allowed machine type")]
     NoFittingType,
     /// The tasks that must run at the same time exceed the limit of the team.
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -1,8 +1,8 @@
-//! Commits of the leader, fenced by its leadership claim.
+//! Commits of the leader, fenced by its leader record.
 //!
-//! Every commit of the leader is conditional on the revision of its claim, so that it fails
-//! once another process leads. A commit whose outcome is unknown may still take effect; until
-//! it is resolved, the leader makes no further decisions.
+//! Every commit of the leader is conditional on the revision of the leader record, so that it fails
+//! once another process leads. A commit whose outcome is unknown may still take effect; until it is
+//! resolved, the leader makes no further decisions.
 
 use super::Leader;
 use crate::{
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -1,9 +1,8 @@
 //! Runs routing passes and sends the resulting offers and preemptions to the shard owners.
 //!
-//! A pass ([`routing::RoutingPass`]) is a function of the replica, the owners' statuses and the
-//! state kept from earlier passes. Offers and preemptions are sent without waiting for
-//! responses. An owner that does not respond to offers gets no further ones until its next
-//! status.
+//! A pass ([`routing::RoutingPass`]) is a function of the state cache, the owners' statuses and the
+//! state kept from earlier passes. Offers and preemptions are sent without waiting for responses.
+//! An owner that does not respond to offers gets no further ones until its next status.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/src/coordination/leader/fleet/autoscaler.rs
+++ b/src/coordination/leader/fleet/autoscaler.rs
@@ -38,7 +38,7 @@
 
 /// The machines that the waiting tasks need.
 pub(super) struct MachineNeed<'a> {
-    /// Waiting tasks for which no machine has room.
+    /// Waiting tasks for which no machine has capacity.
     pub(super) unplaced: &'a [Unplaced],
     /// Number of machines of each pool that these tasks would fill in addition to booting and
     /// requested machines.
@@ -78,8 +78,8 @@
         let wall = (self.context.config.wall)();
         let options = ProvisioningOptions::new(cache, &refused_targets, tuning, now, wall);
         observe_miss_rate(miss_rate, &options, unplaced, tuning);
-        // The last routing pass could not use machines that were booting then. Those that have
-        // come up since still have room for the tasks that it left unplaced, and are therefore
+        // The last routing pass could not use machines that were booting then. Those that have come
+        // up since still have capacity for the tasks that it left unplaced, and are therefore
         // counted as booting.
         let was_up_when_routed =
             |id: &MachineId| up.contains(id) && !booting_when_routed.contains(id);
@@ -109,7 +109,7 @@
     }
 }
 
-/// Adds the tasks that have started, ended or waited for room since the last pass to the
+/// Adds the tasks that have started, ended or waited for capacity since the last pass to the
 /// miss-rate window.
 fn observe_miss_rate(
     miss_rate: &mut MissRateWindow,
--- a/src/coordination/leader/fleet/drain_selection.rs
+++ b/src/coordination/leader/fleet/drain_selection.rs
@@ -17,8 +17,8 @@
 const IDLE_MACHINES_PER_DRAIN: usize = 3;
 /// One in this many machines may stay idle as a reserve for the next jobs.
 const MACHINES_PER_IDLE_RESERVE: usize = 4;
-/// Maximum number of machines in one round for which room for their replicas is searched on other
-/// machines.
+/// Maximum number of machines in one round for which other machines are searched for capacity for
+/// their replicas.
 const MAX_RELOCATION_CHECKS: usize = 24;
 
 /// The inputs to the choice of draining machines from a round of the miss-rate band.
@@ -27,7 +27,7 @@
     pub(super) cache: &'a StateCache,
     /// The miss rate, from 0 to 1.
     pub(super) miss_rate: f64,
-    /// Number of tasks for which no machine has room.
+    /// Number of tasks for which no machine has capacity.
     pub(super) tasks_waiting: usize,
 }
 
--- a/src/coordination/leader/fleet/eviction.rs
+++ b/src/coordination/leader/fleet/eviction.rs
@@ -90,7 +90,7 @@
     }
 
     /// Moves the replicas off a draining machine that runs nothing else, unless tasks wait for
-    /// room. Machines whose replicas cannot be moved stop draining.
+    /// capacity. Machines whose replicas cannot be moved stop draining.
     pub(super) async fn move_replicas(&self) {
         let preemptions = {
             let cache = self.context.store.cache();
@@ -130,8 +130,8 @@
             }
             tracing::info!(machine = %id, replicas = load.tasks.len(), "moving replicas off a draining machine");
             preempt_all(&mut moves.preemptions, &entry.value, load);
-            // Only one machine per pass, so that the next is checked against the room that is left
-            // after this one's replicas have moved.
+            // Only one machine per pass, so that the next is checked against the free capacity that
+            // is left after this one's replicas have moved.
             break;
         }
         moves
@@ -209,7 +209,7 @@
             if controller == self.context.config.name {
                 self.owner.accept_preemptions(tasks);
             } else {
-                // A request without an answer is repeated by a later pass if it is still needed.
+                // A request without a response is repeated by a later pass if it is still needed.
                 let _ = self
                     .context
                     .peers
@@ -219,8 +219,8 @@
         }
     }
 
-    /// Adds the other members of each gang of which a task is preempted, because a gang saves
-    /// its progress only if all of its members are told to stop within `gang_peer_s`.
+    /// Adds the other members of each gang of which a task is preempted, because a gang saves its
+    /// progress only if all of its members receive the stop within `gang_peer_s`.
     fn add_gang_members(&self, preemptions: &mut Preemptions) {
         let cache = self.context.store.cache();
         let preempted: Vec<TaskId> = preemptions.values().flatten().cloned().collect();
--- a/src/coordination/leader/fleet/provisioning.rs
+++ b/src/coordination/leader/fleet/provisioning.rs
@@ -1,8 +1,8 @@
 //! Records provision requests, sends them to the cloud and records the results.
 //!
 //! A request is recorded before it is sent, under a name that is never used again, and is sent
-//! under that name until the cloud answers it. The cloud returns the same machines each time that
-//! it receives the same name, so a later leader can finish the requests of an earlier one.
+//! under that name until the cloud responds to it. The cloud returns the same machines each time
+//! that it receives the same name, so a later leader can finish the requests of an earlier one.
 
 use std::sync::Arc;
 
@@ -122,7 +122,7 @@
         due
     }
 
-    /// Sends one request to the cloud and records its answer, or schedules a retry.
+    /// Sends one request to the cloud and records its response, or schedules a retry.
     async fn provision(&self, request: &NamedRequest) {
         let NamedRequest { name, record } = request;
         let wanted = ProvisionRequest {
@@ -182,7 +182,7 @@
             provisioned_ms: record.at_ms,
             machines: machines.into_iter().map(|id| (id, None)).collect(),
         });
-        // If this commit fails, the request is sent again under its name, and the cloud answers
+        // If this commit fails, the request is sent again under its name, and the cloud responds
         // with the same machines.
         self.finish_request(name, revision, group).await;
     }
--- a/src/coordination/leader/fleet/provisioning_options/suitability_search.rs
+++ b/src/coordination/leader/fleet/provisioning_options/suitability_search.rs
@@ -94,8 +94,8 @@
     }
 
     /// Returns the pool of the most suitable of these targets for tasks of the job. The cost of a
-    /// task includes the unused part of its machine, which is paid for as well. Unless `by_zone`
-    /// is set, only the first zone of each machine type is considered.
+    /// task includes the unused part of its machine: a machine that is half empty is paid for in
+    /// full. Unless `by_zone` is set, only the first zone of each machine type is considered.
     fn best_pool(
         &self,
         spec: &JobSpec,
--- a/src/coordination/leader/fleet/release.rs
+++ b/src/coordination/leader/fleet/release.rs
@@ -1,7 +1,7 @@
 //! Releases machines to the cloud and removes their records.
 //!
-//! The cloud's answer proves that a machine no longer runs. Only then is its record removed, since
-//! the tasks on a machine without a record count as lost.
+//! The cloud's response proves that a machine no longer runs. Only then is its record removed,
+//! since the tasks on a machine without a record count as lost.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -95,7 +95,7 @@
 }
 
 impl Leader {
-    /// Sends the releases that are due to the cloud in one call, without waiting for its answer.
+    /// Sends the releases that are due to the cloud in one call, without waiting for its response.
     pub(super) fn send_releases(self: &Arc<Self>, cloud_rate_limiter: &Arc<RateLimiter>) {
         let due = self.take_due_releases();
         if due.is_empty() {
--- a/src/coordination/leader/fleet/state.rs
+++ b/src/coordination/leader/fleet/state.rs
@@ -22,7 +22,7 @@
     /// Largest number of machines that the cloud refused in one request since the remedial
     /// rule was last evaluated. That rule requests them from other targets.
     pub(super) unfilled_machines: u32,
-    /// Provision requests that await the cloud's answer.
+    /// Provision requests that await the cloud's response.
     pub(super) requests_in_flight: BTreeSet<ProvisionId>,
     /// Earliest time at which each failed provision request may be sent again.
     pub(super) next_attempt_at: BTreeMap<ProvisionId, Instant>,
--- a/src/coordination/leader/miss_rate.rs
+++ b/src/coordination/leader/miss_rate.rs
@@ -21,7 +21,7 @@
 /// per second with forty pools fits.
 const MAX_SAMPLES: usize = 16_384;
 
-/// A job that waited for room no longer than this would have missed its deadline with any
+/// A job that waited for capacity no longer than this would have missed its deadline with any
 /// number of machines, so that it is not counted as a miss.
 const MIN_STARVATION: Duration = Duration::from_secs(1);
 
@@ -91,7 +91,7 @@
     arrivals: VecDeque<ArrivalSample>,
     /// Whether there was an observation, so that a job without progress is new.
     has_baseline: bool,
-    /// Total time for which each job's tasks have waited for room.
+    /// Total time for which each job's tasks have waited for capacity.
     starved_for: BTreeMap<JobId, Duration>,
     /// When `starved_for` was last updated.
     starvation_added_at: Option<Instant>,
@@ -107,10 +107,9 @@
 }
 
 impl MissRateWindow {
-    /// Adds the time since the last call to the time that the given jobs have waited for room.
-    /// Time spent waiting because of a team's limit must not be included: additional machines
-    /// would not shorten it, and counting it kept the miss rate high and idle machines
-    /// provisioned.
+    /// Adds the time since the last call to the time that the given jobs have waited for capacity.
+    /// Time spent waiting because of a team's limit must not be included: additional machines would
+    /// not shorten it, and counting it kept the miss rate high and idle machines provisioned.
     pub fn add_starvation<'a>(&mut self, waiting: impl Iterator<Item = &'a JobId>, now: Instant) {
         let last = self.starvation_added_at.replace(now);
         let elapsed = last.map_or(Duration::ZERO, |at| now.duration_since(at));
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,10 +1,10 @@
 //! The leader: leases shards, divides quota, routes tasks and scales the fleet.
 //!
-//! At most one controller is the leader. Its commits are conditional on its leadership claim
-//! ([`commit`]), so that none takes effect once another controller leads. Two loops run on
-//! every controller and are idle while it is not the leader: the fast one in this module
-//! leases shards, removes obsolete records and routes waiting tasks; the slower one in
-//! [`fleet`] scales, repairs and releases machines.
+//! At most one controller is the leader. Its commits are conditional on its leader record
+//! ([`commit`]), so that none takes effect once another controller leads. Two loops run on every
+//! controller and are idle while it is not the leader: the fast one in this module leases shards,
+//! removes obsolete records and routes waiting tasks; the slower one in [`fleet`] scales, repairs
+//! and releases machines.
 
 mod cleanup;
 mod commit;
@@ -57,7 +57,7 @@
     quota: Arc<QuotaExchange>,
     /// Liveness and protocol versions that the peers have reported.
     liveness: Arc<PeerLiveness>,
-    /// Locked after the replica, and never across an await.
+    /// Locked after the state cache, and never across an await.
     state: Mutex<LeaderState>,
 }
 
@@ -78,13 +78,14 @@
         }
     }
 
-    /// Resets the state after an election; `lease` is the lease of the leadership claim.
+    /// Resets the state after an election; `lease` is the lease that the leader record is attached
+    /// to.
     pub(super) fn reset(&self, lease: LeaseId) {
         lock(&self.state).reset(lease);
     }
 
-    /// Records the lease of the leadership claim if this process found itself to be the leader
-    /// without a call of [`Self::reset`]; see [`LeaderState::adopt_lease`].
+    /// Records the lease of the leader record if this process found itself to be the leader without
+    /// a call of [`Self::reset`]; see [`LeaderState::adopt_lease`].
     pub(super) fn adopt_lease(&self, lease: LeaseId) {
         lock(&self.state).adopt_lease(lease);
     }
--- a/src/coordination/leader/rebalance.rs
+++ b/src/coordination/leader/rebalance.rs
@@ -1,8 +1,8 @@
 //! Decides which shards move to another controller.
 //!
-//! A move is kept in the leader's state until the shard plan has carried it out: the shard is
-//! first cordoned, and leased to its new owner once the replica shows it as cordoned. Runs in
-//! each pass of the fleet manager, with the state locked.
+//! A move is kept in the leader's state until the shard plan has carried it out: the shard is first
+//! cordoned, and leased to its new owner once the state cache shows it as cordoned. Runs in each
+//! pass of the fleet manager, with the state locked.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -46,9 +46,9 @@
     to: ControllerName,
 }
 
-/// Starts a move of a shard to a controller of its own zone, or to one with fewer machines.
-/// Running tasks are not affected. New ones are not placed on the shard while it moves, so no
-/// move starts while tasks wait for room.
+/// Starts a move of a shard to a controller of its own zone, or to one with fewer machines. Running
+/// tasks are not affected. New ones are not placed on the shard while it moves, so no move starts
+/// while tasks wait for capacity.
 pub(super) fn rebalance(cache: &StateCache, state: &mut LeaderState, now: Instant) {
     if state.moving.len() >= MAX_CONCURRENT_MOVES || !state.unplaced.is_empty() {
         return;
--- a/src/coordination/leader/routing/mod.rs
+++ b/src/coordination/leader/routing/mod.rs
@@ -75,7 +75,7 @@
     pub gangs: &'a mut PartialGangs,
     /// Owners that let offers expire, by job.
     pub expired_offers: &'a mut ExpiredOffersByJob,
-    /// Crash-looping jobs, each with the end of the pause before its next attempt.
+    /// Crash-looping jobs, each with the end of its backoff.
     pub failing: &'a BTreeMap<JobId, Instant>,
     /// Maximum number of changes per transaction, which determines the scope of zone constraints
     /// (`ZoneScope`).
--- a/src/coordination/leader/routing/records.rs
+++ b/src/coordination/leader/routing/records.rs
@@ -41,9 +41,9 @@
     }
 
     /// Returns the index of the owner to exclude for these tasks: the one that let
-    /// [`EXPIRED_OFFERS_LIMIT`] consecutive offers of the job expire. This applies only if some
-    /// of the tasks were placed before, ended without a result, and there are other owners.
-    /// Without it, two such jobs with capacity at two owners would block each other's only
+    /// [`EXPIRED_OFFERS_LIMIT`] consecutive offers of the job expire. This applies only if some of
+    /// the tasks were placed before, ended without a result, and there are other owners. Without
+    /// this exclusion, two such jobs with capacity at two owners would block each other's only
     /// alternative forever.
     fn owner_with_expired_offers(&self, id: &JobId, job: &Job, tasks: &[u32]) -> Option<usize> {
         let expired = self.expired_offers.get(id)?;
@@ -115,10 +115,9 @@
         }
     }
 
-    /// Whether tasks of the record wait for capacity at the owners that already write it. A
-    /// second writer would cost two changes for each of its results, one of them rejected.
-    /// Array tasks end all the time and free capacity at the owner; replicas do not wait for
-    /// that.
+    /// Whether tasks of the record wait for capacity at the owners that already write it. A second
+    /// writer would cost two changes for each of its results, one of which conflicts. Array tasks
+    /// end all the time and free capacity at the owner; replicas do not wait for that.
     fn waits_for_writers(&self, queued: &QueuedJob<'_>, record: u32) -> bool {
         let since = self.record_affinity.get(&(queued.id.clone(), record));
         let affinity_expired =
--- a/src/coordination/leader/shard_leasing.rs
+++ b/src/coordination/leader/shard_leasing.rs
@@ -1,7 +1,7 @@
 //! Leases shards to controllers and grants them their parts of the teams' quota.
 //!
-//! [`shards::plan`] decides what changes; it is a function of the replica and its inputs.
-//! This module gathers the inputs and commits the planned changes.
+//! [`shards::plan`] decides what changes; it is a function of the state cache and its inputs. This
+//! module gathers the inputs and commits the planned changes.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -81,10 +81,10 @@
         })
     }
 
-    /// Whether the cache includes all commits from before this process was elected. Its own
-    /// claim is in the cache before the watch has reached the claim's revision. Without this
-    /// check, a leader elected after an earlier process of the same controller could grant
-    /// quota that a late commit of that process has already granted.
+    /// Whether the cache includes all commits from before this process was elected. Its own leader
+    /// record is in the cache before the watch has reached the record's revision. Without this
+    /// check, a leader elected after an earlier process of the same controller could grant quota
+    /// that a late commit of that process has already granted.
     fn has_applied_election(&self, cache: &StateCache) -> bool {
         let claim = cache.leader.as_ref().map(|entry| entry.revision);
         claim.is_some_and(|claim| cache.revision >= claim)
--- a/src/coordination/leader/shards/inputs.rs
+++ b/src/coordination/leader/shards/inputs.rs
@@ -1,4 +1,4 @@
-//! Inputs of the shard plan other than the replica.
+//! Inputs of the shard plan other than the state cache.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
     storage::{ControllerName, MachineId, Quota, ShardId, TeamName},
 };
 
-/// Inputs of the shard plan other than the cache.
+/// Inputs of the shard plan other than the state cache.
 #[derive(Debug, Default)]
 pub struct ShardPlanInputs {
     /// Shards that are to be leased to another controller, after they were cordoned.
@@ -21,7 +21,7 @@
     /// Controllers that recently lost contact with machines of theirs. They get new machines
     /// only if there is no other controller.
     pub avoided_owners: BTreeSet<ControllerName>,
-    /// Quota that a controller lacks for tasks for which it has room.
+    /// Quota that a controller lacks for tasks that it has capacity for.
     pub deficit: BTreeMap<(ControllerName, TeamName), Quota>,
     /// Quota that a controller is about to need in addition to what it uses, for tasks that
     /// start together at several controllers. If it were reclaimed, the controller would have
@@ -36,6 +36,6 @@
     pub free_quota: BTreeMap<ControllerName, Quota>,
     /// Quota of tasks that are offered to controllers and not yet placed.
     pub in_flight: BTreeMap<(ControllerName, TeamName), Quota>,
-    /// Tasks for which there is room but no quota, the most urgent first.
+    /// Tasks for which there is capacity but no quota, the most urgent first.
     pub demand: Vec<QuotaDemand>,
 }
--- a/src/coordination/leader/shards/mod.rs
+++ b/src/coordination/leader/shards/mod.rs
@@ -11,8 +11,8 @@
 //! At any time the sum over allocations of max(budget, use), plus the use on machines of no
 //! allocation, stays within the limit.
 //!
-//! [`plan`] is a function of the replica and its inputs; the leader commits the changes
-//! that it returns in one transaction (see `shard_leasing`).
+//! [`plan`] is a function of the state cache and its inputs; the leader commits the changes that it
+//! returns in one transaction (see `shard_leasing`).
 
 mod changes;
 mod inputs;
--- a/src/coordination/leader/shards/quota_division.rs
+++ b/src/coordination/leader/shards/quota_division.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Quota that a controller lacks for tasks for which it has room.
+/// Quota that a controller lacks for tasks that it has capacity for.
 struct Deficit {
     controller: ControllerName,
     missing: Quota,
--- a/src/coordination/leader/shards/tests/quota.rs
+++ b/src/coordination/leader/shards/tests/quota.rs
@@ -59,7 +59,7 @@
     inputs.deficit.insert(key.clone(), quota(8.0));
     inputs.free_quota.insert(key.0.clone(), quota(64.0));
     let budget = cpus(&cache.allocations["n0"].value);
-    // There is room for five tasks of four CPUs; one task is running.
+    // There is capacity for five tasks of four CPUs; one task is running.
     inputs.demand.push(QuotaDemand {
         team: key.1.clone(),
         tasks: ::quota::TaskDemand {
--- a/src/coordination/leader/state.rs
+++ b/src/coordination/leader/state.rs
@@ -1,7 +1,7 @@
 //! State that the leader keeps in memory between its passes.
 //!
 //! None of it is stored: a new leader starts with an empty state and obtains the rest from the
-//! replica and the statuses of its peers. The state is locked after the replica, and never
+//! state cache and the statuses of its peers. The state is locked after the state cache, and never
 //! across an await.
 
 use std::{
@@ -40,7 +40,7 @@
     pub(super) owned: BTreeMap<MachineId, OwnedMachine>,
     /// Heartbeats that the controller received from machines that it does not own.
     pub(super) indirect_heartbeats: BTreeMap<MachineId, IndirectHeartbeat>,
-    /// Crash-looping jobs, each with the pause before its next attempt.
+    /// Crash-looping jobs, each with the rest of its backoff.
     pub(super) failing: Vec<(JobId, Duration)>,
 }
 
@@ -90,7 +90,7 @@
 /// The leader's state since its election.
 #[derive(Default)]
 pub(super) struct LeaderState {
-    /// The lease that this process's leadership claim is attached to.
+    /// The lease that this process's leader record is attached to.
     pub(super) lease: Option<LeaseId>,
     /// When this process was elected.
     pub(super) elected_at: Option<Instant>,
@@ -102,7 +102,7 @@
     pub(super) pending_preemptions: routing::PendingPreemptions,
     /// Tasks of the lowest priority that are being stopped to free capacity.
     pub(super) reclaiming: routing::Reclaiming,
-    /// Run records whose tasks wait for room at the owner that writes the record.
+    /// Run records whose tasks wait for capacity at the owner that writes the record.
     pub(super) record_affinity: routing::RecordAffinity,
     /// Gangs of which only a part is placed.
     pub(super) gangs: routing::PartialGangs,
@@ -110,7 +110,7 @@
     pub(super) expired_offers: routing::ExpiredOffersByJob,
     /// When the zone of each job was last assigned or removed.
     pub(super) zone_changed_at: BTreeMap<JobId, Instant>,
-    /// Waiting tasks for which the last routing pass found no room.
+    /// Waiting tasks for which the last routing pass found no capacity.
     pub(super) unplaced: Vec<routing::Unplaced>,
     /// Machines that were booting in that pass, so that no task was routed to them.
     pub(super) booting_when_routed: BTreeSet<MachineId>,
@@ -119,11 +119,11 @@
     /// Terminated machines on which tasks are still recorded, with the time at which the leader
     /// noticed.
     pub(super) terminated_since: BTreeMap<MachineId, Instant>,
-    /// Quota that a controller lacks for tasks for which it has room.
+    /// Quota that a controller lacks for tasks that it has capacity for.
     pub(super) deficit: BTreeMap<(ControllerName, TeamName), Quota>,
     /// Quota that a controller is about to need in addition to what it uses.
     pub(super) reserved: BTreeMap<(ControllerName, TeamName), Quota>,
-    /// Tasks for which there is room but no quota, the most urgent first.
+    /// Tasks for which there is capacity but no quota, the most urgent first.
     pub(super) demand: Vec<routing::QuotaDemand>,
     /// Free capacity on each controller's machines.
     pub(super) free_quota: BTreeMap<ControllerName, Quota>,
@@ -151,9 +151,9 @@
     /// of provision requests.
     pub(super) fn reset(&mut self, lease: LeaseId) {
         let statuses = std::mem::take(&mut self.statuses);
-        // A process may be elected again. Names of provision requests contain its incarnation
-        // and this number and must never be reused: the cloud would answer with the machines
-        // of the first request, and provision none.
+        // A process may be elected again. Names of provision requests contain its incarnation and
+        // this number and must never be reused: the cloud would respond with the machines of the
+        // first request, and provision none.
         let provision_count = self.fleet.provision_count;
         *self = Self {
             lease: Some(lease),
@@ -164,11 +164,11 @@
         self.fleet.provision_count = provision_count;
     }
 
-    /// Records the lease of a leadership claim whose commit got no answer, so that the process
+    /// Records the lease of a leader record whose commit got no response, so that the process
     /// learned of its election from the cache. Marks a commit as in doubt, so that the leader
-    /// record is rewritten with this lease before the next decision. Without the lease, the
-    /// process could never rewrite its record, and so could not act after its first commit
-    /// that got no answer.
+    /// record is rewritten with this lease before the next decision. Without the lease, the process
+    /// could never rewrite its record, and so could not act after its first commit that got no
+    /// response.
     pub(super) fn adopt_lease(&mut self, lease: LeaseId) {
         if self.lease != Some(lease) {
             self.lease = Some(lease);
--- a/src/coordination/leader/zone_assignment.rs
+++ b/src/coordination/leader/zone_assignment.rs
@@ -1,12 +1,11 @@
 //! Assigns zones to large jobs that must run in a single zone.
 //!
-//! A job that must run in one zone and has too many run records for a placement to be
-//! conditional on all of them (see
-//! [`ZoneScope`](crate::coordination::policy::zone_constraint::ZoneScope)) is placed only in
-//! the zone that its spec names, and only while the spec is unchanged. The zone is changed in
-//! two steps. Removing it makes every placement in flight fail, since each is conditional on
-//! the spec. The next zone is written once the replica has applied that change and shows no
-//! task of the job in another zone.
+//! A job that must run in one zone and has too many run records for a placement to be conditional
+//! on all of them (see [`ZoneScope`](crate::coordination::policy::zone_constraint::ZoneScope)) is
+//! placed only in the zone that its spec names, and only while the spec is unchanged. The zone is
+//! changed in two steps. Removing it makes every placement in flight fail, since each is
+//! conditional on the spec. The next zone is written once the state cache has applied that change
+//! and shows no task of the job in another zone.
 
 use std::time::Duration;
 
@@ -67,8 +66,8 @@
 }
 
 /// Returns the transaction that changes the zone in a job's spec, or none if the change is not
-/// allowed now: the job is gone or finished, or the replica does not prove that no task is in
-/// another zone.
+/// allowed now: the job is unknown or finished, or the state cache does not prove that no task is
+/// in another zone.
 fn assignment_transaction(cache: &StateCache, change: &ZoneAssignment) -> Option<Transaction> {
     let job = cache.jobs.get(&change.job)?;
     let entry = job.spec.as_ref()?;
@@ -92,7 +91,7 @@
     )
 }
 
-/// Whether no task of the job can be in another zone. This requires that the replica includes
+/// Whether no task of the job can be in another zone. This requires that the state cache includes
 /// every placement made under an earlier spec and every machine that is still provisioned.
 fn may_assign(cache: &StateCache, job: &Job, spec_revision: Revision, zone: &ZoneName) -> bool {
     let caught_up = cache
--- a/src/coordination/owner/commits.rs
+++ b/src/coordination/owner/commits.rs
@@ -151,9 +151,9 @@
         true
     }
 
-    /// Removes and returns the first write, with others that fit into one transaction with it.
-    /// A write that is likely to conflict is committed alone, since all changes of a refused
-    /// transaction count against the state service's limit.
+    /// Removes and returns the first write, with others that fit into one transaction with it. A
+    /// write that is likely to conflict is committed alone, since all changes of a transaction that
+    /// conflicts count against the state service's limit.
     fn next_group(&self, writes: &mut Vec<PlannedWrite>) -> Vec<PlannedWrite> {
         let first = writes.remove(0);
         if first.change.shared {
--- a/src/coordination/owner/failing_jobs/tests.rs
+++ b/src/coordination/owner/failing_jobs/tests.rs
@@ -28,7 +28,7 @@
     cache
 }
 
-/// Guards against hundreds of machines being returned to the cloud because two jobs that were
+/// Guards against hundreds of machines being released to the cloud because two jobs that were
 /// submitted with a mistake had failed on each of them.
 #[tokio::test(start_paused = true)]
 async fn a_job_that_fails_everywhere_is_crash_looping() {
--- a/src/coordination/policy/placement.rs
+++ b/src/coordination/policy/placement.rs
@@ -32,7 +32,7 @@
     pub speed: f64,
     /// Images in its cache.
     pub images: Arc<Vec<ImageName>>,
-    /// Time until the paid period of a draining machine ends and it is returned; `None` if the
+    /// Time until the paid period of a draining machine ends and it is released; `None` if the
     /// machine is not draining.
     pub time_until_return: Option<Duration>,
 }
@@ -132,8 +132,7 @@
 }
 
 /// Returns the sort key of the candidate for a task of the job, or `None` if it cannot take the
-/// task. A draining machine takes only tasks that complete before it is returned, and no
-/// service.
+/// task. A draining machine takes only tasks that complete before it is released, and no service.
 pub(super) fn completion_order(
     spec: &JobSpec,
     candidate: &CandidateMachine,
--- a/src/coordination/policy/placement/tests.rs
+++ b/src/coordination/policy/placement/tests.rs
@@ -111,7 +111,7 @@
 }
 
 /// Returns machines with random owners, zones, free CPUs, speeds, cached images and times until
-/// return.
+/// release.
 fn fleet(rng: &mut rand::rngs::StdRng, count: usize) -> Vec<CandidateMachine> {
     use rand::Rng;
     (0..count)
--- a/src/coordination/policy/scale_in.rs
+++ b/src/coordination/policy/scale_in.rs
@@ -1,5 +1,5 @@
 //! Scaling in (section 5.3.2, algorithm 2, equations 7 and 8): at a miss rate of α or less, the
-//! least-used machine is drained. It is returned idle at the end of its paid period.
+//! least-used machine is drained. It is released idle at the end of its paid period.
 
 use std::time::Duration;
 
--- a/src/coordination/quota_exchange/state.rs
+++ b/src/coordination/quota_exchange/state.rs
@@ -39,8 +39,8 @@
     /// number of the request.
     response_senders: BTreeMap<(ControllerName, u64), oneshot::Sender<QuotaResponse>>,
     targets: BTreeMap<TeamName, Target>,
-    /// Revision of the claim of the leader that sent the targets. Targets of an earlier leader
-    /// are ignored.
+    /// Revision of the leader record under which the targets were planned. Targets of an earlier
+    /// leader are ignored.
     targets_leader: Revision,
     /// Numbers of requests by outcome since the last report.
     pub(super) counts: QuotaCounts,
--- a/src/coordination/quota_exchange/transfers.rs
+++ b/src/coordination/quota_exchange/transfers.rs
@@ -34,11 +34,11 @@
     /// Returns the revisions that transfers of this controller must be conditional on, or none
     /// if it may not transfer quota now.
     ///
-    /// A leader that does not support transfers moves machines without the budgets for their
-    /// tasks, so that no transfer may be decided or take effect under it. None may be decided
-    /// without a leader either: a leader without support may have been elected and lost its
-    /// claim since, unnoticed by this controller. A leader's claim remains valid until its
-    /// lease expires, so that transfers continue for that long after the leader's death.
+    /// A leader that does not support transfers moves machines without the budgets for their tasks,
+    /// so that no transfer may be decided or take effect under it. None may be decided without a
+    /// leader either: a leader without support may have been elected and lost its leader record
+    /// since, unnoticed by this controller. A leader record remains valid until its lease expires,
+    /// so that transfers continue for that long after the leader's death.
     fn fence(&self, cache: &StateCache) -> Option<Fence> {
         let registered = cache.controllers.get(&self.context.config.name)?;
         if registered.value.incarnation != self.context.config.incarnation {
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -118,7 +118,7 @@
     /// Accepts only tasks that end within its current paid period.
     #[serde(rename = "m")]
     Draining,
-    /// Accepts no new tasks: about to be moved to another shard or returned to the cloud.
+    /// Accepts no new tasks: about to be moved to another shard or released to the cloud.
     #[serde(rename = "f")]
     Cordoned,
 }
@@ -153,7 +153,7 @@
     pub machines: BTreeMap<MachineId, MachineUse>,
 }
 
-/// A provisioned machine that is not yet returned, as part of its machine group.
+/// A provisioned machine that is not yet released, as part of its machine group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineRecord {
     /// Its machine type.
@@ -188,7 +188,7 @@
     /// milliseconds.
     #[serde(rename = "at")]
     pub provisioned_ms: u64,
-    /// The machines not yet returned, each with its agent's address once that is known.
+    /// The machines not yet released, each with its agent's address once that is known.
     #[serde(rename = "m")]
     pub machines: BTreeMap<MachineId, Option<String>>,
 }
--- a/src/storage/state_cache/job.rs
+++ b/src/storage/state_cache/job.rs
@@ -30,8 +30,8 @@
     pub placed: u32,
     /// Number of completed tasks.
     pub done: u32,
-    /// Placed tasks whose machines are gone. A machine is removed from its machine group only
-    /// after the cloud has confirmed its return, or when it is known not to exist any more.
+    /// Placed tasks whose machines are terminated. A machine is removed from its machine group only
+    /// after the cloud has confirmed its release, or when it is known not to exist any more.
     pub lost: BTreeSet<u32>,
 }
 
@@ -53,8 +53,8 @@
         self.placed.saturating_sub(self.lost.len() as u32)
     }
 
-    /// The machine on which a task is, or may be. A task whose machine is gone has none and waits
-    /// again: its next placement replaces the recorded one in a single change of the record.
+    /// The machine on which a task is, or may be. A task whose machine is terminated has none and
+    /// waits again: its next placement replaces the recorded one in a single change of the record.
     pub fn placement(&self, task: u32) -> Option<&Placement> {
         if self.lost.contains(&task) {
             return None;
@@ -62,7 +62,7 @@
         self.recorded_placement(task)
     }
 
-    /// The placement of a task in its run record, even if the machine is gone.
+    /// The placement of a task in its run record, even if the machine is terminated.
     pub fn recorded_placement(&self, task: u32) -> Option<&Placement> {
         self.chunks
             .get(&(task / keys::CHUNK))?
@@ -120,11 +120,11 @@
             .filter(|(task, _)| !self.lost.contains(task))
     }
 
-    /// Whether a gang's waiting tasks may be placed. They may if no task of the gang is present,
-    /// or if they complete an attempt that cannot have started: some of its tasks found no
-    /// room, and the others wait for them. They may not if a task of the attempt has ended or is
-    /// lost: then the remaining tasks must leave their machines first, and all tasks are placed
-    /// again with the next attempt.
+    /// Whether a gang's waiting tasks may be placed. They may if no task of the gang is present, or
+    /// if they complete an attempt that cannot have started: some of its tasks found no capacity,
+    /// and the others wait for them. They may not if a task of the attempt has ended or is lost:
+    /// then the remaining tasks must leave their machines first, and all tasks are placed again
+    /// with the next attempt.
     pub fn may_join(&self) -> bool {
         let Some(attempt) = self.present_placements().map(|(_, p)| p.attempt).min() else {
             return true;
--- a/src/storage/state_cache/mod.rs
+++ b/src/storage/state_cache/mod.rs
@@ -67,7 +67,7 @@
     pub machine_groups: BTreeMap<ProvisionId, Versioned<MachineGroupRecord>>,
     /// The machines of all machine groups.
     pub machines: BTreeMap<MachineId, MachineRecord>,
-    /// Provision requests that are not concluded.
+    /// Provision requests whose result is not recorded yet.
     pub provision_requests: BTreeMap<ProvisionId, Versioned<ProvisionRecord>>,
     /// The live controllers.
     pub controllers: BTreeMap<ControllerName, Versioned<ControllerRecord>>,
