--- a/src/coordination/leader/fleet/eviction.rs
+++ b/src/coordination/leader/fleet/eviction.rs
@@ -220,7 +220,8 @@
     }
 
     /// Adds the other members of each gang of which a task is preempted, because a gang saves its
-    /// progress only if all of its members receive the stop within `gang_peer_s`.
+    /// progress only if all of its members receive the stop within the agents' timeout
+    /// `gang_peer_s`.
     fn add_gang_members(&self, preemptions: &mut Preemptions) {
         let cache = self.context.store.cache();
         let preempted: Vec<TaskId> = preemptions.values().flatten().cloned().collect();
--- a/src/coordination/leader/fleet/inventory.rs
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -207,8 +207,8 @@
         .collect()
 }
 
-/// Returns records of machine groups, each with machines of one type and zone that are all
-/// spot or all ordinary.
+/// Returns records of machine groups, each with machines of one type and zone that are all spot or
+/// all on-demand.
 fn group_machines(machines: Vec<UnknownMachine>, now_ms: u64) -> Vec<MachineGroupRecord> {
     let mut groups: BTreeMap<ProvisionTarget, MachineGroupRecord> = BTreeMap::new();
     for UnknownMachine { id, target } in machines {
--- a/src/coordination/leader/fleet/machine_inspection.rs
+++ b/src/coordination/leader/fleet/machine_inspection.rs
@@ -59,7 +59,7 @@
     pub(super) spot: bool,
 }
 
-/// Counts of the ordinary (non-spot) machines of a zone.
+/// Counts of the on-demand machines of a zone.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ZoneReachability {
     /// Number of machines that are in shards.
@@ -87,7 +87,7 @@
     pub(super) unusable_machines: BTreeSet<MachineId>,
     /// Machines on which several jobs have failed, with the time when this was first seen.
     pub(super) quarantined_since: BTreeMap<MachineId, Instant>,
-    /// Reachability of the ordinary machines of each zone.
+    /// Reachability of the on-demand machines of each zone.
     zones: BTreeMap<&'a ZoneName, ZoneReachability>,
 }
 
@@ -100,12 +100,12 @@
         });
     }
 
-    /// Returns the number of ordinary machines in all zones that no controller reaches.
+    /// Returns the number of on-demand machines in all zones that no controller reaches.
     pub(super) fn unreachable_count(&self) -> usize {
         self.zones.values().map(|zone| zone.unreachable).sum()
     }
 
-    /// Returns the reachability of a zone's ordinary machines.
+    /// Returns the reachability of a zone's on-demand machines.
     pub(super) fn zone_reachability(&self, zone: Option<&ZoneName>) -> ZoneReachability {
         zone.and_then(|zone| self.zones.get(zone))
             .copied()
--- a/src/coordination/leader/fleet/provisioning_options/capacity_refusal.rs
+++ b/src/coordination/leader/fleet/provisioning_options/capacity_refusal.rs
@@ -16,7 +16,7 @@
 /// Number of refusals in a row after which the backoff is no longer doubled.
 const MAX_REFUSAL_STREAK: u32 = 3;
 
-/// A machine type, spot or ordinary, in one zone.
+/// A machine type, spot or on-demand, in one zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProvisionTarget {
     /// The cloud's machine type.
--- a/src/coordination/leader/fleet/provisioning_options/demand.rs
+++ b/src/coordination/leader/fleet/provisioning_options/demand.rs
@@ -31,8 +31,8 @@
 /// machine while it starts, is reported by a heartbeat and has its end recorded.
 const MIN_PAID_FRACTION: f64 = 0.05;
 
-/// A best-effort array job of which no task runs after this time may use ordinary machines as well,
-/// since spot machines may never become available.
+/// A best-effort array job of which no task runs after this time may use on-demand machines as
+/// well, since spot machines may never become available.
 const SPOT_ONLY_PERIOD: Duration = Duration::from_secs(120);
 
 /// The constraints on machines that are provisioned for a job with waiting tasks.
--- a/src/coordination/leader/fleet/provisioning_options/suitability_search.rs
+++ b/src/coordination/leader/fleet/provisioning_options/suitability_search.rs
@@ -14,7 +14,7 @@
 /// Lower bound on the rate at which images are assumed to be fetched.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
-/// A machine type in one zone, spot or ordinary, on which tasks of a job may run.
+/// A machine type in one zone, spot or on-demand, on which tasks of a job may run.
 struct PossibleTarget<'a> {
     kind: &'a MachineType,
     target: ProvisionTarget,
--- a/src/coordination/leader/pool.rs
+++ b/src/coordination/leader/pool.rs
@@ -4,8 +4,8 @@
 
 use crate::storage::{TypeName, ZoneName, records::MachineRecord};
 
-/// Machines that are equivalent for waiting tasks: of one type, either spot or ordinary, and
-/// in one zone if the tasks are bound to zones.
+/// Machines that are equivalent for waiting tasks: of one type, either spot or on-demand, and in
+/// one zone if the tasks are bound to zones.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pool {
     /// The cloud's machine type.
--- a/src/coordination/owner/stops.rs
+++ b/src/coordination/owner/stops.rs
@@ -39,8 +39,8 @@
     /// Stop commands for this owner's machines.
     pub(super) commands: BTreeMap<MachineId, Vec<Command>>,
     /// Gang members that other controllers are to stop together with those on this owner's
-    /// machines: a gang can save a checkpoint only if all of its tasks get the stop within
-    /// `gang_peer_s`.
+    /// machines: a gang can save a checkpoint only if all of its tasks get the stop within the
+    /// agents' timeout `gang_peer_s`.
     pub(super) remote_gang_members: BTreeMap<ControllerName, Vec<TaskId>>,
 }
 
--- a/src/protocol/peer_frames/response.rs
+++ b/src/protocol/peer_frames/response.rs
@@ -15,7 +15,7 @@
 /// A response, see [`PeerResponse`].
 #[derive(Archive, Serialize, Deserialize, Debug)]
 pub(super) enum ResponseFrame {
-    /// The answering controller's status.
+    /// The responding controller's status.
     Status(StatusFrame),
     /// The receiver has accepted the request.
     Accepted,
--- a/src/storage/state_cache/mod.rs
+++ b/src/storage/state_cache/mod.rs
@@ -1,4 +1,5 @@
-//! The replica of the state service's live set that every controller keeps.
+//! The state cache: the replica of the state service's live set (see
+//! [`LIVE_PREFIXES`](crate::storage::keys::LIVE_PREFIXES)) that every controller keeps.
 //!
 //! Changes arrive from the watch, and earlier from the controller's own commits. Each entry
 //! keeps its revision, so that changes from the two sources may arrive in any order and more
