--- a/src/storage/state_cache/mod.rs
+++ b/src/storage/state_cache/mod.rs
@@ -1,4 +1,5 @@
-//! The replica of the state service's live set that every controller keeps.
+//! The state cache: the replica of the state service's live set (see
+//! [`LIVE_PREFIXES`](crate::storage::keys::LIVE_PREFIXES)) that every controller keeps.
 //!
 //! Changes arrive from the watch, and earlier from the controller's own commits. Each entry
 //! keeps its revision, so that changes from the two sources may arrive in any order and more
@@ -67,7 +68,7 @@
     pub machine_groups: BTreeMap<ProvisionId, Versioned<MachineGroupRecord>>,
     /// The machines of all machine groups.
     pub machines: BTreeMap<MachineId, MachineRecord>,
-    /// Provision requests that are not concluded.
+    /// Provision requests whose result is not recorded yet.
     pub provision_requests: BTreeMap<ProvisionId, Versioned<ProvisionRecord>>,
     /// The live controllers.
     pub controllers: BTreeMap<ControllerName, Versioned<ControllerRecord>>,
