--- a/.ci/test_known_failures.py
+++ b/.ci/test_known_failures.py
@@ -1,9 +1,9 @@
-"""Tests of known_failures.py on prepared outputs."""
+"""Tests of known_failures.py with prepared test outputs."""
 
 import unittest
 
 import known_failures
-from known_failures import Refused, judge, parse_entries
+from known_failures import CheckFailed, evaluate_run, parse_entries
 
 SCENARIOS = {"fleet", "quiet-day"}
 FLEET = "scenarios::every_scenario_holds[fleet]"
@@ -40,7 +40,7 @@
 
 
 def failing_scenarios(*results: str) -> str:
-    """The section of a scenario test in which some fail."""
+    """Returns the output of a scenario test that fails, with these result lines."""
     return f"""\
 {SCENARIO_HEADER}test every_scenario_holds ... FAILED
 
@@ -75,15 +75,15 @@
 
 
 class KnownFailures(unittest.TestCase):
-    """Which runs pass."""
+    """Tests which runs pass the check."""
 
     def run_with(self, output: str, exit_status: int | None, entries: str = LISTED) -> list[str]:
-        return judge(output, exit_status, parse_entries(entries), SCENARIOS)
+        return evaluate_run(output, exit_status, parse_entries(entries), SCENARIOS)
 
-    def assert_refused(
+    def assert_check_fails(
         self, reason: str, output: str, exit_status: int | None, entries: str = LISTED
     ) -> None:
-        with self.assertRaisesRegex(Refused, reason):
+        with self.assertRaisesRegex(CheckFailed, reason):
             self.run_with(output, exit_status, entries)
 
     def test_all_green_passes(self) -> None:
@@ -104,46 +104,46 @@
         self.assertEqual(lines, [f"known failure FAILED: {entry}"])
 
     def test_a_failure_without_entries(self) -> None:
-        self.assert_refused("not listed: .*fleet", UNIT_TESTS + FLEET_FAILS, 101, "")
+        self.assert_check_fails("not listed: .*fleet", UNIT_TESTS + FLEET_FAILS, 101, "")
 
     def test_an_unlisted_scenario_beside_a_listed_one(self) -> None:
-        self.assert_refused("not listed: .*quiet-day", UNIT_TESTS + BOTH_FAIL, 101)
+        self.assert_check_fails("not listed: .*quiet-day", UNIT_TESTS + BOTH_FAIL, 101)
 
     def test_an_unlisted_test_beside_a_listed_scenario(self) -> None:
-        self.assert_refused("not listed: .*keys_are_read", UNIT_TEST_FAILS + FLEET_FAILS, 101)
+        self.assert_check_fails("not listed: .*keys_are_read", UNIT_TEST_FAILS + FLEET_FAILS, 101)
 
     def test_a_listed_scenario_that_panics(self) -> None:
-        self.assert_refused("panicked", UNIT_TESTS + FLEET_PANICS, 101)
+        self.assert_check_fails("panicked", UNIT_TESTS + FLEET_PANICS, 101)
 
     def test_a_scenario_test_that_fails_without_a_scenario(self) -> None:
-        self.assert_refused("not listed", UNIT_TESTS + failing_scenarios(), 101)
+        self.assert_check_fails("not listed", UNIT_TESTS + failing_scenarios(), 101)
 
     def test_a_scenario_without_a_result(self) -> None:
-        self.assert_refused("not every scenario", UNIT_TESTS + ONE_WITHOUT_RESULT, 101)
+        self.assert_check_fails("not every scenario", UNIT_TESTS + ONE_WITHOUT_RESULT, 101)
 
     def test_a_build_error(self) -> None:
-        self.assert_refused("no test was run", BUILD_ERROR, 101)
-        self.assert_refused("not explained", UNIT_TESTS + BUILD_ERROR, 101)
+        self.assert_check_fails("no test was run", BUILD_ERROR, 101)
+        self.assert_check_fails("not explained", UNIT_TESTS + BUILD_ERROR, 101)
 
-    def test_a_run_that_was_cut_short(self) -> None:
-        cut = UNIT_TESTS + SCENARIO_HEADER
-        self.assert_refused("did not come to its end", cut, 101)
-        self.assert_refused("did not come to its end", cut, 0)
+    def test_an_incomplete_run(self) -> None:
+        incomplete = UNIT_TESTS + SCENARIO_HEADER
+        self.assert_check_fails("did not finish", incomplete, 101)
+        self.assert_check_fails("did not finish", incomplete, 0)
 
     def test_a_run_without_tests(self) -> None:
-        self.assert_refused("no test was run", DOC_TESTS, 0)
-        self.assert_refused("no test was run", "", 0)
+        self.assert_check_fails("no test was run", DOC_TESTS, 0)
+        self.assert_check_fails("no test was run", "", 0)
 
-    def test_results_that_do_not_add_up(self) -> None:
+    def test_results_that_do_not_match_the_summary(self) -> None:
         missing = UNIT_TESTS.replace("test storage::ids::tests::ids_are_read ... ok\n", "")
-        self.assert_refused("not those that it counts", missing, 0)
+        self.assert_check_fails("do not match its summary line", missing, 0)
 
     def test_an_exit_status_that_the_results_do_not_explain(self) -> None:
-        self.assert_refused("not explained", UNIT_TESTS + SCENARIOS_HOLD, 101)
-        self.assert_refused("not explained", UNIT_TESTS + FLEET_FAILS, 0)
+        self.assert_check_fails("not explained", UNIT_TESTS + SCENARIOS_HOLD, 101)
+        self.assert_check_fails("not explained", UNIT_TESTS + FLEET_FAILS, 0)
 
     def test_a_timeout(self) -> None:
-        self.assert_refused("too long", UNIT_TESTS + SCENARIOS_HOLD, None)
+        self.assert_check_fails("too long", UNIT_TESTS + SCENARIOS_HOLD, None)
 
     def test_malformed_entries(self) -> None:
         for entry in (
@@ -153,18 +153,18 @@
             LISTED.replace("issue: 36", "issue: soon"),
             LISTED.replace(FLEET, "fleet"),
         ):
-            with self.subTest(entry), self.assertRaisesRegex(Refused, "malformed"):
+            with self.subTest(entry), self.assertRaisesRegex(CheckFailed, "malformed"):
                 parse_entries(entry)
 
-    def test_a_doubled_entry(self) -> None:
-        with self.assertRaisesRegex(Refused, "two entries"):
+    def test_a_duplicate_entry(self) -> None:
+        with self.assertRaisesRegex(CheckFailed, "two entries"):
             parse_entries(f"{LISTED}\n{LISTED}\n")
 
     def test_an_entry_for_a_test_that_does_not_exist(self) -> None:
         output = UNIT_TESTS + SCENARIOS_HOLD
         for test in ("scenarios::every_scenario_holds[flet]", "stallcove::no_such_test"):
             with self.subTest(test):
-                self.assert_refused("does not exist", output, 0, LISTED.replace(FLEET, test))
+                self.assert_check_fails("does not exist", output, 0, LISTED.replace(FLEET, test))
 
     def test_the_test_command_is_that_of_the_readme(self) -> None:
         readme = (known_failures.ROOT / "README.md").read_text(encoding="utf-8")
--- a/tests/change_signal.rs
+++ b/tests/change_signal.rs
@@ -1,4 +1,4 @@
-//! The signal that wakes the loops of a controller when its cache has changed.
+//! Tests of the signal that wakes the loops of a controller when its state cache changes.
 
 use std::{
     sync::{Arc, Mutex},
@@ -7,13 +7,12 @@
 
 use stallcove::storage::change_signal::ChangeSignal;
 
-/// Listeners that wait at the same time.
 const LISTENERS: usize = 2;
-/// Enough for an order that is drawn at random to change.
+/// Enough changes for a random wake-up order to differ at least once.
 const CHANGES: usize = 64;
 
-/// The leader's and the owner's loop of a controller both listen. Which of them decides first
-/// must not be drawn at random, see `tests/determinism.rs`.
+/// The leader's loop and the shard owner's loop of a controller listen to the same signal. A
+/// random wake-up order would make scenario runs irreproducible, see `tests/determinism.rs`.
 #[tokio::test(start_paused = true)]
 async fn listeners_are_woken_in_the_order_in_which_they_wait() {
     let signal = Arc::new(ChangeSignal::default());
@@ -49,7 +48,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_that_was_marked_seen_wakes_nobody() {
+async fn a_change_marked_seen_wakes_no_listener() {
     let signal = ChangeSignal::default();
     let mut listener = signal.listen();
     signal.notify();
@@ -59,7 +58,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_wait_that_is_given_up_loses_nothing() {
+async fn a_cancelled_wait_loses_no_change() {
     let signal = ChangeSignal::default();
     let mut listener = signal.listen();
     let wait = tokio::time::timeout(Duration::from_millis(1), listener.changed()).await;
--- a/tests/chaos.rs
+++ b/tests/chaos.rs
@@ -1,6 +1,6 @@
-//! Random faults from a fixed list of seeds. A failing seed is printed; run it
-//! alone with `CHAOS_SEED=n cargo test --test chaos`, or other ones with
-//! `CHAOS_SEEDS=from..to`.
+//! Scenarios with random faults, generated from a fixed list of seeds. Failing seeds are
+//! printed: `CHAOS_SEED=n cargo test --test chaos` runs one seed alone, and
+//! `CHAOS_SEEDS=from..to` runs another range of seeds.
 
 use std::thread;
 
@@ -8,13 +8,13 @@
 use simulator::scenario::Scenario;
 
 const SEEDS: std::ops::Range<u64> = 1..33;
-/// Seeds from here on are drawn as the same ones below, with quota transfers on.
+/// Seed `TRANSFERS_FROM + n` generates the scenario of seed `n` with quota transfers on.
 const TRANSFERS_FROM: u64 = 1_000_000;
 
-/// Jobs in a scenario, besides those of streams and upgrades.
+/// Number of jobs in a scenario, not counting those of job streams and upgrades.
 const JOBS: u32 = 14;
 const TEAMS: [&str; 2] = ["team", "other"];
-/// The cluster of every scenario.
+/// Statements that describe the cluster; the same in every scenario.
 const CLUSTER: [&str; 5] = [
     "zones a b c",
     "team team limit=40 guaranteed=16",
@@ -22,7 +22,7 @@
     "type small cpus=8 memory=64 boot=6 count=4 spot_count=3 zones=a,b,c",
     "type big cpus=16 memory=128 boot=8 price=1.8 spot_price=0.7 count=2 spot_count=1 zones=a,b",
 ];
-/// What a network partition may separate.
+/// Tags that a network partition may separate, see `tests/scenarios/README`.
 const PARTITION_SIDES: [&str; 10] = [
     "n0",
     "n1",
@@ -36,9 +36,9 @@
     "controllers",
 ];
 
-/// A scenario of a few minutes: some jobs, and faults that overlap. The order of the random
-/// draws decides what a seed means: it stays as it is.
-fn draw(seed: u64) -> String {
+/// Generates the text of a scenario of a few minutes with some jobs and overlapping faults. The
+/// order of the random draws must not change: it determines which scenario a seed generates.
+fn generate_scenario(seed: u64) -> String {
     let mut rng = StdRng::seed_from_u64(seed % TRANSFERS_FROM);
     let mut lines = vec![format!("seed {seed}")];
     lines.extend(CLUSTER.map(str::to_owned));
@@ -46,23 +46,23 @@
         lines.push("transfers".into());
     }
     for number in 0..JOBS {
-        lines.extend(draw_job(&mut rng, number));
+        lines.extend(generate_job(&mut rng, number));
     }
-    // Some scenarios begin with an earlier version, which is replaced in the midst of it.
+    // Some scenarios start with an earlier version, which a rolling upgrade replaces.
     if rng.random_bool(0.3) {
-        lines.extend(draw_upgrade(&mut rng));
+        lines.extend(generate_upgrade(&mut rng));
     }
-    lines.extend(draw_faults(&mut rng));
+    lines.extend(generate_faults(&mut rng));
     lines.push("until 400".into());
     lines.join("\n")
 }
 
-/// A job's submission; it may be cancelled or submitted again.
-fn draw_job(rng: &mut StdRng, number: u32) -> Vec<String> {
+/// Generates a job's submission, and possibly its cancellation and a repeated submission.
+fn generate_job(rng: &mut StdRng, number: u32) -> Vec<String> {
     let at = rng.random_range(1.0..110.0);
     let team = TEAMS[rng.random_range(0..2)];
     let cpus = rng.random_range(1..4);
-    let tasks = draw_tasks(rng);
+    let tasks = generate_tasks(rng);
     let constraint = match rng.random_range(0..8) {
         0 => " spread",
         1 => " one_zone",
@@ -83,8 +83,9 @@
     lines
 }
 
-/// A job's kind, its tasks and whether they may run on spot machines.
-fn draw_tasks(rng: &mut StdRng) -> String {
+/// Generates a job's kind, its number of tasks, their run time and whether they may run on spot
+/// machines.
+fn generate_tasks(rng: &mut StdRng) -> String {
     if rng.random_bool(0.3) {
         return format!(" service tasks={}", rng.random_range(1..4));
     }
@@ -103,8 +104,9 @@
     format!("{kind} tasks={tasks} run={run}{spot}")
 }
 
-/// An earlier version at the start, a rolling upgrade, and then lower limits.
-fn draw_upgrade(rng: &mut StdRng) -> Vec<String> {
+/// Generates an earlier version at the start, a rolling upgrade, lowered limits of the state
+/// service and a job that exceeds them.
+fn generate_upgrade(rng: &mut StdRng) -> Vec<String> {
     let version = ["version before-gangs", "version gangs"][rng.random_range(0..2)];
     let mut lines = vec![
         version.to_owned(),
@@ -120,7 +122,8 @@
         at += interval;
     }
     lines.push(format!("at {:.2} state lower-limits", at + 12.0));
-    // A job of more records than a transaction of the lowered limits has conditions.
+    // A job with more run records than a transaction may have conditions under the lowered
+    // limits.
     let constraint = ["one_zone", "spread"][rng.random_range(0..2)];
     let submitted_at = at + rng.random_range(4.0..30.0);
     lines.push(format!(
@@ -129,55 +132,61 @@
     lines
 }
 
-/// When a fault begins, how long it lasts, and a controller that it may hit.
-struct FaultTime {
+/// When a fault begins, its base duration, and the controller that it hits if it is a fault of
+/// one controller.
+struct FaultParameters {
     at: f64,
     seconds: f64,
     controller: u32,
 }
 
-fn draw_faults(rng: &mut StdRng) -> Vec<String> {
+fn generate_faults(rng: &mut StdRng) -> Vec<String> {
     let count = rng.random_range(4..9);
     let mut lines = Vec::new();
     let mut previous_at = 0.0;
     for number in 0..count {
-        // Every other one meets the one before it.
+        // Every second fault begins shortly after the one before it, so that they overlap.
         let at = match number % 2 {
             0 => rng.random_range(10.0..120.0),
             _ => previous_at + rng.random_range(0.0..2.5),
         };
         previous_at = at;
-        let time = FaultTime {
+        let fault = FaultParameters {
             at,
             seconds: rng.random_range(2.0..30.0),
             controller: rng.random_range(0..3),
         };
         let kind = rng.random_range(0..33);
-        lines.extend(draw_fault(rng, kind, number, &time));
+        lines.extend(generate_fault(rng, kind, number, &fault));
     }
     lines
 }
 
-/// The statements of one fault.
-fn draw_fault(rng: &mut StdRng, kind: u32, number: u32, time: &FaultTime) -> Vec<String> {
-    let at = time.at;
-    if let Some((action, seconds)) = controller_fault(kind, time).or(service_fault(kind, time)) {
+/// Generates the statements of one fault.
+fn generate_fault(
+    rng: &mut StdRng,
+    kind: u32,
+    number: u32,
+    fault: &FaultParameters,
+) -> Vec<String> {
+    let at = fault.at;
+    if let Some((action, seconds)) = controller_fault(kind, fault).or(service_fault(kind, fault)) {
         return vec![format!("at {at:.2} {action} for={seconds:.2}")];
     }
     match kind {
-        8..=10 | 16 => vec![draw_machine_fault(rng, kind, time)],
-        18..=21 | 29 => vec![draw_user_fault(rng, kind, number, time)],
-        // State refuses the leader alone, and soon everybody.
+        8..=10 | 16 => vec![generate_machine_fault(rng, kind, fault)],
+        18..=21 | 29 => vec![generate_user_fault(rng, kind, number, fault)],
+        // The state service rejects the leader alone, and soon after is down for all controllers.
         22 | 23 => {
             let outage_at = at + rng.random_range(0.5..6.0);
             let outage = rng.random_range(20.0..60.0);
             vec![
-                format!("at {at:.2} state reject leader for={:.2}", time.seconds),
+                format!("at {at:.2} state reject leader for={:.2}", fault.seconds),
                 format!("at {outage_at:.2} state outage for={outage:.2}"),
             ]
         }
         28 => {
-            let seconds = time.seconds;
+            let seconds = fault.seconds;
             vec![
                 format!("at {at:.2} duplicate heartbeats share=0.5 for_next for={seconds:.2}"),
                 format!(
@@ -193,16 +202,16 @@
             let hold = if rng.random_bool(0.5) { " hold" } else { "" };
             vec![format!(
                 "at {at:.2} partition {one_side} {other_side}{hold} for={:.2}",
-                time.seconds
+                fault.seconds
             )]
         }
     }
 }
 
-/// A fault of controllers, and how many seconds it lasts.
-fn controller_fault(kind: u32, time: &FaultTime) -> Option<(String, f64)> {
-    let controller = time.controller;
-    let seconds = time.seconds;
+/// Returns a controller fault and its duration in seconds, if `kind` is one.
+fn controller_fault(kind: u32, fault: &FaultParameters) -> Option<(String, f64)> {
+    let controller = fault.controller;
+    let seconds = fault.seconds;
     Some(match kind {
         0 => ("crash all".into(), seconds / 3.0),
         1 | 2 => ("crash leader".into(), seconds / 4.0),
@@ -214,11 +223,11 @@
     })
 }
 
-/// A fault of the state service, the cloud or the network that draws nothing more, and how
-/// many seconds it lasts.
-fn service_fault(kind: u32, time: &FaultTime) -> Option<(String, f64)> {
-    let controller = time.controller;
-    let seconds = time.seconds;
+/// Returns a fault of the state service, the cloud, the network or the users that needs no
+/// further random draws, and its duration in seconds, if `kind` is one.
+fn service_fault(kind: u32, fault: &FaultParameters) -> Option<(String, f64)> {
+    let controller = fault.controller;
+    let seconds = fault.seconds;
     Some(match kind {
         4 => ("state outage".into(), seconds),
         5 => (format!("state reject n{controller}"), seconds),
@@ -234,9 +243,9 @@
     })
 }
 
-fn draw_machine_fault(rng: &mut StdRng, kind: u32, time: &FaultTime) -> String {
-    let at = time.at;
-    let seconds = time.seconds;
+fn generate_machine_fault(rng: &mut StdRng, kind: u32, fault: &FaultParameters) -> String {
+    let at = fault.at;
+    let seconds = fault.seconds;
     match kind {
         8 => format!(
             "at {at:.2} hang {} for={seconds:.2}",
@@ -264,8 +273,13 @@
     }
 }
 
-fn draw_user_fault(rng: &mut StdRng, kind: u32, number: u32, time: &FaultTime) -> String {
-    let at = time.at;
+fn generate_user_fault(
+    rng: &mut StdRng,
+    kind: u32,
+    number: u32,
+    fault: &FaultParameters,
+) -> String {
+    let at = fault.at;
     match kind {
         18 | 19 => format!(
             "at {at:.2} cancel running count={} hang={:.2}",
@@ -274,7 +288,7 @@
         ),
         20 => format!(
             "at {at:.2} cancel ending share=0.6 for={:.2}",
-            time.seconds * 2.0
+            fault.seconds * 2.0
         ),
         21 => format!("at {at:.2} invalid-requests"),
         _ => format!(
@@ -284,7 +298,8 @@
     }
 }
 
-fn other_seeds() -> Option<std::ops::Range<u64>> {
+/// Returns the seeds that `CHAOS_SEEDS` names.
+fn seeds_from_environment() -> Option<std::ops::Range<u64>> {
     let text = std::env::var("CHAOS_SEEDS").ok()?;
     let (from, to) = text.split_once("..")?;
     Some(from.parse().ok()?..to.parse().ok()?)
@@ -295,29 +310,29 @@
 }
 
 #[test]
-fn no_rule_is_broken_whatever_fails() {
+fn no_rule_is_broken_under_random_faults() {
     let seeds: Vec<u64> = match std::env::var("CHAOS_SEED") {
-        Ok(seed) => vec![seed.parse().expect("a seed")],
-        Err(_) => match other_seeds() {
+        Ok(seed) => vec![seed.parse().expect("CHAOS_SEED must be a number")],
+        Err(_) => match seeds_from_environment() {
             Some(seeds) => seeds.collect(),
             None => SEEDS.chain(with_transfers(SEEDS)).collect(),
         },
     };
-    let is_alone = seeds.len() == 1;
+    let is_single_seed = seeds.len() == 1;
     simulator::start_logging();
     let running: Vec<_> = seeds
         .into_iter()
         .map(|seed| {
-            let text = draw(seed);
-            if is_alone {
+            let text = generate_scenario(seed);
+            if is_single_seed {
                 println!("{text}");
             }
             (seed, thread::spawn(move || Scenario::parse(&text).play()))
         })
         .collect();
     let mut failed = Vec::new();
-    for (seed, played) in running {
-        let violations = played.join().unwrap_or_else(|_| vec!["panicked".into()]);
+    for (seed, run) in running {
+        let violations = run.join().unwrap_or_else(|_| vec!["panicked".into()]);
         if !violations.is_empty() {
             println!("seed {seed}: {violations:?}");
             failed.push(seed);
--- a/tests/checkers.rs
+++ b/tests/checkers.rs
@@ -1,5 +1,5 @@
-//! The simulator's rule checkers are proven to fire: each rule is fed a history
-//! that breaks it, and one beside it that does not.
+//! Tests that the simulator's rule checkers report violations: each rule gets a history of events
+//! that breaks it; most rules also get a similar one that does not.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -46,17 +46,17 @@
     }
 }
 
-fn on(task: u32, machine: &str, kind: &str, zone: &str, spot: bool) -> Event {
+fn task_started(task: u32, machine: &str, machine_type: &str, zone: &str, spot: bool) -> Event {
     Event::TaskStarted(
         TaskId::new(job(), task),
         MachineId::new(machine),
-        machine_kind(kind, zone, spot),
+        machine_kind(machine_type, zone, spot),
     )
 }
 
 fn answer(status: u16, state: &str, is_submission: bool) -> Event {
     Event::UserAnswered(UserAnswer {
-        // Set to the time of the event by `play`.
+        // `check_events` and `check_scenario` set it to the time of the event.
         requested_at: Duration::ZERO,
         job: job(),
         status,
@@ -65,7 +65,8 @@
     })
 }
 
-fn play(events: Vec<(u64, Event)>) -> Vec<String> {
+/// Feeds the events, each with its time in seconds, to the rule checkers; returns the violations.
+fn check_events(events: Vec<(u64, Event)>) -> Vec<String> {
     let limits = BTreeMap::from([(TeamName::new("team"), 8.0)]);
     let mut rules = Rules::new(limits, Duration::from_secs(40));
     for (at, mut event) in events {
@@ -79,8 +80,9 @@
     rules.violations
 }
 
-/// A whole scenario, with all faults over at `faults_end`.
-fn play_to(end: u64, faults_end: u64, events: Vec<(u64, Event)>) -> Vec<String> {
+/// Feeds the events of a whole scenario of `end` seconds, whose faults are over at `faults_end`, to
+/// the rule checkers; returns the violations.
+fn check_scenario(end: u64, faults_end: u64, events: Vec<(u64, Event)>) -> Vec<String> {
     let limits = BTreeMap::from([(TeamName::new("team"), 100.0)]);
     let mut rules = Rules::new(limits, Duration::from_secs(40));
     let mut events = events.into_iter().peekable();
@@ -102,25 +104,25 @@
 }
 
 #[test]
-fn forgotten_by_silence() {
+fn forgotten_after_no_answer() {
     let history = |answered: u64| {
         vec![
             submitted(),
             (1, answer(201, "queued", true)),
-            (2, on(0, "vm-1", "small", "a", false)),
-            (2, on(1, "vm-2", "small", "b", false)),
+            (2, task_started(0, "vm-1", "small", "a", false)),
+            (2, task_started(1, "vm-2", "small", "b", false)),
             (answered, answer(200, "running", false)),
         ]
     };
-    assert_eq!(play_to(170, 20, history(95)), Vec::<String>::new());
-    let violations = play_to(200, 20, history(96));
+    assert_eq!(check_scenario(170, 20, history(95)), Vec::<String>::new());
+    let violations = check_scenario(200, 20, history(96));
     assert!(violations[0].contains("forgotten"), "{violations:?}");
-    // What was refused while faults lasted does not count.
-    assert_eq!(play_to(200, 126, history(2)), Vec::<String>::new());
+    // The time without an answer counts only from the end of the faults.
+    assert_eq!(check_scenario(200, 126, history(2)), Vec::<String>::new());
 }
 
 #[test]
-fn unserved_and_late() {
+fn unserved_and_began_late() {
     let mut events = Vec::new();
     for n in 0..4 {
         let id = JobId::new(format!("job-{n}"));
@@ -139,26 +141,29 @@
         Event::TaskStarted(task, MachineId::new(format!("vm-{job}")), kind)
     };
     events.push((50, start(0, 0)));
-    let mut served = events.clone();
-    served.extend((0..5).map(|task| (239, start(3, task))));
-    let fired = |events: Vec<(u64, Event)>, what: &str| {
-        let violations = play_to(300, 290, events);
+    let mut served_events = events.clone();
+    served_events.extend((0..5).map(|task| (239, start(3, task))));
+    let assert_reported = |events: Vec<(u64, Event)>, what: &str| {
+        let violations = check_scenario(300, 290, events);
         assert!(
             violations.iter().any(|line| line.contains(what)),
             "{violations:?}"
         );
     };
-    assert_eq!(play_to(300, 290, served.clone()), Vec::<String>::new());
-    fired(events.clone(), "unserved: class");
-    fired(events.clone(), "unserved: team");
-    fired(events.clone(), "unserved: largest");
+    assert_eq!(
+        check_scenario(300, 290, served_events.clone()),
+        Vec::<String>::new()
+    );
+    assert_reported(events.clone(), "unserved: class");
+    assert_reported(events.clone(), "unserved: team");
+    assert_reported(events.clone(), "unserved: largest");
     events.extend((0..5).map(|task| (242, start(3, task))));
-    fired(events, "began_late");
+    assert_reported(events, "began_late");
 }
 
-/// A job of two tasks, one of them on a machine, with this capacity left from the 20th
-/// second on; all faults are over at the tenth.
-fn watch(spec: Box<JobSpec>, free: &[FreeCapacity], end: u64) -> Vec<String> {
+/// Checks a job of two tasks, one of which is on a machine, for `end` seconds. `free` is the
+/// capacity left from the 20th second on; all faults are over at the tenth. Returns the violations.
+fn check_waiting_job(spec: Box<JobSpec>, free: &[FreeCapacity], end: u64) -> Vec<String> {
     let limits = BTreeMap::from([(TeamName::new("team"), 8.0)]);
     let mut rules = Rules::new(limits, Duration::from_secs(40));
     let placed = [(TaskId::new(job(), 0), machine_kind("small", "a", false))];
@@ -182,40 +187,41 @@
         cpus,
         memory: 8.0,
     };
-    let plain = || spec(false, false, false);
-    let violations = watch(plain(), &[free(4.0, "b", false)], 111);
+    let unconstrained = || spec(false, false, false);
+    let violations = check_waiting_job(unconstrained(), &[free(4.0, "b", false)], 111);
     assert!(
         violations[0].contains("waited: job-1: 1 tasks"),
         "{violations:?}"
     );
-    let quiet = |spec: Box<JobSpec>, free: &[FreeCapacity], end: u64| {
-        assert_eq!(watch(spec, free, end), Vec::<String>::new());
+    let assert_not_reported = |spec: Box<JobSpec>, free: &[FreeCapacity], end: u64| {
+        assert_eq!(check_waiting_job(spec, free, end), Vec::<String>::new());
     };
-    quiet(plain(), &[free(4.0, "b", false)], 110);
-    quiet(plain(), &[], 300);
-    quiet(
-        plain(),
+    assert_not_reported(unconstrained(), &[free(4.0, "b", false)], 110);
+    assert_not_reported(unconstrained(), &[], 300);
+    assert_not_reported(
+        unconstrained(),
         &[free(3.0, "b", false), free(3.0, "b", false)],
         300,
     );
-    quiet(plain(), &[free(4.0, "b", true)], 300);
-    // Bound to the zone of the other one.
-    quiet(spec(false, false, true), &[free(4.0, "b", false)], 300);
-    quiet(spec(false, true, false), &[free(4.0, "a", false)], 300);
-    let mut large = plain();
+    assert_not_reported(unconstrained(), &[free(4.0, "b", true)], 300);
+    // The job is confined to the zone of its other task.
+    assert_not_reported(spec(false, false, true), &[free(4.0, "b", false)], 300);
+    // A spread job may not place both tasks in one zone.
+    assert_not_reported(spec(false, true, false), &[free(4.0, "a", false)], 300);
+    let mut large = unconstrained();
     large.per_task.cpus = 5.0;
-    quiet(large, &[free(8.0, "b", false)], 300);
+    assert_not_reported(large, &[free(8.0, "b", false)], 300);
 }
 
 #[test]
 fn reused() {
-    let again = Event::AttemptReused(TaskId::new(job(), 1), 4);
-    fires("reused", vec![submitted(), (2, again)]);
+    let attempt_reused = Event::AttemptReused(TaskId::new(job(), 1), 4);
+    assert_violates("reused", vec![submitted(), (2, attempt_reused)]);
 }
 
 #[test]
 fn unreadable_and_wrong_status() {
-    fires(
+    assert_violates(
         "unreadable",
         vec![(1, Event::UnreadableMessage("n1".into()))],
     );
@@ -224,48 +230,48 @@
         expected,
         status,
     };
-    fires("wrong_status", vec![(1, answered(400, 201))]);
-    fires("wrong_status", vec![(1, answered(422, 400))]);
-    quiet(vec![(1, answered(422, 422)), (2, answered(400, 503))]);
+    assert_violates("wrong_status", vec![(1, answered(400, 201))]);
+    assert_violates("wrong_status", vec![(1, answered(422, 400))]);
+    assert_no_violations(vec![(1, answered(422, 422)), (2, answered(400, 503))]);
 }
 
-fn fires(rule: &str, events: Vec<(u64, Event)>) {
-    let violations = play(events);
+fn assert_violates(rule: &str, events: Vec<(u64, Event)>) {
+    let violations = check_events(events);
     assert!(
         violations.iter().any(|line| line.contains(rule)),
-        "{rule} did not fire: {violations:?}"
+        "{rule} was not reported: {violations:?}"
     );
 }
 
-fn quiet(events: Vec<(u64, Event)>) {
-    assert_eq!(play(events), Vec::<String>::new());
+fn assert_no_violations(events: Vec<(u64, Event)>) {
+    assert_eq!(check_events(events), Vec::<String>::new());
 }
 
 fn submitted() -> (u64, Event) {
     (0, Event::Submitted(job(), spec(false, false, false)))
 }
 
-fn off(task: u32, machine: &str) -> Event {
+fn task_stopped(task: u32, machine: &str) -> Event {
     Event::TaskStopped(TaskId::new(job(), task), MachineId::new(machine))
 }
 
-fn done(task: u32) -> Event {
+fn task_completed(task: u32) -> Event {
     Event::TaskCompleted(TaskId::new(job(), task))
 }
 
 #[test]
-fn a_sound_history_is_quiet() {
-    quiet(vec![
+fn a_correct_history_has_no_violations() {
+    assert_no_violations(vec![
         submitted(),
         (1, answer(201, "queued", true)),
-        (2, on(0, "vm-1", "small", "a", false)),
-        (2, on(1, "vm-2", "small", "b", false)),
-        (4, off(0, "vm-1")),
-        (4, done(0)),
-        (5, off(1, "vm-2")),
-        (6, on(1, "vm-1", "small", "a", false)),
-        (8, off(1, "vm-1")),
-        (8, done(1)),
+        (2, task_started(0, "vm-1", "small", "a", false)),
+        (2, task_started(1, "vm-2", "small", "b", false)),
+        (4, task_stopped(0, "vm-1")),
+        (4, task_completed(0)),
+        (5, task_stopped(1, "vm-2")),
+        (6, task_started(1, "vm-1", "small", "a", false)),
+        (8, task_stopped(1, "vm-1")),
+        (8, task_completed(1)),
         (9, answer(200, "done", false)),
         (10, answer(200, "done", true)),
     ]);
@@ -273,12 +279,12 @@
 
 #[test]
 fn ran_twice() {
-    fires(
+    assert_violates(
         "ran_twice",
         vec![
             submitted(),
-            (1, on(0, "vm-1", "small", "a", false)),
-            (2, on(0, "vm-2", "small", "a", false)),
+            (1, task_started(0, "vm-1", "small", "a", false)),
+            (2, task_started(0, "vm-2", "small", "a", false)),
         ],
     );
 }
@@ -287,33 +293,36 @@
 fn quota() {
     let mut big = spec(false, false, false);
     big.per_task.cpus = 5.0;
-    fires(
+    assert_violates(
         "quota",
         vec![
             (0, Event::Submitted(job(), big)),
-            (1, on(0, "vm-1", "small", "a", false)),
-            (2, on(1, "vm-2", "small", "a", false)),
+            (1, task_started(0, "vm-1", "small", "a", false)),
+            (2, task_started(1, "vm-2", "small", "a", false)),
         ],
     );
 }
 
 #[test]
 fn wrong_place() {
-    fires(
+    assert_violates(
         "wrong_place",
-        vec![submitted(), (1, on(0, "vm-1", "big", "a", false))],
+        vec![submitted(), (1, task_started(0, "vm-1", "big", "a", false))],
     );
-    fires(
+    assert_violates(
         "wrong_place",
-        vec![submitted(), (1, on(0, "vm-1", "small", "a", true))],
+        vec![
+            submitted(),
+            (1, task_started(0, "vm-1", "small", "a", true)),
+        ],
     );
-    for (spread, one_zone, second) in [(true, false, "a"), (false, true, "b")] {
-        fires(
+    for (spread, one_zone, second_zone) in [(true, false, "a"), (false, true, "b")] {
+        assert_violates(
             "wrong_place",
             vec![
                 (0, Event::Submitted(job(), spec(false, spread, one_zone))),
-                (1, on(0, "vm-1", "small", "a", false)),
-                (2, on(1, "vm-2", "small", second, false)),
+                (1, task_started(0, "vm-1", "small", "a", false)),
+                (2, task_started(1, "vm-2", "small", second_zone, false)),
             ],
         );
     }
@@ -324,21 +333,21 @@
     let history = |until| {
         vec![
             submitted(),
-            (1, on(0, "vm-1", "small", "a", false)),
+            (1, task_started(0, "vm-1", "small", "a", false)),
             (2, Event::CancelRequested(job())),
             (3, answer(200, "cancelled", false)),
-            (until, done(7)),
+            (until, task_completed(7)),
         ]
     };
-    quiet(history(42));
-    fires("ran_cancelled", history(44));
-    fires(
+    assert_no_violations(history(42));
+    assert_violates("ran_cancelled", history(44));
+    assert_violates(
         "ran_cancelled",
         vec![
             submitted(),
             (2, Event::CancelRequested(job())),
             (3, answer(200, "cancelled", false)),
-            (50, on(0, "vm-1", "small", "a", false)),
+            (50, task_started(0, "vm-1", "small", "a", false)),
         ],
     );
 }
@@ -346,27 +355,27 @@
 #[test]
 fn forgotten() {
     for last in [answer(404, "", false), answer(422, "", true)] {
-        fires(
+        assert_violates(
             "forgotten",
             vec![submitted(), (1, answer(201, "queued", true)), (5, last)],
         );
     }
-    quiet(vec![submitted(), (1, answer(422, "", true))]);
+    assert_no_violations(vec![submitted(), (1, answer(422, "", true))]);
 }
 
 #[test]
 fn invented() {
-    fires("invented", vec![(1, answer(200, "queued", false))]);
+    assert_violates("invented", vec![(1, answer(200, "queued", false))]);
 }
 
 #[test]
 fn not_done() {
-    fires(
+    assert_violates(
         "not_done",
         vec![
             submitted(),
             (1, answer(201, "queued", true)),
-            (2, done(0)),
+            (2, task_completed(0)),
             (3, answer(200, "done", false)),
         ],
     );
@@ -374,7 +383,7 @@
 
 #[test]
 fn went_back() {
-    fires(
+    assert_violates(
         "went_back",
         vec![
             submitted(),
@@ -383,7 +392,7 @@
             (3, answer(200, "running", false)),
         ],
     );
-    fires(
+    assert_violates(
         "went_back",
         vec![submitted(), (2, answer(200, "cancelled", false))],
     );
--- a/tests/determinism.rs
+++ b/tests/determinism.rs
@@ -1,12 +1,12 @@
-//! A play is driven by its seed alone: two plays of one seed agree event by event, alone and
-//! beside load.
+//! A scenario run is determined by its seed alone: two runs with the same seed produce the same
+//! events in the same order, also under CPU load.
 //!
-//! Guards against verdicts that do not repeat. Scenario `fleet` failed in one of two runs of
-//! the same commit, and no command showed it again: the order in which a change of the state
-//! cache woke the leader's and the owner's loop of a controller was drawn anew in every play.
-//! `tokio::sync::watch` spreads its receivers over eight lists by a generator that the runtime
-//! seeds from the operating system. Six plays of `fleet` with the same seed gave six
-//! counts of changes between 996 and 1188.
+//! Guards against results that cannot be reproduced. Scenario `fleet` failed in one of two runs
+//! of the same commit, and no command reproduced it: the order in which a change of the state
+//! cache woke the leader's loop and the shard owner's loop of a controller was random in every
+//! run. `tokio::sync::watch` distributes its receivers over eight lists with a random generator
+//! that the runtime seeds from the operating system. Six runs of `fleet` with the same seed gave
+//! six counts of state changes between 996 and 1188.
 
 use std::{
     fs,
@@ -17,7 +17,8 @@
 
 use simulator::{event_trace::EventTrace, scenario::Scenario};
 
-/// Between them they have every kind of fault, gangs, services and arrays, and quota transfers.
+/// Scenarios that together cover every kind of fault, gangs, services, arrays and quota
+/// transfers.
 const SCENARIOS: [&str; 8] = [
     "fleet",
     "gangs-compete",
@@ -28,53 +29,54 @@
     "zone-partition-holds-packets",
     "duplicate-heartbeats-next-leader",
 ];
-/// Threads that do nothing but use the processor.
+/// Number of threads that generate CPU load.
 const LOAD_THREADS: usize = 4;
 
-fn scenario(name: &str) -> Scenario {
+fn load_scenario(name: &str) -> Scenario {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("tests/scenarios/{name}.txt"));
-    Scenario::parse(&fs::read_to_string(path).expect("a scenario"))
+    Scenario::parse(&fs::read_to_string(path).expect("the scenario file must be readable"))
 }
 
-fn trace_of(name: &'static str) -> thread::JoinHandle<EventTrace> {
-    thread::spawn(move || scenario(name).measure_traced().1)
+fn spawn_traced_run(name: &'static str) -> thread::JoinHandle<EventTrace> {
+    thread::spawn(move || load_scenario(name).measure_traced().1)
 }
 
-/// Uses processor time until dropped.
-struct Load<'a>(&'a AtomicBool);
+/// Stops the load threads when dropped, also when a run panics.
+struct StopLoadOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for Load<'_> {
+impl Drop for StopLoadOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::Relaxed);
     }
 }
 
-/// The traces of all scenarios, played beside each other and beside other load.
-fn traces_beside_load() -> Vec<EventTrace> {
-    let is_over = AtomicBool::new(false);
+/// Runs all scenarios in parallel and under additional CPU load; returns their traces.
+fn traces_under_load() -> Vec<EventTrace> {
+    let stop_load = AtomicBool::new(false);
     thread::scope(|scope| {
-        let _load = Load(&is_over);
+        let _stop_guard = StopLoadOnDrop(&stop_load);
         for _ in 0..LOAD_THREADS {
             scope.spawn(|| {
-                while !is_over.load(Ordering::Relaxed) {
+                while !stop_load.load(Ordering::Relaxed) {
                     std::hint::spin_loop();
                 }
             });
         }
-        let playing = SCENARIOS.map(trace_of);
-        playing
-            .into_iter()
-            .map(|play| play.join().expect("a play"))
+        let runs = SCENARIOS.map(spawn_traced_run);
+        runs.into_iter()
+            .map(|run| run.join().expect("the run must not panic"))
             .collect()
     })
 }
 
 #[test]
-fn two_plays_of_a_seed_agree_event_by_event() {
-    let beside_load = traces_beside_load();
+fn two_runs_of_a_seed_agree_event_by_event() {
+    let traces_under_load = traces_under_load();
     let mut differences = Vec::new();
-    for (name, second) in SCENARIOS.into_iter().zip(beside_load) {
-        let first = trace_of(name).join().expect("a play");
+    for (name, second) in SCENARIOS.into_iter().zip(traces_under_load) {
+        let first = spawn_traced_run(name)
+            .join()
+            .expect("the run must not panic");
         assert!(!first.events().is_empty(), "{name} has no events");
         if let Some(difference) = first.first_difference(&second) {
             differences.push(format!("{name}: {difference}"));
@@ -85,8 +87,8 @@
 
 #[test]
 fn another_seed_gives_other_events() {
-    let first = scenario("quiet-day").measure_traced().1;
-    let second = scenario("quiet-day").with_seed(2).measure_traced().1;
+    let first = load_scenario("quiet-day").measure_traced().1;
+    let second = load_scenario("quiet-day").with_seed(2).measure_traced().1;
     assert_ne!(first.digest(), second.digest());
     assert!(first.first_difference(&second).is_some());
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -1,5 +1,6 @@
-//! What earlier versions wrote, which serve beside this one while an upgrade rolls, is
-//! read, and written the same. Each file under `tests/data` was made by its version.
+//! Tests that the current version reads the frames and records that earlier versions wrote and
+//! writes them unchanged: during a rolling upgrade both versions run side by side. Each file
+//! under `tests/data` was written by the version that it is named after.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -10,11 +11,13 @@
     storage::{records::*, *},
 };
 
-/// An earlier version: what it wrote, and the protocol version that it names.
+/// An earlier version of the software.
 struct Version {
+    /// Frames and records that it wrote.
     data: &'static str,
+    /// The protocol version that its controllers report.
     protocol_version: ProtocolVersion,
-    /// The last attempt of the gang's task that is placed.
+    /// The attempt of the placed task in its recorded job.
     attempt: Attempt,
 }
 
@@ -30,6 +33,7 @@
     attempt: Attempt(4),
 };
 
+/// Returns the recorded frames by their names.
 fn frames(data: &str) -> BTreeMap<String, Vec<u8>> {
     let lines = data.lines().filter_map(|line| line.strip_prefix("FRAME "));
     lines
@@ -84,7 +88,7 @@
 }
 
 #[test]
-fn frames_are_those_of_earlier_versions() {
+fn frames_match_those_of_earlier_versions() {
     for version in [BEFORE_GANGS, GANGS] {
         check_frames(&version);
     }
@@ -113,7 +117,7 @@
     JobId::new("job-000412")
 }
 
-/// Requests by the names of their recorded frames.
+/// Returns the expected requests, each with the name of its recorded frame.
 fn requests(protocol_version: ProtocolVersion) -> Vec<(&'static str, PeerRequest)> {
     let offer = Offer {
         job: job(),
@@ -134,7 +138,7 @@
     ]
 }
 
-/// Responses by the names of their recorded frames.
+/// Returns the expected responses, each with the name of its recorded frame.
 fn responses(protocol_version: ProtocolVersion) -> Vec<(&'static str, PeerResponse)> {
     let cancellations = Cancellations {
         seen: Revision(500),
@@ -155,14 +159,15 @@
     ]
 }
 
-fn same<T: serde::Serialize + serde::de::DeserializeOwned>(key: &str, value: &Value) {
+/// Checks that the record is written as it was read.
+fn check_round_trip<T: serde::Serialize + serde::de::DeserializeOwned>(key: &str, value: &Value) {
     let record: T = serde_json::from_value(value.clone()).expect(key);
-    let again = serde_json::to_value(&record).expect(key);
-    assert_eq!(again, *value, "{key}");
+    let written = serde_json::to_value(&record).expect(key);
+    assert_eq!(written, *value, "{key}");
 }
 
 #[test]
-fn records_are_those_of_earlier_versions() {
+fn records_match_those_of_earlier_versions() {
     for version in [BEFORE_GANGS, GANGS] {
         check_records(&version);
     }
@@ -179,48 +184,48 @@
         check_record(key, &value);
         cache.set(key, value, Revision(records));
     }
-    let names_format = version.protocol_version >= ProtocolVersion::GANGS;
-    assert_eq!(records, 11 + u64::from(names_format));
+    let has_common_version = version.protocol_version >= ProtocolVersion::GANGS;
+    assert_eq!(records, 11 + u64::from(has_common_version));
     let job = &cache.jobs[&JobId::new("job-000412")];
     assert_eq!((job.placed, job.done, job.waiting()), (1, 2, 13));
     let placement = job.placement(3).expect("a placement");
     assert_eq!(placement.attempt, version.attempt);
     assert!(cache.catalog.is_some() && cache.leader.is_some());
-    assert_eq!(cache.common_version.is_some(), names_format);
+    assert_eq!(cache.common_version.is_some(), has_common_version);
     assert_eq!((cache.shards.len(), cache.machine_groups.len()), (1, 1));
     assert!(cache.outcome(&JobId::new("job-000411")).is_some());
 }
 
 fn check_record(key: &str, value: &Value) {
     match key.split('/').next().expect("a kind") {
-        "spec" => same::<JobSpec>(key, value),
-        "run" => same::<RunRecord>(key, value),
-        "fate" => same::<OutcomeRecord>(key, value),
-        "drain" => same::<u32>(key, value),
-        "seat" => same::<AllocationRecord>(key, value),
-        "block" => same::<ShardRecord>(key, value),
-        "machine" => same::<MachineGroupRecord>(key, value),
-        "rent" => same::<ProvisionRecord>(key, value),
-        "node" => same::<ControllerRecord>(key, value),
-        "leader" => same::<LeaderRecord>(key, value),
-        "catalog" => same::<CatalogRecord>(key, value),
-        "format" => same::<CommonVersionRecord>(key, value),
-        other => panic!("{other}"),
+        "spec" => check_round_trip::<JobSpec>(key, value),
+        "run" => check_round_trip::<RunRecord>(key, value),
+        "fate" => check_round_trip::<OutcomeRecord>(key, value),
+        "drain" => check_round_trip::<u32>(key, value),
+        "seat" => check_round_trip::<AllocationRecord>(key, value),
+        "block" => check_round_trip::<ShardRecord>(key, value),
+        "machine" => check_round_trip::<MachineGroupRecord>(key, value),
+        "rent" => check_round_trip::<ProvisionRecord>(key, value),
+        "node" => check_round_trip::<ControllerRecord>(key, value),
+        "leader" => check_round_trip::<LeaderRecord>(key, value),
+        "catalog" => check_round_trip::<CatalogRecord>(key, value),
+        "format" => check_round_trip::<CommonVersionRecord>(key, value),
+        other => panic!("unknown kind of record: {other}"),
     }
 }
 
-/// The zone that a job of many records is confined to stands in its spec, and is the
-/// one thing that earlier versions pass over. Those of other jobs have no such field.
+/// The spec of a job with many run records holds the zone that the job is confined to. This is the
+/// only field that earlier versions ignore; the specs of other jobs do not have it.
 #[test]
-fn only_confined_jobs_have_a_new_field() {
+fn only_confined_jobs_have_the_assigned_zone_field() {
     let line = GANGS.data.lines().find(|line| line.contains("spec/"));
     let text = line.expect("a spec").rsplit_once(" {").expect("JSON").1;
     let mut spec: JobSpec = serde_json::from_str(&format!("{{{text}")).expect("a spec");
     assert_eq!(spec.assigned_zone, None);
-    let plain = serde_json::to_value(&spec).expect("JSON");
+    let unconfined = serde_json::to_value(&spec).expect("JSON");
     spec.assigned_zone = Some(ZoneName::new("a"));
     let mut confined = serde_json::to_value(&spec).expect("JSON");
     let fields = confined.as_object_mut().expect("an object");
     assert_eq!(fields.remove("home"), Some(Value::from("a")));
-    assert_eq!(confined, plain);
+    assert_eq!(confined, unconfined);
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,14 +1,15 @@
-//! Plays every scenario under `tests/scenarios/` against the simulator, which
-//! checks PROTOCOL's rules in each.
+//! Runs every scenario under `tests/scenarios/` in the simulator, which checks the rules of
+//! PROTOCOL in each.
 //!
-//! `SCENARIO=name` plays only the scenarios with that in their names, `SCENARIO_SEED=n` with
-//! this seed in place of their own, and `SCENARIO_FOLDER=folder` those of another folder.
-//! `SCENARIO_TRACE=folder` writes the ordered events of each play there; two plays of one seed
-//! give the same, so that `cmp` or `diff` finds what reached a play from outside.
+//! `SCENARIO=text` runs only the scenarios whose names contain the text, `SCENARIO_SEED=n`
+//! replaces the seeds of the scenario files, and `SCENARIO_FOLDER=folder` runs the scenarios of
+//! another folder. `SCENARIO_TRACE=folder` writes the ordered events of each run to that folder.
+//! Two runs with the same seed give the same events; `cmp` or `diff` shows where a run depends on
+//! anything outside the simulation.
 //!
-//! `SCENARIO_FIGURES=file` writes what each scenario measured to that file, one line a
-//! scenario. The clock is paused and the seeds are fixed, so that a change of the code
-//! which is to change no behaviour gives the same lines as the code before it.
+//! `SCENARIO_FIGURES=file` writes the measurements of each scenario to that file, one line per
+//! scenario. The clock is simulated and the seeds are fixed, so that a change of the code that
+//! does not change behaviour leaves these lines unchanged.
 
 use std::{
     fs,
@@ -18,13 +19,13 @@
 
 use simulator::scenario::{Measured, Scenario};
 
-/// The scenario's name: its file's name without the extension.
+/// Returns the scenario's name: its file name without the extension.
 fn name_of(path: &Path) -> String {
-    let stem = path.file_stem().expect("a scenario's file has a name");
+    let stem = path.file_stem().expect("a scenario file must have a name");
     stem.to_string_lossy().into_owned()
 }
 
-/// All scenarios, or those whose names contain the value of `SCENARIO`.
+/// Returns the files of all scenarios, or of those whose names contain the value of `SCENARIO`.
 fn scenario_files() -> Vec<PathBuf> {
     let folder = std::env::var_os("SCENARIO_FOLDER").map_or_else(
         || Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios"),
@@ -32,8 +33,8 @@
     );
     let only = std::env::var("SCENARIO").ok();
     let mut files: Vec<PathBuf> = fs::read_dir(folder)
-        .expect("the scenarios' folder")
-        .map(|entry| entry.expect("an entry").path())
+        .expect("the scenario folder must be readable")
+        .map(|entry| entry.expect("the directory entry must be readable").path())
         .filter(|path| path.extension().is_some_and(|extension| extension == "txt"))
         .filter(|path| {
             only.as_ref()
@@ -44,18 +45,18 @@
     files
 }
 
-/// Plays a scenario as the environment asks for.
-fn play(name: &str, text: &str) -> Measured {
+/// Runs a scenario with the seed and the trace output that the environment variables select.
+fn run_scenario(name: &str, text: &str) -> Measured {
     let mut scenario = Scenario::parse(text);
     if let Ok(seed) = std::env::var("SCENARIO_SEED") {
-        scenario = scenario.with_seed(seed.parse().expect("a seed is a number"));
+        scenario = scenario.with_seed(seed.parse().expect("SCENARIO_SEED must be a number"));
     }
     let Some(folder) = std::env::var_os("SCENARIO_TRACE") else {
         return scenario.measure();
     };
     let (measured, trace) = scenario.measure_traced();
     let path = PathBuf::from(folder).join(format!("{name}.trace"));
-    fs::write(path, trace.events().join("\n") + "\n").expect("the events are written");
+    fs::write(path, trace.events().join("\n") + "\n").expect("the trace file must be writable");
     println!("{name}: digest {:016x}", trace.digest());
     measured
 }
@@ -80,19 +81,19 @@
     let running: Vec<_> = files
         .into_iter()
         .map(|path| {
-            let text = fs::read_to_string(&path).expect("a scenario");
+            let text = fs::read_to_string(&path).expect("the scenario file must be readable");
             let name = name_of(&path);
-            let played = {
+            let run = {
                 let name = name.clone();
-                thread::spawn(move || play(&name, &text))
+                thread::spawn(move || run_scenario(&name, &text))
             };
-            (name, played)
+            (name, run)
         })
         .collect();
     let mut failed = 0;
     let mut figures = String::new();
-    for (name, played) in running {
-        let violations = match played.join() {
+    for (name, run) in running {
+        let violations = match run.join() {
             Ok(measured) => {
                 figures += &format!("{name}: {measured}\n");
                 measured.wrong
@@ -103,7 +104,7 @@
         failed += usize::from(!violations.is_empty());
     }
     if let Some(path) = std::env::var_os("SCENARIO_FIGURES") {
-        fs::write(path, figures).expect("the figures are written");
+        fs::write(path, figures).expect("the figures file must be writable");
     }
     assert_eq!(failed, 0, "scenarios that fail");
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,5 @@
-//! The platform's settings: what is unknown is ignored, what is wrong is named.
+//! Tests of the settings files: unknown fields are ignored, and each error or warning names the
+//! field that is wrong.
 
 use std::time::Duration;
 
@@ -29,10 +30,10 @@
     assert_eq!(config.teams[0].limit.cpus, 8.0);
 }
 
-/// A team that the platform gives no limit (zero) may use what there is. Read as "may use
-/// nothing", all of its jobs were refused for good.
+/// A limit of zero means that the team has no limit and may use all capacity. When it was read as
+/// "may use nothing", all jobs of the team were rejected permanently.
 #[test]
-fn a_limit_of_zero_is_none() {
+fn a_limit_of_zero_is_no_limit() {
     let text = EXAMPLE.replace(
         "\"cpus\": 4.0, \"cpus_max\": 8.0",
         "\"cpus\": 0, \"cpus_max\": 0",
@@ -50,8 +51,8 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
-    for (from, to, names) in [
+fn errors_name_the_field() {
+    for (from, to, field) in [
         ("\"lease_s\": 20.0", "\"lease_s\": -1", "lease_s"),
         ("\"lease_s\": 20.0", "\"lease_s\": 48.0", "cancel_s"),
         ("\"cpus\": 4.0", "\"cpus\": -4.0", "cpus"),
@@ -61,14 +62,16 @@
         ("\"area\": \"a\",", "", "area"),
     ] {
         let error = Settings::parse(&EXAMPLE.replace(from, to)).expect_err(to);
-        assert!(error.to_string().contains(names), "{error}");
+        assert!(error.to_string().contains(field), "{error}");
     }
 }
 
-/// A mistake: what of the example is replaced, by what, and the text that operators see.
+/// A mistake in the settings file.
 struct Mistake {
+    /// The text of the example that is replaced.
     from: &'static str,
     to: &'static str,
+    /// The error message that operators see.
     expected: &'static str,
 }
 
@@ -161,16 +164,20 @@
     EXAMPLE.replace("\"txn_ops\": 32", &state)
 }
 
-/// Limits to come: from the start nothing is sent that they would refuse.
+/// The smaller of the current and the announced next limit applies from the start, so that the
+/// state service rejects nothing once the next limits are in force.
 #[test]
-fn the_smaller_of_both_limits_holds() {
+fn the_smaller_of_the_current_and_next_limits_applies() {
     let state = |text: &str| {
         let settings = Settings::parse(text).expect("valid");
         settings.config(Incarnation(1), Tuning::default()).state
     };
-    let plain = state(EXAMPLE);
-    assert_eq!((plain.txn_ops, plain.value_bytes), (32, 8192));
-    assert_eq!((plain.next_rps, plain.next_write_rps), (200.0, 80.0));
+    let without_next = state(EXAMPLE);
+    assert_eq!((without_next.txn_ops, without_next.value_bytes), (32, 8192));
+    assert_eq!(
+        (without_next.next_rps, without_next.next_write_rps),
+        (200.0, 80.0)
+    );
     let lowered = state(&with_next(
         r#"{"write_rps": 35.0, "value_kb": 2.0, "txn_ops": 5}"#,
     ));
@@ -186,11 +193,11 @@
     assert_eq!(state(&with_next("{}")).txn_ops, 32);
 }
 
-/// A mistake in limits that are announced for later is named, and keeps no process from
-/// starting: it serves as well as it can.
+/// A mistake in the announced next limits is reported as a warning that names the field. The
+/// process still starts and uses what is valid.
 #[test]
-fn limits_to_come_that_cannot_be_used_are_named() {
-    for (next, names) in [
+fn invalid_next_limits_are_reported_as_warnings() {
+    for (next, expected) in [
         (r#"{"txn_ops": 3}"#, "state.next txn_ops"),
         (r#"{"value_kb": 1.9}"#, "state.next value_kb"),
         (r#"{"write_rps": 0}"#, "state.next write_rps"),
@@ -202,7 +209,7 @@
         let settings = Settings::parse(&with_next(next)).expect(next);
         let warnings = settings.warnings();
         assert_eq!(warnings.len(), 1, "{next}: {warnings:?}");
-        assert!(warnings[0].to_string().contains(names), "{warnings:?}");
+        assert!(warnings[0].to_string().contains(expected), "{warnings:?}");
     }
     for next in ["null", "{}", r#"{"txn_ops": null, "other": "x"}"#] {
         let settings = Settings::parse(&with_next(next)).expect(next);
@@ -211,7 +218,7 @@
 }
 
 #[test]
-fn unusable_limits_to_come_count_as_the_least_or_not_at_all() {
+fn invalid_next_limits_are_raised_to_the_minimum_or_ignored() {
     let state = |next: &str| {
         let settings = Settings::parse(&with_next(next)).expect(next);
         settings.config(Incarnation(1), Tuning::default()).state
@@ -225,12 +232,13 @@
     assert_eq!(state(r#"{"txn_ops": 5.0}"#).txn_ops, 5);
 }
 
-/// Impossible limits are named, and keep no process from starting.
+/// Impossible limits of teams are reported as warnings; the process still starts.
 #[test]
-fn impossible_limits_of_teams_are_named() {
+fn impossible_team_limits_are_reported_as_warnings() {
     let mut settings: serde_json::Value = serde_json::from_str(EXAMPLE).expect("JSON");
-    let teams = |settings: &serde_json::Value| {
-        let settings = Settings::parse(&settings.to_string()).expect("a process starts");
+    let warnings = |settings: &serde_json::Value| {
+        let settings = Settings::parse(&settings.to_string())
+            .expect("impossible team limits must not be an error");
         settings.warnings()
     };
     let team = |name: &str, cpus: f64, cpus_max: f64| {
@@ -238,19 +246,19 @@
             "gpus": 0.0, "gpus_max": 0.0})
     };
     let list = &mut settings["settings"]["teams"];
-    // A limit of zero is no limit.
+    // A limit of zero means no limit.
     *list = serde_json::json!([team("one", 64.0, 0.0), team("two", 8.0, 8.0)]);
-    assert_eq!(teams(&settings), []);
+    assert_eq!(warnings(&settings), []);
     let list = &mut settings["settings"]["teams"];
     *list = serde_json::json!([team("one", 64.0, 60.0), team("two", 8.0, 9.0)]);
-    let found = teams(&settings);
+    let found = warnings(&settings);
     assert!(
         found.len() == 1 && found[0].to_string().contains("one: cpus guarantees 64"),
         "{found:?}"
     );
     let list = &mut settings["settings"]["teams"];
     *list = serde_json::json!([team("one", 1.0, 60.0), team("one", 8.0, 9.0)]);
-    let found = teams(&settings);
+    let found = warnings(&settings);
     assert!(
         found.len() == 1 && found[0].to_string().contains("one: stands twice"),
         "{found:?}"
@@ -259,14 +267,14 @@
         .map(|n| team(&format!("team-{n}"), 1.0, 9.0))
         .collect();
     settings["settings"]["teams"] = many.into();
-    let found = teams(&settings);
+    let found = warnings(&settings);
     assert!(
         found.len() == 1 && found[0].to_string().contains("value_kb"),
         "{found:?}"
     );
 }
 
-/// The example that the README tells newcomers to try.
+/// Checks the example settings that the README recommends for a first trial.
 #[test]
 fn the_shipped_example_is_valid() {
     let settings = Settings::parse(include_str!("../deploy/example-settings.json"));
@@ -276,10 +284,10 @@
     assert_eq!((state.txn_ops, state.next_write_rps), (8, 30.0));
 }
 
-/// Transfers of quota are off unless the operators' file turns them on, and a process
-/// says that it takes part only then.
+/// Quota transfers are off unless the operators' file enables them, and only then does a process
+/// report the protocol version that includes them.
 #[test]
-fn quota_transfers_are_turned_on_by_the_shipped_file() {
+fn quota_transfers_are_enabled_by_the_shipped_file() {
     let off = operator::parse("").expect("valid");
     assert!(!off.quota_transfers);
     assert_eq!(off.protocol_version(), ProtocolVersion::CURRENT);
--- a/tests/state_cache.rs
+++ b/tests/state_cache.rs
@@ -1,4 +1,4 @@
-//! The replica's answers on gangs and on cancellations told by peers.
+//! Tests of the state cache: attempts of gangs, and cancellations reported by peers.
 
 use serde_json::{Value, json};
 use stallcove::storage::*;
@@ -15,11 +15,12 @@
         "accepted_ms": 0})
 }
 
-fn on(machine: &str, attempt: u64) -> Value {
+fn placement(machine: &str, attempt: u64) -> Value {
     json!({"a": attempt, "m": machine, "s": 1})
 }
 
-/// A gang of three with this run record; only vm-1 and vm-2 are ours to pay for.
+/// Returns a cache with a gang of three tasks with this run record. Only vm-1 and vm-2 exist: a
+/// task on any other machine is lost.
 fn gang(run: Value) -> StateCache {
     let mut cache = StateCache::default();
     let machines = json!({"vm-1": null, "vm-2": null});
@@ -30,43 +31,59 @@
     cache
 }
 
-/// Guards against tasks of a gang that get different attempts and never find each
-/// other: some had ended with one, others had never been placed.
+/// Guards against tasks of a gang that get different attempts and therefore never find each
+/// other: some tasks had ended an attempt, others had never been placed.
 #[test]
-fn all_tasks_of_a_gang_take_one_attempt() {
-    for (run, joins, attempt) in [
+fn all_tasks_of_a_gang_get_the_same_attempt() {
+    for (run, may_join, attempt) in [
         (json!({}), true, 1),
-        // A part waits for one that found no room.
-        (json!({"p": {"0": on("vm-1", 4)}}), true, 4),
-        (json!({"p": {"0": on("vm-1", 4)}, "w": {"1": 3}}), true, 4),
-        // A mate of this attempt has ended, or is lost: all leave first.
-        (json!({"p": {"0": on("vm-1", 4)}, "w": {"1": 4}}), false, 4),
+        // The placed tasks wait for others that have not been placed for lack of capacity.
+        (json!({"p": {"0": placement("vm-1", 4)}}), true, 4),
         (
-            json!({"p": {"0": on("vm-1", 4), "1": on("vm-9", 4)}}),
+            json!({"p": {"0": placement("vm-1", 4)}, "w": {"1": 3}}),
+            true,
+            4,
+        ),
+        // A task of this attempt has ended or is lost: the other tasks must stop first.
+        (
+            json!({"p": {"0": placement("vm-1", 4)}, "w": {"1": 4}}),
             false,
             4,
         ),
-        // Nothing is there any more: above all that any task has had.
+        (
+            json!({"p": {"0": placement("vm-1", 4), "1": placement("vm-9", 4)}}),
+            false,
+            4,
+        ),
+        // No task is left on an existing machine: the next attempt is above all earlier ones.
         (json!({"w": {"0": 2, "1": 5}}), true, 6),
-        (json!({"p": {"1": on("vm-9", 7)}, "w": {"0": 2}}), true, 8),
+        (
+            json!({"p": {"1": placement("vm-9", 7)}, "w": {"0": 2}}),
+            true,
+            8,
+        ),
     ] {
         let cache = gang(run.clone());
         let job = &cache.jobs[&id(1)];
-        assert_eq!(job.may_join(), joins, "{run}");
+        assert_eq!(job.may_join(), may_join, "{run}");
         assert_eq!(job.gang_attempt(), Attempt(attempt), "{run}");
     }
 }
 
-/// A peer's word stops the tasks of jobs that we know, until the watch has brought
-/// what the peer had seen.
+/// A cancellation reported by a peer applies to the jobs in the cache until the watch has reached
+/// the revision that the peer had seen.
 #[test]
-fn what_peers_say_is_cancelled_holds_until_it_is_read() {
-    let mut cache = gang(json!({"p": {"0": on("vm-1", 1)}}));
+fn cancellations_of_peers_apply_until_the_watch_reaches_them() {
+    let mut cache = gang(json!({"p": {"0": placement("vm-1", 1)}}));
     cache.advance(Revision(5));
     assert_eq!(cache.note_cancelled(vec![id(1), id(2)], Revision(9)), 1);
     assert!(cache.is_cancelled(&id(1)) && !cache.is_cancelled(&id(2)));
-    assert_eq!(cache.note_cancelled(vec![id(1)], Revision(9)), 0, "known");
-    // It is passed on to others that ask.
+    assert_eq!(
+        cache.note_cancelled(vec![id(1)], Revision(9)),
+        0,
+        "already noted"
+    );
+    // It is included in the answers to other peers.
     assert_eq!(cache.cancelled_since(Revision(5)), vec![id(1)]);
     cache.advance(Revision(8));
     assert!(cache.is_cancelled(&id(1)));
@@ -76,6 +93,6 @@
     assert_eq!(cache.peer_cancelled().count(), 0);
     assert_eq!(cache.cancelled_since(Revision(8)), vec![id(1)]);
     assert!(cache.cancelled_since(Revision(9)).is_empty());
-    // Words that are older than what we have read say nothing.
+    // A report from an older revision than that of the cache is ignored.
     assert_eq!(cache.note_cancelled(vec![id(1)], Revision(7)), 0);
 }
