--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -46,7 +46,7 @@
 }
 
 /// Runs a scenario with the seed and the trace output that the environment variables select.
-fn run_scenario(name: &str, text: &str) -> Measured {
+fn run_scenario(name: &str, text: &str) -> Measurements {
     let mut scenario = Scenario::parse(text);
     if let Ok(seed) = std::env::var("SCENARIO_SEED") {
         scenario = scenario.with_seed(seed.parse().expect("SCENARIO_SEED must be a number"));
