--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -252,7 +252,7 @@
     runtime.shutdown_background();
 }
 
-/// Runs the controller's duties and its two servers until it is stopped.
+/// Runs the controller's background tasks and its two servers until it is stopped.
 async fn serve_controller(
     controller: &Arc<Controller>,
     public: SocketAddr,
@@ -262,17 +262,17 @@
 ) {
     let public = TcpListener::bind(public).await.expect("a free port");
     let private = TcpListener::bind(private).await.expect("a free port");
-    let mut duties = JoinSet::new();
-    controller.start(&mut duties);
+    let mut background_tasks = JoinSet::new();
+    controller.start(&mut background_tasks);
     let router = server::router(controller.clone(), sockets.clone());
-    duties.spawn({
+    background_tasks.spawn({
         let (sockets, stop) = (sockets.clone(), stop.clone());
         async move {
             server::serve(router, public, sockets, stop).await;
             "server"
         }
     });
-    duties.spawn({
+    background_tasks.spawn({
         let (controller, sockets, stop) = (controller.clone(), sockets.clone(), stop.clone());
         async move {
             peer_connections::serve(controller, private, sockets, stop).await;
@@ -280,7 +280,7 @@
         }
     });
     stop.cancelled().await;
-    duties.abort_all();
+    background_tasks.abort_all();
 }
 
 /// What a service answers to one controller.
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -68,7 +68,7 @@
     controller: Arc<Controller>,
     router: Router,
     stop: CancellationToken,
-    duties: JoinSet<&'static str>,
+    background_tasks: JoinSet<&'static str>,
     incarnation: u64,
     /// With real sockets: its thread.
     process: Option<Process>,
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -133,7 +133,7 @@
             objectives: Vec::new(),
             heartbeat_interval: self.heartbeat,
             agent_lease: self.lease,
-            cancel: self.cancel,
+            cancellation_deadline: self.cancel,
             state_limits: self.state_limits_for(version),
             cloud_rps: CLOUD_RPS,
             max_inventory_lag: LIST_LAG,
@@ -141,7 +141,9 @@
             max_tracked_machines: MACHINES_TRACKED,
             tuning: version.tuning(&self.tuning),
             protocol_version: version.protocol_version(&self.tuning),
-            wall: Arc::new(move || SystemTime::UNIX_EPOCH + WALL_CLOCK_START + start.elapsed()),
+            wall_clock: Arc::new(move || {
+                SystemTime::UNIX_EPOCH + WALL_CLOCK_START + start.elapsed()
+            }),
         }
     }
 
@@ -176,7 +178,7 @@
             router: controller_router(&controller),
             controller,
             stop: CancellationToken::new(),
-            duties: JoinSet::new(),
+            background_tasks: JoinSet::new(),
             incarnation,
             process: Some(process),
         }
@@ -201,13 +203,13 @@
         let stop = CancellationToken::new();
         let clients = network_clients::clients(network, addresses);
         let controller = Controller::new(config, clients, stop.clone());
-        let mut duties = JoinSet::new();
-        controller.start(&mut duties);
+        let mut background_tasks = JoinSet::new();
+        controller.start(&mut background_tasks);
         ControllerProcess {
             router: controller_router(&controller),
             controller,
             stop,
-            duties,
+            background_tasks,
             incarnation,
             process: None,
         }
@@ -273,7 +275,7 @@
         let Some(mut running) = running else {
             return;
         };
-        running.duties.abort_all();
+        running.background_tasks.abort_all();
         running.stop.cancel();
         let ended = running.process.map(Process::kill);
         let mut controllers = self.controllers.lock().expect("controllers");
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -197,7 +197,7 @@
                     answer = tokio::time::timeout(at_once, sending.as_mut()).await;
                 }
             }
-            answer.unwrap_or_else(|_| Err(SendError::NoAnswer("timed out".into())))
+            answer.unwrap_or_else(|_| Err(SendError::NoResponse("timed out".into())))
         }
         .boxed()
     }
@@ -240,15 +240,15 @@
                         self.simulation
                             .record(Event::UnreadableMessage(address.to_owned()));
                     }
-                    return Err(SendError::NoAnswer("closed".into()));
+                    return Err(SendError::NoResponse("closed".into()));
                 }
                 let answer = peer_connections::handle_frame(&controller, &frame).await;
                 tokio::time::sleep(jitter::millis(1, 3)).await;
-                answer.ok_or_else(|| SendError::NoAnswer("closed".into()))
+                answer.ok_or_else(|| SendError::NoResponse("closed".into()))
             };
             tokio::time::timeout(timeout, exchange)
                 .await
-                .unwrap_or_else(|_| Err(SendError::NoAnswer("timed out".into())))
+                .unwrap_or_else(|_| Err(SendError::NoResponse("timed out".into())))
         }
         .boxed()
     }
--- a/src/coordination/clients/agents.rs
+++ b/src/coordination/clients/agents.rs
@@ -4,7 +4,7 @@
 
 use futures::future::BoxFuture;
 
-use super::NoAnswer;
+use super::NoResponse;
 use crate::storage::{
     AgentEpoch, Attempt, ControllerName, MachineId, TaskId, Token, TypeName, ZoneName,
 };
@@ -140,8 +140,8 @@
         token: Token,
         epoch: AgentEpoch,
         commands: &'a [Command],
-    ) -> BoxFuture<'a, Result<CommandResponse, NoAnswer>>;
+    ) -> BoxFuture<'a, Result<CommandResponse, NoResponse>>;
 
     /// Returns the current status of the agent at this address.
-    fn inspect<'a>(&'a self, address: &'a str) -> BoxFuture<'a, Result<Heartbeat, NoAnswer>>;
+    fn inspect<'a>(&'a self, address: &'a str) -> BoxFuture<'a, Result<Heartbeat, NoResponse>>;
 }
--- a/src/coordination/clients/cloud.rs
+++ b/src/coordination/clients/cloud.rs
@@ -13,11 +13,11 @@
     #[error("no capacity")]
     NoCapacity,
     /// The cloud does not serve requests now, or its request limit is exceeded.
-    #[error("refused: not executed")]
+    #[error("refused: request not executed")]
     Unavailable,
     /// No response arrived; the request may have been executed.
-    #[error("no answer: perhaps executed")]
-    NoAnswer,
+    #[error("no answer: request may have been executed")]
+    NoResponse,
     /// The request is invalid and can never be served; with the reason.
     #[error("rejected: {0}")]
     Rejected(String),
--- a/src/coordination/clients/mod.rs
+++ b/src/coordination/clients/mod.rs
@@ -21,4 +21,4 @@
 /// reason for the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no answer: {0}")]
-pub struct NoAnswer(pub String);
+pub struct NoResponse(pub String);
--- a/src/coordination/clients/peers.rs
+++ b/src/coordination/clients/peers.rs
@@ -5,7 +5,7 @@
 use futures::future::BoxFuture;
 use quota::Refusal;
 
-use super::{NoAnswer, ProtocolVersion};
+use super::{NoResponse, ProtocolVersion};
 use crate::storage::{
     AgentEpoch, ControllerName, ImageName, Incarnation, JobId, MachineId, Quota, Resources,
     Revision, TaskId, TeamName, TypeName, ZoneName,
@@ -170,5 +170,5 @@
         &'a self,
         controller: &'a ControllerName,
         request: PeerRequest,
-    ) -> BoxFuture<'a, Result<PeerResponse, NoAnswer>>;
+    ) -> BoxFuture<'a, Result<PeerResponse, NoResponse>>;
 }
--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -108,7 +108,7 @@
     /// Time after which an agent's lease expires without renewal. The agent then stops its tasks.
     pub agent_lease: Duration,
     /// Maximum time from the cancellation of a job to the end of its last task.
-    pub cancel: Duration,
+    pub cancellation_deadline: Duration,
     /// Limits of the state service on requests, transactions and values.
     pub state_limits: StateLimits,
     /// Maximum number of requests per second to the cloud.
@@ -125,7 +125,7 @@
     /// Protocol version that this process announces to its peers.
     pub protocol_version: ProtocolVersion,
     /// Source of the wall-clock time; simulations replace it.
-    pub wall: Arc<dyn Fn() -> SystemTime + Send + Sync>,
+    pub wall_clock: Arc<dyn Fn() -> SystemTime + Send + Sync>,
 }
 
 /// Number of tracked machines per MiB of memory. At about 2 KiB per machine they take at most
@@ -145,8 +145,8 @@
     ((memory * TRACKED_MACHINES_PER_MIB) as usize).clamp(MIN_TRACKED_MACHINES, MAX_TRACKED_MACHINES)
 }
 
-/// Part of [`Config::cancel`] reserved for clock drift, timer delays and the latency of a
-/// response.
+/// Part of [`Config::cancellation_deadline`] reserved for clock drift, timer delays and the latency
+/// of a response.
 const CANCEL_MARGIN: Duration = Duration::from_secs(3);
 
 impl Tuning {
@@ -168,7 +168,7 @@
 
     /// Returns the wall-clock time in milliseconds since 1970.
     pub fn now_ms(&self) -> u64 {
-        (self.wall)()
+        (self.wall_clock)()
             .duration_since(SystemTime::UNIX_EPOCH)
             .map_or(0, |since| since.as_millis() as u64)
     }
@@ -176,10 +176,10 @@
     /// Returns how long a controller may renew agents' leases after it last confirmed that it
     /// knows of all cancellations. An agent's lease runs from the time it sent the heartbeat,
     /// which is before the response, so it expires at most `agent_lease` after the last
-    /// response. `lease_renewal_window + agent_lease` is therefore below `cancel` by
+    /// response. `lease_renewal_window + agent_lease` is therefore below `cancellation_deadline` by
     /// `CANCEL_MARGIN`, which is many times the 0.05% drift of both clocks (under 0.1 s here).
     pub fn lease_renewal_window(&self) -> Duration {
-        self.cancel
+        self.cancellation_deadline
             .saturating_sub(self.agent_lease)
             .saturating_sub(CANCEL_MARGIN)
     }
--- a/src/coordination/context.rs
+++ b/src/coordination/context.rs
@@ -1,8 +1,8 @@
-//! State shared by all duties (long-running components) of a controller: the configuration, the
+//! State shared by all components of a controller: the configuration, the
 //! store, the clients of agents, cloud and peers, wake-up signals and the shutdown token. This
-//! module depends on none of the duties.
+//! module depends on none of the components.
 //!
-//! Lock order: the store's cache first, then the state of a duty.
+//! Lock order: the store's cache first, then the state of a component.
 
 use std::{sync::Mutex, time::Duration};
 
@@ -37,7 +37,7 @@
     pub peers: Box<dyn PeerClient>,
 }
 
-/// State shared by all duties of one controller.
+/// State shared by all components of one controller.
 pub struct Context {
     /// Configuration of the controller.
     pub config: Config,
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -1,4 +1,4 @@
-//! A controller: creates its duties and runs their background loops.
+//! A controller: creates its components and runs their background tasks.
 
 use std::{sync::Arc, time::Duration};
 
@@ -26,9 +26,9 @@
 /// Minimum length of a process pause that is logged.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// A controller with all its duties. Each duty owns its state; all share the context.
+/// A controller with all its components. Each component owns its state; all share the context.
 pub struct Controller {
-    /// State shared by all duties.
+    /// State shared by all components.
     pub context: Arc<Context>,
     /// Serves users' requests about jobs.
     pub jobs: JobService,
@@ -44,7 +44,7 @@
 }
 
 impl Controller {
-    /// Creates the duties; [`Self::start`] runs them.
+    /// Creates the components; [`Self::start`] runs their background tasks.
     pub fn new(config: Config, clients: Clients, shutdown: CancellationToken) -> Arc<Self> {
         let context = Arc::new(Context::new(config, clients, shutdown));
         let liveness = Arc::new(PeerLiveness::default());
@@ -82,55 +82,55 @@
         })
     }
 
-    /// Spawns the background loops of the duties. Each runs until the controller is stopped and
+    /// Spawns the background tasks of the components. Each runs until the controller is stopped and
     /// returns its name. The caller must end the process if one returns earlier.
-    pub fn start(self: &Arc<Self>, duties: &mut JoinSet<&'static str>) {
-        macro_rules! duty {
+    pub fn start(self: &Arc<Self>, background_tasks: &mut JoinSet<&'static str>) {
+        macro_rules! background_task {
             ($name:literal, $call:expr) => {{
                 let controller = self.clone();
-                duties.spawn(async move {
+                background_tasks.spawn(async move {
                     let run: fn(Arc<Controller>) -> _ = $call;
                     run(controller).await;
                     $name
                 });
             }};
         }
-        duty!("state watch", |controller| async move {
+        background_task!("state watch", |controller| async move {
             let context = &controller.context;
             context.store.watch(context.shutdown.clone()).await;
         });
-        duty!("read barriers", |controller| async move {
+        background_task!("read barriers", |controller| async move {
             let context = &controller.context;
             let shutdown = context.shutdown.clone();
             context.store.serve_read_barriers(shutdown).await;
         });
-        duty!("membership", |controller| async move {
+        background_task!("membership", |controller| async move {
             controller.membership.run().await;
         });
-        duty!("shard owner", |controller| async move {
+        background_task!("shard owner", |controller| async move {
             controller.owner.run().await;
         });
-        duty!("leader", |controller| async move {
+        background_task!("leader", |controller| async move {
             controller.leader.run().await;
         });
-        duty!("fleet manager", |controller| async move {
+        background_task!("fleet manager", |controller| async move {
             controller.leader.run_fleet_manager().await;
         });
-        duty!("peers", |controller| async move {
+        background_task!("peers", |controller| async move {
             controller.peer_exchange.run().await;
         });
-        duty!("counters", |controller| async move {
+        background_task!("counters", |controller| async move {
             controller.log_counters().await;
         });
-        duty!("process pause detector", |controller| async move {
+        background_task!("process pause detector", |controller| async move {
             controller.detect_process_pause().await;
         });
-        duty!("probes", |controller| async move {
+        background_task!("probes", |controller| async move {
             controller.owner.probe_unresponsive().await;
         });
     }
 
-    /// Duty: logs the counters every [`COUNTERS_INTERVAL`].
+    /// Background task: logs the counters every [`COUNTERS_INTERVAL`].
     async fn log_counters(&self) {
         while self.context.pause(COUNTERS_INTERVAL).await {
             let counts = self.context.store.take_counters();
@@ -173,9 +173,10 @@
         tracing::info!(given, refused, received, unserved, deficit_ms, "quota");
     }
 
-    /// Duty: logs process pauses, in which all threads were stopped while the clocks ran on.
-    /// It only logs them: messages of the time of the pause are not processed yet, so each duty
-    /// confirms with the state service that it still has its role before it decides anything.
+    /// Background task: logs process pauses, in which all threads were stopped while the clocks ran
+    /// on. It only logs them: messages of the time of the pause are not processed yet, so each
+    /// component confirms with the state service that it still has its role before it decides
+    /// anything.
     async fn detect_process_pause(&self) {
         let mut last_check = Instant::now();
         while self.context.pause(PAUSE_CHECK_INTERVAL).await {
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -13,7 +13,7 @@
     storage::Token,
 };
 
-/// The duty that responds to heartbeats.
+/// Responds to heartbeats.
 pub struct HeartbeatService {
     context: Arc<Context>,
     owner: Arc<ShardOwner>,
@@ -22,7 +22,7 @@
 }
 
 impl HeartbeatService {
-    /// Creates the duty, which has no state of its own.
+    /// Creates the service, which has no state of its own.
     pub(super) fn new(
         context: Arc<Context>,
         owner: Arc<ShardOwner>,
--- a/src/coordination/leader/cleanup.rs
+++ b/src/coordination/leader/cleanup.rs
@@ -30,11 +30,11 @@
 /// Maximum number of conditions in a commit, per operation that a commit may have.
 const CONDITIONS_PER_OPERATION: usize = 3;
 
-/// Identifies a run record by its job and the chunk of the job's tasks.
+/// Identifies a run record by its job and its index within the job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RunRecordId<'a> {
     job: &'a JobId,
-    chunk: u32,
+    record_index: u32,
 }
 
 impl Leader {
@@ -125,12 +125,12 @@
 /// Removes the records of a job whose outcome is written, over several passes if they exceed
 /// one commit.
 fn remove_job_records(id: &JobId, job: &Job, max_operations: usize) -> Transaction {
-    let max_chunks = max_operations - NON_RUN_RECORDS_PER_JOB;
+    let max_run_records = max_operations - NON_RUN_RECORDS_PER_JOB;
     let mut transaction = Transaction::default();
-    for chunk in job.chunks.keys().take(max_chunks) {
-        transaction = transaction.remove(keys::run(id, *chunk));
+    for record_index in job.run_records.keys().take(max_run_records) {
+        transaction = transaction.remove(keys::run(id, *record_index));
     }
-    if job.chunks.len() <= max_chunks {
+    if job.run_records.len() <= max_run_records {
         transaction = transaction.remove(keys::spec(id)).remove(keys::cleanup(id));
     }
     transaction
@@ -146,11 +146,11 @@
     let mut transaction = Transaction::default()
         .require(keys::outcome(id), Revision(0))
         .set(keys::outcome(id), &outcome);
-    if job.chunks.len() + NON_RUN_RECORDS_PER_JOB > max_operations {
+    if job.run_records.len() + NON_RUN_RECORDS_PER_JOB > max_operations {
         return transaction.set(keys::cleanup(id), &1);
     }
-    for chunk in job.chunks.keys() {
-        transaction = transaction.remove(keys::run(id, *chunk));
+    for record_index in job.run_records.keys() {
+        transaction = transaction.remove(keys::run(id, *record_index));
     }
     transaction.remove(keys::spec(id))
 }
@@ -176,7 +176,7 @@
         for task in load.tasks.keys() {
             let record = RunRecordId {
                 job: &task.job,
-                chunk: task.index / keys::CHUNK,
+                record_index: task.index / keys::TASKS_PER_RUN_RECORD,
             };
             lost.entry(record).or_default().push(task.index);
         }
@@ -194,7 +194,14 @@
     lost: BTreeMap<RunRecordId<'_>, Vec<u32>>,
     transactions: &mut Vec<Transaction>,
 ) {
-    for (RunRecordId { job: id, chunk }, tasks) in lost {
+    for (
+        RunRecordId {
+            job: id,
+            record_index,
+        },
+        tasks,
+    ) in lost
+    {
         if transactions.len() >= MAX_CLEANUP_TRANSACTIONS {
             return;
         }
@@ -204,8 +211,8 @@
         // The run records of a finished job are removed as a whole, possibly in this pass, and
         // no transaction may change a key twice.
         let Some(entry) = job
-            .chunks
-            .get(&chunk)
+            .run_records
+            .get(&record_index)
             .filter(|_| job.cleanup_since.is_none())
         else {
             continue;
@@ -215,7 +222,7 @@
         for task in tasks {
             record.unplace(task);
         }
-        let key = keys::run(id, chunk);
+        let key = keys::run(id, record_index);
         transactions.push(
             Transaction::default()
                 .require(key.clone(), entry.revision)
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -41,7 +41,7 @@
             return None;
         }
         let now = Instant::now();
-        let wall_time = (self.context.config.wall)();
+        let wall_time = (self.context.config.wall_clock)();
         let estimator = lock(&self.context.estimator);
         let mut state = lock(&self.state);
         let failing = state.failing_jobs();
--- a/src/coordination/leader/fleet/autoscaler.rs
+++ b/src/coordination/leader/fleet/autoscaler.rs
@@ -75,8 +75,8 @@
             ..
         } = state;
         let refused_targets = fleet.refused_targets.clone();
-        let wall = (self.context.config.wall)();
-        let options = ProvisioningOptions::new(cache, &refused_targets, tuning, now, wall);
+        let wall_time = (self.context.config.wall_clock)();
+        let options = ProvisioningOptions::new(cache, &refused_targets, tuning, now, wall_time);
         observe_miss_rate(miss_rate, &options, unplaced, tuning);
         // The last routing pass could not use machines that were booting then. Those that have
         // come up since still have room for the tasks that it left unplaced, and are therefore
@@ -121,7 +121,7 @@
     miss_rate.observe(
         options.cache,
         options.now(),
-        options.wall(),
+        options.wall_time(),
         tuning.start_target,
         tuning.miss_rate_window,
         |spec| {
--- a/src/coordination/leader/fleet/eviction.rs
+++ b/src/coordination/leader/fleet/eviction.rs
@@ -196,7 +196,7 @@
     /// not depend on a zone or on the job's other replicas, and the job has reached
     /// [`MIN_AGE_TO_MOVE`].
     fn may_move_replica(&self, spec: &JobSpec) -> bool {
-        let now = (self.context.config.wall)();
+        let now = (self.context.config.wall_clock)();
         let is_spread = spec.spread && spec.tasks > 1;
         !is_spread && !spec.one_zone && spec.age(now) >= MIN_AGE_TO_MOVE
     }
--- a/src/coordination/leader/fleet/provisioning_options/demand.rs
+++ b/src/coordination/leader/fleet/provisioning_options/demand.rs
@@ -64,7 +64,7 @@
         let job = self.cache.jobs.get(&waiting.job)?;
         let spec = job.spec()?;
         let constraint = zone_usage::job_constraint(self.cache, job);
-        let may_wait_for_spot = job.present() > 0 || spec.age(self.wall) < SPOT_ONLY_PERIOD;
+        let may_wait_for_spot = job.present() > 0 || spec.age(self.wall_time) < SPOT_ONLY_PERIOD;
         let spot_only = spec.is_idle_work() && spec.spot && may_wait_for_spot;
         if spec.assigned_zone.is_none() || job.present() > 0 {
             return Some(JobDemand {
--- a/src/coordination/leader/fleet/provisioning_options/mod.rs
+++ b/src/coordination/leader/fleet/provisioning_options/mod.rs
@@ -37,7 +37,7 @@
     /// The weight of cost against time (paper, section 5.2).
     suitability_k: f64,
     /// The wall-clock time, from which the age of jobs is calculated.
-    wall: SystemTime,
+    wall_time: SystemTime,
     /// The minimum period for which a machine is paid.
     first_paid_period: Duration,
     /// Number of machines in each zone, counted once: counting them for each waiting job took
@@ -55,13 +55,14 @@
 }
 
 impl<'a> ProvisioningOptions<'a> {
-    /// Creates a view of the state at `now`, with the same moment as wall-clock time in `wall`.
+    /// Creates a view of the state at `now`, with the same moment as wall-clock time in
+    /// `wall_time`.
     pub fn new(
         cache: &'a StateCache,
         refused_targets: &'a BTreeMap<ProvisionTarget, CapacityRefusal>,
         tuning: &Tuning,
         now: Instant,
-        wall: SystemTime,
+        wall_time: SystemTime,
     ) -> Self {
         let mut machines_by_zone: BTreeMap<&ZoneName, usize> = BTreeMap::new();
         for machine in cache.machines.values() {
@@ -72,7 +73,7 @@
             refused_targets,
             now,
             suitability_k: tuning.suitability_k,
-            wall,
+            wall_time,
             first_paid_period: tuning.paid_periods.first,
             machines_by_zone,
         }
@@ -84,8 +85,8 @@
     }
 
     /// Returns the wall-clock time at which the view was created.
-    pub(super) fn wall(&self) -> SystemTime {
-        self.wall
+    pub(super) fn wall_time(&self) -> SystemTime {
+        self.wall_time
     }
 
     fn machine_count(&self, zone: &ZoneName) -> usize {
--- a/src/coordination/leader/miss_rate.rs
+++ b/src/coordination/leader/miss_rate.rs
@@ -129,7 +129,7 @@
         &mut self,
         cache: &StateCache,
         now: Instant,
-        wall: SystemTime,
+        wall_time: SystemTime,
         start_target: Duration,
         window: Duration,
         pool_for: impl Fn(&Arc<JobSpec>) -> Option<Pool>,
@@ -145,7 +145,7 @@
             }
             let before = self.progress_before(id, current);
             let EvaluatedTasks { tasks, missed } =
-                self.evaluate_targets(id, spec, before, current, wall, start_target);
+                self.evaluate_targets(id, spec, before, current, wall_time, start_target);
             if tasks > 0 {
                 *evaluated.entry((pool_for(spec), missed)).or_default() += tasks;
             }
@@ -192,13 +192,13 @@
         spec: &JobSpec,
         before: Progress,
         current: Progress,
-        wall: SystemTime,
+        wall_time: SystemTime,
         start_target: Duration,
     ) -> EvaluatedTasks {
         match spec.deadline {
             Some(deadline) => EvaluatedTasks {
                 tasks: current.done.saturating_sub(before.done),
-                missed: spec.age(wall) > deadline && self.starved_for(id) > MIN_STARVATION,
+                missed: spec.age(wall_time) > deadline && self.starved_for(id) > MIN_STARVATION,
             },
             None => EvaluatedTasks {
                 tasks: current.started.saturating_sub(before.started),
--- a/src/coordination/leader/routing/records.rs
+++ b/src/coordination/leader/routing/records.rs
@@ -22,7 +22,7 @@
     /// been offered tasks of it.
     pub(super) fn writers(&self, id: &JobId, job: &Job, record: u32) -> Vec<usize> {
         let mut controllers: BTreeSet<&ControllerName> = BTreeSet::new();
-        if let Some(entry) = job.chunks.get(&record) {
+        if let Some(entry) = job.run_records.get(&record) {
             for placement in entry.value.placed.values() {
                 if let Some((_, shard)) = self.cache.shard_of(&placement.machine) {
                     controllers.insert(&shard.value.controller);
@@ -30,7 +30,7 @@
             }
         }
         for (task, offered) in self.offered.get(id).into_iter().flatten() {
-            if task / keys::CHUNK == record {
+            if task / keys::TASKS_PER_RUN_RECORD == record {
                 controllers.insert(&offered.controller);
             }
         }
@@ -47,7 +47,10 @@
     /// alternative forever.
     fn owner_with_expired_offers(&self, id: &JobId, job: &Job, tasks: &[u32]) -> Option<usize> {
         let expired = self.expired_offers.get(id)?;
-        let record = &job.chunks.get(&(tasks.first()? / keys::CHUNK))?.value;
+        let record = &job
+            .run_records
+            .get(&(tasks.first()? / keys::TASKS_PER_RUN_RECORD))?
+            .value;
         let is_retry = tasks
             .iter()
             .any(|task| record.last_attempts.contains_key(task));
@@ -66,7 +69,9 @@
         used: &mut QuotaUsage,
     ) -> Vec<TrialPlacement> {
         let mut placed = Vec::with_capacity(tasks.len());
-        for record_tasks in tasks.chunk_by(|a, b| a / keys::CHUNK == b / keys::CHUNK) {
+        for record_tasks in
+            tasks.chunk_by(|a, b| a / keys::TASKS_PER_RUN_RECORD == b / keys::TASKS_PER_RUN_RECORD)
+        {
             self.place_record(queued, record_tasks, used, &mut placed);
         }
         placed
@@ -82,7 +87,7 @@
     ) {
         let QueuedJob { id, spec, job, .. } = queued;
         let run_time_factor = (self.run_time_factor)(&spec.class);
-        let record = tasks[0] / keys::CHUNK;
+        let record = tasks[0] / keys::TASKS_PER_RUN_RECORD;
         let waits_for_writers = self.waits_for_writers(queued, record);
         let mut remaining = tasks;
         let mut writers = self.writers(id, job, record);
--- a/src/coordination/leader/routing/unplaced.rs
+++ b/src/coordination/leader/routing/unplaced.rs
@@ -92,7 +92,7 @@
             self.unplaceable.insert(PlacementRequirements::of(spec));
             return 0;
         }
-        let writers = self.writers(id, job, tasks[0] / keys::CHUNK);
+        let writers = self.writers(id, job, tasks[0] / keys::TASKS_PER_RUN_RECORD);
         self.add_owner_deficits(spec, tasks.len(), fits, &writers, used, result);
         // Earlier jobs in the queue are waiting for some of these CPUs.
         let unclaimed_cpus = (free_cpus - result.claimed_cpus).max(0.0);
--- a/src/coordination/leader/routing/zone_bound.rs
+++ b/src/coordination/leader/routing/zone_bound.rs
@@ -102,9 +102,11 @@
         let scope = self.scope(queued.spec);
         let mut parts = zone_usage::constrained_parts(self.cache, queued.job, scope, tasks);
         for (part, constraint) in &mut parts {
-            let record = part.first().map_or(0, |task| task / keys::CHUNK);
+            let record = part
+                .first()
+                .map_or(0, |task| task / keys::TASKS_PER_RUN_RECORD);
             self.count_offered(queued, constraint, |task| {
-                scope == ZoneScope::WholeJob || task / keys::CHUNK == record
+                scope == ZoneScope::WholeJob || task / keys::TASKS_PER_RUN_RECORD == record
             });
         }
         parts
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -21,7 +21,7 @@
 const MIN_INTERVAL_FACTOR: f64 = 0.8;
 const MAX_INTERVAL_FACTOR: f64 = 1.2;
 
-/// The duty that keeps this process registered and runs for leadership.
+/// Keeps this process registered and runs for leadership.
 pub(super) struct Membership {
     context: Arc<Context>,
     leader: Arc<Leader>,
@@ -32,7 +32,7 @@
         Self { context, leader }
     }
 
-    /// Duty: renews the lease, registers this process and runs for leadership.
+    /// Background task: renews the lease, registers this process and runs for leadership.
     pub(super) async fn run(&self) {
         let ttl = self.context.config.tuning.controller_lease;
         let mut lease: Option<LeaseId> = None;
--- a/src/coordination/owner/commands.rs
+++ b/src/coordination/owner/commands.rs
@@ -8,7 +8,7 @@
 use crate::{
     coordination::{
         agent_state::MessageSource,
-        clients::{Command, CommandResponse, NoAnswer},
+        clients::{Command, CommandResponse, NoResponse},
         context::lock,
     },
     storage::{AgentEpoch, MachineId, StateCache, Token},
@@ -109,7 +109,7 @@
     fn handle_command_response(
         &self,
         sent: &AddressedCommands,
-        response: Result<CommandResponse, NoAnswer>,
+        response: Result<CommandResponse, NoResponse>,
     ) {
         let AddressedCommands { machine, token, .. } = sent;
         let now = Instant::now();
--- a/src/coordination/owner/failing_jobs.rs
+++ b/src/coordination/owner/failing_jobs.rs
@@ -92,7 +92,7 @@
             let Some(job) = cache.jobs.get(id) else {
                 continue;
             };
-            let records = job.chunks.values().map(|entry| &entry.value);
+            let records = job.run_records.values().map(|entry| &entry.value);
             let ended: u64 = records
                 .flat_map(|record| record.last_attempts.values())
                 .map(|attempt| attempt.0)
--- a/src/coordination/owner/offered_jobs.rs
+++ b/src/coordination/owner/offered_jobs.rs
@@ -18,7 +18,9 @@
     pub(super) fn unplaced(&self, state: &OwnerState, changes: &PlannedChanges) -> Vec<u32> {
         let OfferedJob { id, spec, job } = *self;
         let is_changed = |task: u32| {
-            let change = changes.0.get(&(id.clone(), task / keys::CHUNK));
+            let change = changes
+                .0
+                .get(&(id.clone(), task / keys::TASKS_PER_RUN_RECORD));
             change.is_some_and(|change| {
                 let record = &change.record;
                 record.is_done(task) || record.placed.get(&task) != job.recorded_placement(task)
--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -311,7 +311,7 @@
 
 /// Whether a task is or was placed.
 fn was_placed_before(job: &Job, task: u32) -> bool {
-    let entry = job.chunks.get(&(task / keys::CHUNK));
+    let entry = job.run_records.get(&(task / keys::TASKS_PER_RUN_RECORD));
     entry.is_some_and(|entry| {
         entry.value.last_attempts.contains_key(&task) || entry.value.placed.contains_key(&task)
     })
--- a/src/coordination/owner/planned_changes.rs
+++ b/src/coordination/owner/planned_changes.rs
@@ -17,7 +17,7 @@
     /// The job.
     pub(super) id: JobId,
     /// Index of the run record within the job.
-    pub(super) chunk: u32,
+    pub(super) record_index: u32,
     /// The new content of the record.
     pub(super) record: RunRecord,
     /// Whether the change places tasks.
@@ -35,7 +35,8 @@
     pub(super) shared: bool,
     /// Whether the change completes the job.
     pub(super) finishes_job: bool,
-    /// Whether the job is idle work, see [`JobSpec::is_idle_work`](crate::storage::JobSpec::is_idle_work).
+    /// Whether the job is idle work, see
+    /// [`JobSpec::is_idle_work`](crate::storage::JobSpec::is_idle_work).
     pub(super) is_idle_work: bool,
     /// Starts to be sent once the change is committed.
     pub(super) starts: Vec<PlannedStart>,
@@ -79,14 +80,14 @@
         job: &state_cache::Job,
         task: u32,
     ) -> &mut RecordChange {
-        let chunk = task / keys::CHUNK;
-        let key = (id.clone(), chunk);
+        let record_index = task / keys::TASKS_PER_RUN_RECORD;
+        let key = (id.clone(), record_index);
         self.0.entry(key).or_insert_with(|| RecordChange {
             id: id.clone(),
-            chunk,
+            record_index,
             record: job
-                .chunks
-                .get(&chunk)
+                .run_records
+                .get(&record_index)
                 .map(|entry| entry.value.clone())
                 .unwrap_or_default(),
             has_placements: false,
--- a/src/coordination/owner/record_writes.rs
+++ b/src/coordination/owner/record_writes.rs
@@ -19,14 +19,15 @@
         let job = cache.jobs.get(&change.id)?;
         let spec = job.spec();
         change.is_idle_work = spec.is_some_and(|spec| spec.is_idle_work());
-        change.shared = self.is_shared(cache, job, change.chunk);
-        let key = keys::run(&change.id, change.chunk);
-        let mut part = Transaction::default().require(key.clone(), job.run_revision(change.chunk));
+        change.shared = self.is_shared(cache, job, change.record_index);
+        let key = keys::run(&change.id, change.record_index);
+        let mut part =
+            Transaction::default().require(key.clone(), job.run_revision(change.record_index));
         for (shard, revision) in &change.shards {
             part = part.require(keys::shard(*shard), *revision);
         }
         if let Some(spec) = spec
-            && spec.tasks <= keys::CHUNK
+            && spec.tasks <= keys::TASKS_PER_RUN_RECORD
             && change.record.done_count() >= spec.tasks
             && job.cleanup_since.is_none()
         {
@@ -42,8 +43,8 @@
 
     /// Whether tasks of this record are placed on a machine of another owner, who then writes
     /// the record as well.
-    fn is_shared(&self, cache: &StateCache, job: &Job, chunk: u32) -> bool {
-        let entry = job.chunks.get(&chunk);
+    fn is_shared(&self, cache: &StateCache, job: &Job, record_index: u32) -> bool {
+        let entry = job.run_records.get(&record_index);
         let placed = entry.iter().flat_map(|entry| entry.value.placed.values());
         let mut machines = placed.map(|placement| &placement.machine);
         machines.any(|machine| {
@@ -67,9 +68,12 @@
             .require(keys::outcome(&change.id), Revision(0))
             .require(keys::spec(&change.id), spec.revision);
         if depends_on_all_records(&spec.value, self.context.config.state_limits.txn_ops) {
-            for chunk in 0..spec.value.run_record_count() {
-                if chunk != change.chunk {
-                    part = part.require(keys::run(&change.id, chunk), job.run_revision(chunk));
+            for record_index in 0..spec.value.run_record_count() {
+                if record_index != change.record_index {
+                    part = part.require(
+                        keys::run(&change.id, record_index),
+                        job.run_revision(record_index),
+                    );
                 }
             }
         }
--- a/src/coordination/owner/results.rs
+++ b/src/coordination/owner/results.rs
@@ -180,7 +180,11 @@
             results: Vec::new(),
             unfinished: 0,
         };
-        for (index, placement) in job.chunks.values().flat_map(|entry| &entry.value.placed) {
+        for (index, placement) in job
+            .run_records
+            .values()
+            .flat_map(|entry| &entry.value.placed)
+        {
             let Some(agent) = agents.get(&placement.machine) else {
                 continue;
             };
--- a/src/coordination/owner/stops.rs
+++ b/src/coordination/owner/stops.rs
@@ -52,7 +52,10 @@
 
 /// Returns all placed tasks of a job.
 fn placed_tasks<'a>(id: &'a JobId, job: &'a Job) -> impl Iterator<Item = StopTarget<'a>> {
-    let placed = job.chunks.values().flat_map(|entry| &entry.value.placed);
+    let placed = job
+        .run_records
+        .values()
+        .flat_map(|entry| &entry.value.placed);
     placed.map(|(index, placement)| StopTarget {
         task: TaskId::new(id.clone(), *index),
         placement,
--- a/src/coordination/peer_exchange.rs
+++ b/src/coordination/peer_exchange.rs
@@ -28,7 +28,7 @@
 /// peer has to read them from the state service.
 const MAX_CANCELLATIONS_PER_RESPONSE: usize = 8_192;
 
-/// The duty that exchanges status with the peers and serves their requests.
+/// Exchanges status with the peers and serves their requests.
 pub struct PeerExchange {
     context: Arc<Context>,
     leader: Arc<Leader>,
@@ -39,7 +39,7 @@
 }
 
 impl PeerExchange {
-    /// Creates the duty, which has no state of its own.
+    /// Creates the exchange, which has no state of its own.
     pub(super) fn new(
         context: Arc<Context>,
         leader: Arc<Leader>,
@@ -90,7 +90,7 @@
             .is_some_and(|leader| leader.value.controller == *controller)
     }
 
-    /// Duty: exchanges status with every peer.
+    /// Background task: exchanges status with every peer.
     pub(super) async fn run(&self) {
         while self.context.pause(EXCHANGE_INTERVAL).await {
             self.exchange_status().await;
--- a/src/coordination/policy/zone_constraint.rs
+++ b/src/coordination/policy/zone_constraint.rs
@@ -73,8 +73,11 @@
 
     /// Returns the constraint of one run record without any placed task.
     pub fn of_record(spec: &JobSpec, record: u32) -> Self {
-        let first = record * keys::CHUNK;
-        let tasks = spec.tasks.saturating_sub(first).min(keys::CHUNK);
+        let first = record * keys::TASKS_PER_RUN_RECORD;
+        let tasks = spec
+            .tasks
+            .saturating_sub(first)
+            .min(keys::TASKS_PER_RUN_RECORD);
         Self {
             max_tasks_per_zone: spec.spread.then(|| half_rounded_up(tasks)),
             ..Self::of_job(spec)
--- a/src/coordination/policy/zone_constraint/tests.rs
+++ b/src/coordination/policy/zone_constraint/tests.rs
@@ -84,7 +84,7 @@
 fn only_jobs_of_many_records_are_placed_record_by_record() {
     let scope = |tasks, spread, changes| ZoneScope::of(&bound(tasks, spread, false), changes);
     // 5 changes allow 20 conditions: 16 run records and 4 others.
-    let most = 16 * keys::CHUNK;
+    let most = 16 * keys::TASKS_PER_RUN_RECORD;
     assert_eq!(scope(most, true, 5), ZoneScope::WholeJob);
     assert_eq!(scope(most + 1, true, 5), ZoneScope::PerRecord);
     assert_eq!(scope(most + 1, true, 16), ZoneScope::WholeJob);
--- a/src/coordination/zone_usage.rs
+++ b/src/coordination/zone_usage.rs
@@ -15,7 +15,7 @@
     };
     let mut constraint = ZoneConstraint::of_job(spec);
     confine_to_assigned_zone(&mut constraint, spec);
-    for entry in job.chunks.values() {
+    for entry in job.run_records.values() {
         count_placed_tasks(cache, &entry.value, &mut constraint);
     }
     constraint
@@ -52,8 +52,8 @@
             return Vec::new();
         };
         let mut exceeded = Vec::new();
-        for (record, entry) in &self.job.chunks {
-            if entry.value.placed.len() > keys::CHUNK as usize / 2 {
+        for (record, entry) in &self.job.run_records {
+            if entry.value.placed.len() > keys::TASKS_PER_RUN_RECORD as usize / 2 {
                 let constraint = self.current_constraint(spec, *record);
                 let zones = constraint.overfull_zones().cloned();
                 exceeded.extend(zones.map(|zone| (*record, zone)));
@@ -64,7 +64,7 @@
 
     fn current_constraint(&self, spec: &JobSpec, record: u32) -> ZoneConstraint {
         let mut constraint = ZoneConstraint::of_record(spec, record);
-        if let Some(entry) = self.job.chunks.get(&record) {
+        if let Some(entry) = self.job.run_records.get(&record) {
             count_placed_tasks(self.cache, &entry.value, &mut constraint);
         }
         constraint
@@ -119,7 +119,7 @@
         return vec![(tasks, job_constraint(cache, job))];
     }
     let constraints = RecordConstraints::new(cache, job);
-    let record_of = |task: u32| task / keys::CHUNK;
+    let record_of = |task: u32| task / keys::TASKS_PER_RUN_RECORD;
     tasks
         .chunk_by(|a, b| record_of(*a) == record_of(*b))
         .map(|part| (part, constraints.for_record(record_of(part[0]))))
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -209,7 +209,7 @@
             objectives: cluster.objectives.iter().map(Objective::from).collect(),
             heartbeat_interval: checked_duration(cluster.workers.report_s),
             agent_lease: checked_duration(cluster.workers.lease_s),
-            cancel: checked_duration(cluster.workers.cancel_s),
+            cancellation_deadline: checked_duration(cluster.workers.cancel_s),
             state_limits: cluster.state.limits(&next),
             cloud_rps: cluster.cloud.rps,
             max_inventory_lag: checked_duration(cluster.cloud.list_lag_s),
@@ -217,7 +217,7 @@
             max_tracked_machines: max_tracked_machines(cluster.limits.mem_mb),
             protocol_version: tuning.protocol_version(),
             tuning,
-            wall: Arc::new(std::time::SystemTime::now),
+            wall_clock: Arc::new(std::time::SystemTime::now),
         }
     }
 }
--- a/src/storage/client/errors.rs
+++ b/src/storage/client/errors.rs
@@ -11,7 +11,7 @@
     Throttled,
     /// The request timed out, or its response was lost or reported an internal error.
     #[error("no answer: request may have been executed")]
-    NoAnswer,
+    NoResponse,
     /// The lease has expired, and the keys attached to it are deleted.
     #[error("the lease has expired")]
     LeaseExpired,
@@ -38,6 +38,6 @@
 impl CommitError {
     /// Whether the transaction may have been executed, or may still be.
     pub fn is_unknown(&self) -> bool {
-        matches!(self, CommitError::State(StateError::NoAnswer))
+        matches!(self, CommitError::State(StateError::NoResponse))
     }
 }
--- a/src/storage/client/reachability.rs
+++ b/src/storage/client/reachability.rs
@@ -23,7 +23,7 @@
     pub(super) fn note_reachability<T>(&self, result: &Result<T, StateError>) {
         let mut failing = lock(&self.failing_since);
         match result {
-            Err(StateError::Unavailable | StateError::NoAnswer) => {
+            Err(StateError::Unavailable | StateError::NoResponse) => {
                 if failing.is_none() {
                     tracing::info!("the state service does not answer");
                     *failing = Some(Instant::now());
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -9,8 +9,8 @@
 pub const SPEC: &str = "spec/";
 /// Prefix of the outcomes of jobs, followed by the job.
 pub const OUTCOME: &str = "fate/";
-/// Prefix of run records, followed by the job and the number of the range of tasks (see
-/// [`CHUNK`]).
+/// Prefix of run records, followed by the job and the index of the record (see
+/// [`TASKS_PER_RUN_RECORD`]).
 pub const RUN: &str = "run/";
 /// Prefix of the cleanup marks of jobs that are cancelled, or over, and still have keys,
 /// followed by the job.
@@ -53,7 +53,7 @@
 /// record stays under 2 KiB. The tasks of a record are placed by one shard owner: smaller
 /// records spread a large job over more owners, larger ones need fewer changes of the state
 /// service.
-pub const CHUNK: u32 = 36;
+pub const TASKS_PER_RUN_RECORD: u32 = 36;
 
 /// The key of a job's spec.
 pub fn spec(job: &JobId) -> String {
@@ -71,8 +71,8 @@
 }
 
 /// The key of one of a job's run records.
-pub fn run(job: &JobId, chunk: u32) -> String {
-    format!("{RUN}{job}/{chunk}")
+pub fn run(job: &JobId, record_index: u32) -> String {
+    format!("{RUN}{job}/{record_index}")
 }
 
 /// The key of a controller's quota allocation.
@@ -133,8 +133,8 @@
     /// Parses a key; `None` if it is not part of the key scheme.
     pub fn parse(key: &str) -> Option<Key> {
         if let Some(rest) = key.strip_prefix(RUN) {
-            let (job, chunk) = rest.split_once('/')?;
-            return Some(Key::Run(JobId::parse(job)?, chunk.parse().ok()?));
+            let (job, record_index) = rest.split_once('/')?;
+            return Some(Key::Run(JobId::parse(job)?, record_index.parse().ok()?));
         }
         if let Some(rest) = key.strip_prefix(SPEC) {
             return JobId::parse(rest).map(Key::Spec);
--- a/src/storage/model.rs
+++ b/src/storage/model.rs
@@ -198,7 +198,7 @@
 
     /// Number of run records for its tasks.
     pub fn run_record_count(&self) -> u32 {
-        self.tasks.div_ceil(keys::CHUNK)
+        self.tasks.div_ceil(keys::TASKS_PER_RUN_RECORD)
     }
 
     /// Time since it was accepted.
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -31,7 +31,7 @@
 }
 
 /// The run record of one range of a job's tasks, see
-/// [`keys::CHUNK`](crate::storage::keys::CHUNK).
+/// [`keys::TASKS_PER_RUN_RECORD`](crate::storage::keys::TASKS_PER_RUN_RECORD).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
     /// Placed tasks.
--- a/src/storage/records/tests.rs
+++ b/src/storage/records/tests.rs
@@ -27,7 +27,7 @@
 #[test]
 fn a_full_run_record_stays_under_2_kib() {
     let mut run = RunRecord::default();
-    for task in 99_900..99_900 + super::super::keys::CHUNK {
+    for task in 99_900..99_900 + super::super::keys::TASKS_PER_RUN_RECORD {
         run.place(
             task,
             MachineId::new("vm-000231999"),
--- a/src/storage/state_cache/changes.rs
+++ b/src/storage/state_cache/changes.rs
@@ -46,7 +46,7 @@
                 job.cleanup_since = job.cleanup_since.max(Some(revision));
                 self.index(&id);
             }
-            Key::Run(id, chunk) => self.set_run(id, chunk, change),
+            Key::Run(id, record_index) => self.set_run(id, record_index, change),
             Key::Allocation(controller) => change.set_in(&mut self.allocations, controller),
             Key::Shard(id) => self.set_shard(id, change),
             Key::MachineGroup(id) => self.set_machine_group(id, change),
@@ -67,10 +67,13 @@
         self.index(&id);
     }
 
-    fn set_run(&mut self, id: JobId, chunk: u32, change: ValueChange<'_>) {
-        let known = self.jobs.get(&id).and_then(|job| job.chunks.get(&chunk));
+    fn set_run(&mut self, id: JobId, record_index: u32, change: ValueChange<'_>) {
+        let known = self
+            .jobs
+            .get(&id)
+            .and_then(|job| job.run_records.get(&record_index));
         if let Some(record) = change.read_if_newer(known) {
-            self.replace_run(id, chunk, Some(record));
+            self.replace_run(id, record_index, Some(record));
         }
     }
 
@@ -91,10 +94,13 @@
         match Key::parse(key) {
             Some(Key::Spec(id)) => self.delete_spec(&id, revision),
             Some(Key::Cleanup(id)) => self.delete_cleanup(&id, revision),
-            Some(Key::Run(id, chunk)) => {
-                let known = self.jobs.get(&id).and_then(|job| job.chunks.get(&chunk));
+            Some(Key::Run(id, record_index)) => {
+                let known = self
+                    .jobs
+                    .get(&id)
+                    .and_then(|job| job.run_records.get(&record_index));
                 if known.is_some() && is_newer(known, revision) {
-                    self.replace_run(id, chunk, None);
+                    self.replace_run(id, record_index, None);
                 }
             }
             Some(Key::Allocation(controller)) => {
--- a/src/storage/state_cache/job.rs
+++ b/src/storage/state_cache/job.rs
@@ -21,8 +21,8 @@
 pub struct Job {
     /// Its spec; `None` if the key is deleted or has not been read yet.
     pub spec: Option<Versioned<Arc<JobSpec>>>,
-    /// Its run records, by the number of the range of tasks (see [`keys::CHUNK`]).
-    pub chunks: BTreeMap<u32, Versioned<RunRecord>>,
+    /// Its run records, by their index (see [`keys::TASKS_PER_RUN_RECORD`]).
+    pub run_records: BTreeMap<u32, Versioned<RunRecord>>,
     /// Revision of the cleanup mark, if there is one: the job is cancelled, or over. Its tasks
     /// must be stopped and none may start.
     pub cleanup_since: Option<Revision>,
@@ -42,9 +42,9 @@
     }
 
     /// Revision of one of its run records; 0 if there is no such record.
-    pub fn run_revision(&self, chunk: u32) -> Revision {
-        self.chunks
-            .get(&chunk)
+    pub fn run_revision(&self, record_index: u32) -> Revision {
+        self.run_records
+            .get(&record_index)
             .map_or(Revision(0), |entry| entry.revision)
     }
 
@@ -64,8 +64,8 @@
 
     /// The placement of a task in its run record, even if the machine is gone.
     pub fn recorded_placement(&self, task: u32) -> Option<&Placement> {
-        self.chunks
-            .get(&(task / keys::CHUNK))?
+        self.run_records
+            .get(&(task / keys::TASKS_PER_RUN_RECORD))?
             .value
             .placed
             .get(&task)
@@ -73,8 +73,8 @@
 
     /// Whether this task has completed.
     pub fn is_task_done(&self, task: u32) -> bool {
-        self.chunks
-            .get(&(task / keys::CHUNK))
+        self.run_records
+            .get(&(task / keys::TASKS_PER_RUN_RECORD))
             .is_some_and(|entry| entry.value.is_done(task))
     }
 
@@ -96,10 +96,13 @@
         }
         let empty = RunRecord::default();
         let mut waiting = Vec::new();
-        for chunk in 0..spec.tasks.div_ceil(keys::CHUNK) {
-            let record = self.chunks.get(&chunk).map_or(&empty, |entry| &entry.value);
-            let first_task = chunk * keys::CHUNK;
-            for task in first_task..(first_task + keys::CHUNK).min(spec.tasks) {
+        for record_index in 0..spec.tasks.div_ceil(keys::TASKS_PER_RUN_RECORD) {
+            let record = self
+                .run_records
+                .get(&record_index)
+                .map_or(&empty, |entry| &entry.value);
+            let first_task = record_index * keys::TASKS_PER_RUN_RECORD;
+            for task in first_task..(first_task + keys::TASKS_PER_RUN_RECORD).min(spec.tasks) {
                 if waiting.len() >= limit {
                     return waiting;
                 }
@@ -155,7 +158,7 @@
     }
 
     fn records(&self) -> impl Iterator<Item = &RunRecord> {
-        self.chunks.values().map(|entry| &entry.value)
+        self.run_records.values().map(|entry| &entry.value)
     }
 
     /// Whether all its tasks have completed.
@@ -169,7 +172,7 @@
     pub(super) fn recount(&mut self) {
         self.placed = 0;
         self.done = 0;
-        for entry in self.chunks.values() {
+        for entry in self.run_records.values() {
             self.placed += entry.value.placed.len() as u32;
             self.done += entry.value.done_count();
         }
--- a/src/storage/state_cache/runs.rs
+++ b/src/storage/state_cache/runs.rs
@@ -68,7 +68,7 @@
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec().cloned();
         let placed: Vec<(u32, MachineId)> = job
-            .chunks
+            .run_records
             .values()
             .flat_map(|entry| &entry.value.placed)
             .map(|(task, placement)| (*task, placement.machine.clone()))
@@ -87,11 +87,11 @@
     pub(super) fn replace_run(
         &mut self,
         id: JobId,
-        chunk: u32,
+        record_index: u32,
         record: Option<Versioned<RunRecord>>,
     ) {
         let job = self.jobs.entry(id.clone()).or_default();
-        let old = job.chunks.remove(&chunk);
+        let old = job.run_records.remove(&record_index);
         let none = BTreeMap::new();
         let before = old.as_ref().map_or(&none, |entry| &entry.value.placed);
         let after = record.as_ref().map_or(&none, |entry| &entry.value.placed);
@@ -102,7 +102,8 @@
             after,
         };
         change.apply(&mut self.on_machine);
-        let range = chunk * keys::CHUNK..(chunk + 1) * keys::CHUNK;
+        let range = record_index * keys::TASKS_PER_RUN_RECORD
+            ..(record_index + 1) * keys::TASKS_PER_RUN_RECORD;
         job.lost.retain(|task| !range.contains(task));
         for (task, placement) in after {
             if !self.machines.contains_key(&placement.machine) {
@@ -110,7 +111,7 @@
             }
         }
         if let Some(record) = record {
-            job.chunks.insert(chunk, record);
+            job.run_records.insert(record_index, record);
         }
         job.recount();
         self.forget_if_empty(&id);
@@ -120,7 +121,7 @@
     pub(super) fn forget_if_empty(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get(id)
             && job.spec.is_none()
-            && job.chunks.is_empty()
+            && job.run_records.is_empty()
             && job.cleanup_since.is_none()
         {
             self.jobs.remove(id);
--- a/src/storage/state_cache/tests.rs
+++ b/src/storage/state_cache/tests.rs
@@ -110,7 +110,11 @@
     let mut cpus: BTreeMap<MachineId, f64> = BTreeMap::new();
     for job in cache.jobs.values() {
         let each = job.spec().map_or(0.0, |spec| spec.per_task.cpus);
-        for placement in job.chunks.values().flat_map(|k| k.value.placed.values()) {
+        for placement in job
+            .run_records
+            .values()
+            .flat_map(|k| k.value.placed.values())
+        {
             *cpus.entry(placement.machine.clone()).or_default() += each;
         }
     }
@@ -122,7 +126,10 @@
         assert!((sum - cpus).abs() < 1e-9);
     }
     for (id, job) in &cache.jobs {
-        let placed = job.chunks.values().flat_map(|k| k.value.placed.values());
+        let placed = job
+            .run_records
+            .values()
+            .flat_map(|k| k.value.placed.values());
         let present = placed.filter(|p| cache.machines.contains_key(&p.machine));
         assert_eq!(present.count() as u32, job.present());
         assert_eq!(cache.waiting.contains(id), job.waiting() > 0);
@@ -168,7 +175,7 @@
     assert!(cache.jobs[&id].placement(1).is_none());
     assert!(cache.jobs[&id].placement(0).is_some());
     // The next placement replaces the old one, with a new attempt.
-    let mut record = cache.jobs[&id].chunks[&0].value.clone();
+    let mut record = cache.jobs[&id].run_records[&0].value.clone();
     let attempt = record.next_attempt(1);
     assert_eq!(attempt, Attempt(5));
     record.place(1, MachineId::new("vm-1"), AgentEpoch(1), attempt);
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -164,14 +164,14 @@
         if error.is_connect() {
             SendError::NotSent(error.to_string())
         } else {
-            SendError::NoAnswer(error.to_string())
+            SendError::NoResponse(error.to_string())
         }
     })?;
     let status = response.status().as_u16();
     let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
         .collect()
         .await
-        .map_err(|error| SendError::NoAnswer(error.to_string()))?
+        .map_err(|error| SendError::NoResponse(error.to_string()))?
         .to_bytes();
     Ok(HttpResponse { status, body })
 }
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -82,13 +82,13 @@
     /// The request was or may have been sent, but no response was received: it may have been
     /// executed.
     #[error("{0}")]
-    NoAnswer(String),
+    NoResponse(String),
 }
 
 impl SendError {
     /// Creates the error of an exchange that exceeded its timeout.
     pub fn timed_out() -> Self {
-        SendError::NoAnswer("timed out".into())
+        SendError::NoResponse("timed out".into())
     }
 }
 
--- a/src/transport/network_clients/agents.rs
+++ b/src/transport/network_clients/agents.rs
@@ -7,7 +7,7 @@
 
 use super::to_json;
 use crate::{
-    coordination::clients::{AgentClient, Command, CommandResponse, Heartbeat, NoAnswer},
+    coordination::clients::{AgentClient, Command, CommandResponse, Heartbeat, NoResponse},
     protocol::agents::{COMMAND_PATH, CommandRequest, INSPECT_PATH, parse_heartbeat},
     storage::{AgentEpoch, Token},
     transport::network::{Destination, HttpRequest, HttpResponse, Method, Network, status},
@@ -32,7 +32,7 @@
         path: &str,
         body: Bytes,
         timeout: Duration,
-    ) -> Result<HttpResponse, NoAnswer> {
+    ) -> Result<HttpResponse, NoResponse> {
         let request = HttpRequest {
             destination: Destination::Agent,
             address: address.to_owned(),
@@ -42,13 +42,13 @@
             timeout,
         };
         let response = self.network.send_request(request).await;
-        response.map_err(|error| NoAnswer(error.to_string()))
+        response.map_err(|error| NoResponse(error.to_string()))
     }
 }
 
-fn parse_heartbeat_response(response: &HttpResponse) -> Result<Heartbeat, NoAnswer> {
+fn parse_heartbeat_response(response: &HttpResponse) -> Result<Heartbeat, NoResponse> {
     parse_heartbeat(&response.body)
-        .map_err(|_| NoAnswer(format!("status {} without a heartbeat", response.status)))
+        .map_err(|_| NoResponse(format!("status {} without a heartbeat", response.status)))
 }
 
 impl AgentClient for HttpAgentClient {
@@ -58,7 +58,7 @@
         token: Token,
         epoch: AgentEpoch,
         commands: &'a [Command],
-    ) -> BoxFuture<'a, Result<CommandResponse, NoAnswer>> {
+    ) -> BoxFuture<'a, Result<CommandResponse, NoResponse>> {
         async move {
             let body = to_json(&CommandRequest::new(token, epoch, commands));
             let response = self
@@ -72,7 +72,7 @@
         .boxed()
     }
 
-    fn inspect<'a>(&'a self, address: &'a str) -> BoxFuture<'a, Result<Heartbeat, NoAnswer>> {
+    fn inspect<'a>(&'a self, address: &'a str) -> BoxFuture<'a, Result<Heartbeat, NoResponse>> {
         async move {
             let response = self
                 .send(
--- a/src/transport/network_clients/cloud.rs
+++ b/src/transport/network_clients/cloud.rs
@@ -60,7 +60,7 @@
         let response = self.network.send_request(request).await;
         let response = response.map_err(|error| match error {
             SendError::NotSent(_) => CloudError::Unavailable,
-            SendError::NoAnswer(_) => CloudError::NoAnswer,
+            SendError::NoResponse(_) => CloudError::NoResponse,
         })?;
         check_status(response)
     }
@@ -80,7 +80,7 @@
             let text = String::from_utf8_lossy(&response.body[..shown_bytes]);
             Err(CloudError::Rejected(text.into_owned()))
         }
-        _ => Err(CloudError::NoAnswer),
+        _ => Err(CloudError::NoResponse),
     }
 }
 
--- a/src/transport/network_clients/key_value_store.rs
+++ b/src/transport/network_clients/key_value_store.rs
@@ -64,11 +64,11 @@
                 status::TOO_MANY_REQUESTS => Err(StateError::Throttled),
                 status::SERVICE_UNAVAILABLE => Err(StateError::Unavailable),
                 // These codes leave open whether the request was executed.
-                status::INTERNAL_SERVER_ERROR.. => Err(StateError::NoAnswer),
+                status::INTERNAL_SERVER_ERROR.. => Err(StateError::NoResponse),
                 _ => Ok(response),
             },
             Err(SendError::NotSent(_)) => Err(StateError::Unavailable),
-            Err(SendError::NoAnswer(_)) => Err(StateError::NoAnswer),
+            Err(SendError::NoResponse(_)) => Err(StateError::NoResponse),
         }
     }
 }
--- a/src/transport/network_clients/peers.rs
+++ b/src/transport/network_clients/peers.rs
@@ -5,7 +5,7 @@
 use futures::future::{BoxFuture, FutureExt};
 
 use crate::{
-    coordination::clients::{NoAnswer, PeerClient, PeerRequest, PeerResponse},
+    coordination::clients::{NoResponse, PeerClient, PeerRequest, PeerResponse},
     protocol::peer_frames::{self, FrameError},
     storage::ControllerName,
     transport::network::{Network, SendError},
@@ -58,11 +58,11 @@
         &'a self,
         controller: &'a ControllerName,
         request: PeerRequest,
-    ) -> BoxFuture<'a, Result<PeerResponse, NoAnswer>> {
+    ) -> BoxFuture<'a, Result<PeerResponse, NoResponse>> {
         async move {
             self.exchange(controller, request)
                 .await
-                .map_err(|error| NoAnswer(error.to_string()))
+                .map_err(|error| NoResponse(error.to_string()))
         }
         .boxed()
     }
--- a/src/transport/peer_connections.rs
+++ b/src/transport/peer_connections.rs
@@ -115,7 +115,7 @@
         let response = connection
             .exchange(frame)
             .await
-            .map_err(|error| SendError::NoAnswer(error.to_string()))?;
+            .map_err(|error| SendError::NoResponse(error.to_string()))?;
         self.put(address, connection);
         Ok(response)
     }
