--- a/src/coordination/agent_state.rs
+++ b/src/coordination/agent_state.rs
@@ -18,7 +18,8 @@
 use crate::{
     coordination::clients::{Command, Heartbeat, TaskState, TaskStatus},
     storage::{
-        AgentEpoch, Attempt, ImageName, JobId, Resources, TaskId, Token, state_cache::MachineLoad,
+        AgentEpoch, Attempt, FencingToken, ImageName, JobId, Resources, TaskId,
+        state_cache::MachineLoad,
     },
 };
 
@@ -56,7 +57,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct InDoubtStart {
     /// The highest fencing token that such a start carried.
-    pub token: Token,
+    pub token: FencingToken,
     /// When the latest of these requests failed without a response.
     pub since: Instant,
 }
@@ -64,7 +65,7 @@
 /// A fencing token that was sent to the agent and that no message of it has reported yet.
 #[derive(Clone, Copy, Debug)]
 struct UnconfirmedToken {
-    token: Token,
+    token: FencingToken,
     since: Instant,
 }
 
@@ -80,7 +81,7 @@
 pub struct AgentState {
     /// The fencing token with which this owner acquired the machine. An agent that has
     /// seen it rejects all commands of earlier owners.
-    pub acquisition_token: Token,
+    pub acquisition_token: FencingToken,
     /// The address at which the agent listens.
     pub address: Option<String>,
     /// The agent's epoch, from its newest message.
@@ -88,7 +89,7 @@
     /// Sequence number of the newest message within the epoch.
     sequence: u64,
     /// The highest fencing token that the agent has reported.
-    pub token: Token,
+    pub token: FencingToken,
     /// Time of the last heartbeat; before the first one, when this owner acquired the machine.
     pub last_heartbeat: Instant,
     /// Whether a heartbeat has arrived since this owner acquired the machine.
@@ -98,7 +99,7 @@
     /// When the agent was probed last.
     pub probed_at: Option<Instant>,
     /// When the cloud reclaims the machine, if it has given notice.
-    pub leaves_at: Option<Instant>,
+    pub reclaim_at: Option<Instant>,
     /// The tasks that the newest message lists.
     pub tasks: BTreeMap<TaskId, ObservedTask>,
     /// Whether the newest message is a heartbeat. Then no start in a response to an earlier
@@ -138,18 +139,18 @@
 impl AgentState {
     /// The state of an agent that has sent no message yet, on a machine that was acquired
     /// with this token.
-    pub fn new(acquisition_token: Token, now: Instant) -> Self {
+    pub fn new(acquisition_token: FencingToken, now: Instant) -> Self {
         Self {
             acquisition_token,
             address: None,
             epoch: AgentEpoch(0),
             sequence: 0,
-            token: Token(0),
+            token: FencingToken(0),
             last_heartbeat: now,
             has_heartbeat: false,
             unreachable: false,
             probed_at: None,
-            leaves_at: None,
+            reclaim_at: None,
             tasks: BTreeMap::new(),
             newest_is_heartbeat: false,
             in_doubt_start: None,
@@ -182,7 +183,7 @@
         if self.address.as_ref() != Some(&heartbeat.address) {
             self.address = Some(heartbeat.address.clone());
         }
-        self.leaves_at = heartbeat.notice.map(|notice| now + notice);
+        self.reclaim_at = heartbeat.notice.map(|notice| now + notice);
         self.newest_is_heartbeat = source == MessageSource::Heartbeat;
         self.unreachable = false;
         if source == MessageSource::Heartbeat {
@@ -209,7 +210,7 @@
         }
     }
 
-    fn confirm_token(&mut self, token: Token) {
+    fn confirm_token(&mut self, token: FencingToken) {
         self.token = self.token.max(token);
         if self
             .unconfirmed_token
@@ -294,7 +295,7 @@
     /// Notes that a heartbeat is answered with this fencing token. `max_interval` is the
     /// longest pause between two heartbeats of an agent, which is far shorter than the
     /// agents' lease.
-    pub fn note_response(&mut self, token: Token, max_interval: Duration, now: Instant) {
+    pub fn note_response(&mut self, token: FencingToken, max_interval: Duration, now: Instant) {
         self.renewal_expected_until = Some(now + max_interval);
         if self.token < token {
             self.unconfirmed_token
@@ -331,7 +332,7 @@
     }
 
     /// Notes that a direct start with this fencing token got no response.
-    pub fn note_start_in_doubt(&mut self, token: Token, now: Instant) {
+    pub fn note_start_in_doubt(&mut self, token: FencingToken, now: Instant) {
         let token = self
             .in_doubt_start
             .map_or(token, |known| known.token.max(token));
--- a/src/coordination/agent_state/tests.rs
+++ b/src/coordination/agent_state/tests.rs
@@ -9,12 +9,12 @@
     Heartbeat {
         machine: MachineId::new("vm-1"),
         address: "10.0.0.1:9".into(),
-        kind: TypeName::new("t"),
+        machine_type: TypeName::new("t"),
         zone: ZoneName::new("z"),
         spot: false,
         epoch: AgentEpoch(epoch),
         sequence,
-        token: Token(token),
+        token: FencingToken(token),
         notice: None,
         tasks: Vec::new(),
     }
@@ -23,7 +23,7 @@
 #[tokio::test(start_paused = true)]
 async fn outdated_messages_are_ignored() {
     let now = Instant::now();
-    let mut agent = AgentState::new(Token(5), now);
+    let mut agent = AgentState::new(FencingToken(5), now);
     assert!(agent.apply(&heartbeat(1, 7, 0), MessageSource::Heartbeat, now));
     assert!(!agent.apply(&heartbeat(1, 7, 9), MessageSource::Heartbeat, now));
     assert!(!agent.apply(&heartbeat(1, 6, 9), MessageSource::Heartbeat, now));
@@ -36,7 +36,7 @@
 #[tokio::test(start_paused = true)]
 async fn absence_is_inconclusive_while_a_start_may_be_in_flight() {
     let now = Instant::now();
-    let mut agent = AgentState::new(Token(5), now);
+    let mut agent = AgentState::new(FencingToken(5), now);
     let task = TaskId::parse("job-1/0").expect("valid task id");
     agent.apply(&heartbeat(1, 1, 4), MessageSource::Heartbeat, now);
     assert!(
@@ -61,7 +61,7 @@
         "a direct start is in flight"
     );
     agent.note_start_request_ended();
-    agent.note_start_in_doubt(Token(5), now);
+    agent.note_start_in_doubt(FencingToken(5), now);
     agent.apply(&heartbeat(1, 4, 5), MessageSource::Heartbeat, now);
     assert!(
         !agent.is_absence_conclusive(&task),
@@ -82,11 +82,11 @@
 async fn an_agent_that_does_not_report_the_sent_token_has_lost_its_command_path() {
     let now = Instant::now();
     let timeout = Duration::from_secs(9);
-    let mut agent = AgentState::new(Token(5), now);
+    let mut agent = AgentState::new(FencingToken(5), now);
     agent.apply(&heartbeat(1, 1, 4), MessageSource::Heartbeat, now);
-    agent.note_response(Token(5), INTERVAL, now);
+    agent.note_response(FencingToken(5), INTERVAL, now);
     agent.apply(&heartbeat(1, 2, 4), MessageSource::Heartbeat, now + timeout);
-    agent.note_response(Token(6), INTERVAL, now + timeout);
+    agent.note_response(FencingToken(6), INTERVAL, now + timeout);
     assert!(!agent.is_command_path_lost(timeout, now + timeout));
     assert!(agent.is_command_path_lost(timeout, now + timeout * 2));
     // Reporting a later token than the one that was sent first also confirms the path.
@@ -102,14 +102,14 @@
 async fn an_agent_whose_lease_expires_despite_responses_has_lost_its_command_path() {
     let now = Instant::now();
     let timeout = Duration::from_secs(9);
-    let mut agent = AgentState::new(Token(5), now);
+    let mut agent = AgentState::new(FencingToken(5), now);
     agent.apply(&heartbeat(1, 1, 5), MessageSource::Heartbeat, now);
     // The last response is too old to have kept the lease: the command path may be fine.
-    agent.note_response(Token(5), INTERVAL, now);
+    agent.note_response(FencingToken(5), INTERVAL, now);
     let later = now + INTERVAL * 2;
     agent.apply(&heartbeat(2, 1, 5), MessageSource::Heartbeat, later);
     assert!(!agent.is_command_path_lost(timeout, later));
-    agent.note_response(Token(5), INTERVAL, later);
+    agent.note_response(FencingToken(5), INTERVAL, later);
     agent.apply(
         &heartbeat(3, 1, 5),
         MessageSource::Heartbeat,
@@ -121,7 +121,7 @@
 #[tokio::test(start_paused = true)]
 async fn failures_of_several_jobs_quarantine_a_machine() {
     let now = Instant::now();
-    let mut agent = AgentState::new(Token(5), now);
+    let mut agent = AgentState::new(FencingToken(5), now);
     agent.note_failure(&JobId::new("job-1"), now);
     agent.note_failure(&JobId::new("job-1"), now);
     assert!(!agent.is_quarantined(now, |_| false));
@@ -138,7 +138,7 @@
         .build()
         .expect("runtime builds")
         .block_on(async {
-            let mut agent = AgentState::new(Token(0), Instant::now());
+            let mut agent = AgentState::new(FencingToken(0), Instant::now());
             for (name, gb) in [("a", 3.0), ("b", 3.0), ("a", 3.0), ("c", 5.0)] {
                 agent.note_image(&ImageName::new(name), gb, 9.0);
             }
--- a/src/coordination/clients/agents.rs
+++ b/src/coordination/clients/agents.rs
@@ -6,7 +6,7 @@
 
 use super::NoResponse;
 use crate::storage::{
-    AgentEpoch, Attempt, ControllerName, MachineId, TaskId, Token, TypeName, ZoneName,
+    AgentEpoch, Attempt, ControllerName, FencingToken, MachineId, TaskId, TypeName, ZoneName,
 };
 
 /// How a task's process ended.
@@ -60,7 +60,7 @@
     /// Address on which the agent listens for commands.
     pub address: String,
     /// The machine's type.
-    pub kind: TypeName,
+    pub machine_type: TypeName,
     /// The zone that the machine is in.
     pub zone: ZoneName,
     /// Whether it is a spot machine, which the cloud may reclaim at any time.
@@ -70,7 +70,7 @@
     /// Sequence number of the message within the epoch; strictly increasing.
     pub sequence: u64,
     /// The highest token that the agent has seen.
-    pub token: Token,
+    pub token: FencingToken,
     /// Time until the cloud reclaims the machine, if it has announced that.
     pub notice: Option<Duration>,
     /// Status of all tasks on the machine.
@@ -111,7 +111,7 @@
     /// The responding controller owns the machine; the response renews the agent's lease.
     Accepted {
         /// The token under which the machine is owned.
-        token: Token,
+        token: FencingToken,
         /// Commands for the agent to execute.
         commands: Vec<Command>,
     },
@@ -137,7 +137,7 @@
     fn send_commands<'a>(
         &'a self,
         address: &'a str,
-        token: Token,
+        token: FencingToken,
         epoch: AgentEpoch,
         commands: &'a [Command],
     ) -> BoxFuture<'a, Result<CommandResponse, NoResponse>>;
--- a/src/coordination/clients/cloud.rs
+++ b/src/coordination/clients/cloud.rs
@@ -40,7 +40,7 @@
     /// Its identifier.
     pub id: MachineId,
     /// Its type.
-    pub kind: TypeName,
+    pub machine_type: TypeName,
     /// The zone that it is in.
     pub zone: ZoneName,
     /// Whether it is a spot machine, which the cloud may reclaim at any time.
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProvisionRequest {
     /// The machine type.
-    pub kind: TypeName,
+    pub machine_type: TypeName,
     /// The zone to provision them in.
     pub zone: ZoneName,
     /// Whether to provision spot machines, at the spot price.
@@ -68,10 +68,10 @@
 pub trait CloudClient: Send + Sync {
     /// Returns the available machine types with their current prices.
     fn catalog(&self) -> BoxFuture<'_, Result<Vec<MachineType>, CloudError>>;
-    /// Provisions machines. Idempotent: repeated requests of the same name are executed once.
+    /// Provisions machines. Idempotent: repeated requests with the same id are executed once.
     fn provision<'a>(
         &'a self,
-        name: &'a ProvisionId,
+        id: &'a ProvisionId,
         request: &'a ProvisionRequest,
     ) -> BoxFuture<'a, Result<Vec<MachineId>, CloudError>>;
     /// Releases machines, which returns them to the cloud.
--- a/src/coordination/clients/peers.rs
+++ b/src/coordination/clients/peers.rs
@@ -38,7 +38,7 @@
     pub speed: f64,
     /// Resources of tasks that have ended, but whose results are not written yet. They are free,
     /// although the records still count them as used.
-    pub freed: Resources,
+    pub freed_resources: Resources,
 }
 
 /// A heartbeat that arrived at a controller that does not own the machine.
@@ -47,7 +47,7 @@
     /// The machine.
     pub machine: MachineId,
     /// Its type.
-    pub kind: TypeName,
+    pub machine_type: TypeName,
     /// The zone that it is in.
     pub zone: ZoneName,
     /// Whether it is a spot machine, which the cloud may reclaim at any time.
@@ -73,9 +73,9 @@
     /// response yet, so the process does not know what its predecessor knew.
     pub highest_revision: Revision,
     /// Whether it has loaded the state and the state service responds to it.
-    pub state_reachable: bool,
+    pub state_service_reachable: bool,
     /// Whether the lists below are filled in; they are sent to the leader only.
-    pub full: bool,
+    pub has_lists: bool,
     /// The machines that it owns.
     pub owned: Vec<OwnedMachine>,
     /// Heartbeats that it received of machines that it does not own.
--- a/src/coordination/context.rs
+++ b/src/coordination/context.rs
@@ -81,7 +81,7 @@
 
     /// Sleeps for this time and returns true, or returns false as soon as the controller is
     /// stopped.
-    pub(super) async fn pause(&self, time: Duration) -> bool {
+    pub(super) async fn sleep_unless_stopped(&self, time: Duration) -> bool {
         tokio::select! {
             biased;
             _ = self.shutdown.cancelled() => false,
@@ -163,14 +163,15 @@
 
     /// Whether the recorded common protocol version, which never falls, shows that all
     /// controllers support this version.
-    pub(super) fn all_support(&self, version: ProtocolVersion) -> bool {
+    pub(super) fn all_controllers_support(&self, version: ProtocolVersion) -> bool {
         common_version(&self.store.cache()) >= version
     }
 
     /// Whether quota transfers are enabled on this controller and all controllers support the
     /// protocol version that transfers need.
     pub(super) fn quota_transfers_active(&self) -> bool {
-        self.config.tuning.quota_transfers && self.all_support(ProtocolVersion::QUOTA_TRANSFERS)
+        self.config.tuning.quota_transfers
+            && self.all_controllers_support(ProtocolVersion::QUOTA_TRANSFERS)
     }
 
     /// As [`Self::quota_transfers_active`] for a cache that is already locked.
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -132,7 +132,7 @@
 
     /// Background task: logs the counters every [`COUNTERS_INTERVAL`].
     async fn log_counters(&self) {
-        while self.context.pause(COUNTERS_INTERVAL).await {
+        while self.context.sleep_unless_stopped(COUNTERS_INTERVAL).await {
             let counts = self.context.store.take_counters();
             let OwnerSizes {
                 owned,
@@ -179,7 +179,11 @@
     /// anything.
     async fn detect_process_pause(&self) {
         let mut last_check = Instant::now();
-        while self.context.pause(PAUSE_CHECK_INTERVAL).await {
+        while self
+            .context
+            .sleep_unless_stopped(PAUSE_CHECK_INTERVAL)
+            .await
+        {
             let late = last_check.elapsed().saturating_sub(PAUSE_CHECK_INTERVAL);
             if late > PAUSE_THRESHOLD {
                 let for_ms = late.as_millis() as u64;
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -10,7 +10,7 @@
         owner::ShardOwner,
         peer_liveness::PeerLiveness,
     },
-    storage::Token,
+    storage::FencingToken,
 };
 
 /// Responds to heartbeats.
@@ -52,7 +52,7 @@
         };
         let controller = shard.value.controller.clone();
         let owner = shard.value.owner;
-        let token = Token::from(shard.revision);
+        let token = FencingToken::from(shard.revision);
         if controller != context.config.name {
             let is_owner_alive = cache
                 .controllers
--- a/src/coordination/indirect_heartbeats.rs
+++ b/src/coordination/indirect_heartbeats.rs
@@ -42,7 +42,7 @@
         }
         let indirect = IndirectHeartbeat {
             machine: heartbeat.machine.clone(),
-            kind: heartbeat.kind.clone(),
+            machine_type: heartbeat.machine_type.clone(),
             zone: heartbeat.zone.clone(),
             spot: heartbeat.spot,
             epoch: heartbeat.epoch,
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -126,7 +126,7 @@
         // user is asked to retry.
         if !self
             .context
-            .all_support(self.required_protocol_version(&spec))
+            .all_controllers_support(self.required_protocol_version(&spec))
         {
             return Err(JobError::Unavailable);
         }
@@ -298,12 +298,12 @@
 /// Returns the status of a job that has not ended.
 fn current_status(job: &Job) -> JobStatus {
     JobStatus {
-        state: if job.present() > 0 {
+        state: if job.present_tasks() > 0 {
             JobState::Running
         } else {
             JobState::Queued
         },
-        done: job.done,
-        running: job.present(),
+        done: job.completed_tasks,
+        running: job.present_tasks(),
     }
 }
--- a/src/coordination/leader/cleanup.rs
+++ b/src/coordination/leader/cleanup.rs
@@ -80,7 +80,7 @@
     async fn commit_cleanup(&self, transactions: Vec<Transaction>) {
         let max_operations = self.context.config.state_limits.txn_ops;
         let has_room = |batch: &Transaction, next: &Transaction| {
-            batch.ops.len() + next.ops.len() <= max_operations.min(MAX_OPS_PER_COMMIT)
+            batch.operations.len() + next.operations.len() <= max_operations.min(MAX_OPS_PER_COMMIT)
                 && batch.conditions.len() + next.conditions.len()
                     < CONDITIONS_PER_OPERATION * max_operations
         };
@@ -117,7 +117,7 @@
     // The job's outcome was written together with the cleanup mark, so that no task is placed
     // after it. Placements from before the mark are all in the cache only once the cache has
     // reached the mark's revision.
-    let is_unplaced = job.placed == 0 || (caught_up && job.present() == 0);
+    let is_unplaced = job.placed_tasks == 0 || (caught_up && job.present_tasks() == 0);
     (cleanup_since <= cache.revision && is_unplaced)
         .then(|| remove_job_records(id, job, max_operations))
 }
@@ -141,7 +141,7 @@
 fn end_job(id: &JobId, job: &Job, max_operations: usize) -> Transaction {
     let outcome = OutcomeRecord {
         outcome: JobOutcome::Done,
-        done: job.done,
+        done: job.completed_tasks,
     };
     let mut transaction = Transaction::default()
         .require(keys::outcome(id), Revision(0))
@@ -163,9 +163,9 @@
     terminated_since: &mut BTreeMap<MachineId, Instant>,
     now: Instant,
 ) -> BTreeMap<RunRecordId<'a>, Vec<u32>> {
-    terminated_since.retain(|machine, _| cache.on_machine.contains_key(machine));
+    terminated_since.retain(|machine, _| cache.machine_loads.contains_key(machine));
     let mut lost: BTreeMap<RunRecordId<'_>, Vec<u32>> = BTreeMap::new();
-    for (machine, load) in &cache.on_machine {
+    for (machine, load) in &cache.machine_loads {
         if cache.machines.contains_key(machine) {
             continue;
         }
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -53,7 +53,7 @@
             cache: &cache,
             teams: &self.context.config.teams,
             free_capacity,
-            offered: &mut state.offered,
+            outstanding_offers: &mut state.outstanding_offers,
             pending_preemptions: &mut state.pending_preemptions,
             reclaiming: &mut state.reclaiming,
             record_affinity: &mut state.record_affinity,
@@ -126,7 +126,7 @@
     fn remove_offers(&self, controller: &ControllerName, jobs: &[JobId]) {
         let mut state = lock(&self.state);
         for job in jobs {
-            if let Some(tasks) = state.offered.get_mut(job) {
+            if let Some(tasks) = state.outstanding_offers.get_mut(job) {
                 tasks.retain(|_, offered| offered.controller != *controller);
             }
         }
--- a/src/coordination/leader/fleet/autoscaler.rs
+++ b/src/coordination/leader/fleet/autoscaler.rs
@@ -21,7 +21,7 @@
             Leader,
             miss_rate::MissRateWindow,
             pool::{Pool, ProvisionPlan, WantedMachines},
-            routing::Unplaced,
+            routing::UnplacedTasks,
             state::LeaderState,
         },
         policy::remedial,
@@ -39,7 +39,7 @@
 /// The machines that the waiting tasks need.
 pub(super) struct MachineNeed<'a> {
     /// Waiting tasks for which no machine has room.
-    pub(super) unplaced: &'a [Unplaced],
+    pub(super) unplaced: &'a [UnplacedTasks],
     /// Number of machines of each pool that these tasks would fill in addition to booting and
     /// requested machines.
     pub(super) by_pool: BTreeMap<Pool, f64>,
@@ -114,7 +114,7 @@
 fn observe_miss_rate(
     miss_rate: &mut MissRateWindow,
     options: &ProvisioningOptions<'_>,
-    unplaced: &[Unplaced],
+    unplaced: &[UnplacedTasks],
     tuning: &Tuning,
 ) {
     miss_rate.add_starvation(unplaced.iter().map(|waiting| &waiting.job), options.now());
@@ -134,7 +134,7 @@
 /// Determines how many machines the waiting tasks need beyond those booting or requested.
 fn machine_need<'a>(
     options: &ProvisioningOptions<'_>,
-    unplaced: &'a [Unplaced],
+    unplaced: &'a [UnplacedTasks],
     now_ms: u64,
     was_up_when_routed: impl Fn(&MachineId) -> bool,
 ) -> MachineNeed<'a> {
--- a/src/coordination/leader/fleet/drain_selection.rs
+++ b/src/coordination/leader/fleet/drain_selection.rs
@@ -80,7 +80,7 @@
         candidates: &DrainCandidates,
     ) -> Option<scale_in::MachineUtilisation<MachineId>> {
         let tuning = &self.context.config.tuning;
-        let kinds = round
+        let type_count = round
             .cache
             .catalog
             .as_ref()
@@ -89,7 +89,7 @@
             round.miss_rate,
             round.tasks_waiting,
             &candidates.machines,
-            kinds,
+            type_count,
             &scale_in::Thresholds {
                 alpha: tuning.alpha,
                 evenness: tuning.evenness_threshold,
@@ -120,7 +120,7 @@
     let emptying = fleet
         .draining_machines
         .iter()
-        .filter(|id| cache.on_machine.contains_key(*id))
+        .filter(|id| cache.machine_loads.contains_key(*id))
         .count();
     max_draining.saturating_sub(emptying)
 }
--- a/src/coordination/leader/fleet/draining.rs
+++ b/src/coordination/leader/fleet/draining.rs
@@ -75,7 +75,7 @@
             if !cache.machines.contains_key(machine) {
                 return false;
             }
-            let Some(load) = cache.on_machine.get(machine) else {
+            let Some(load) = cache.machine_loads.get(machine) else {
                 *progress = DrainProgress::HasBeenIdle;
                 return true;
             };
--- a/src/coordination/leader/fleet/eviction.rs
+++ b/src/coordination/leader/fleet/eviction.rs
@@ -80,7 +80,7 @@
                     continue;
                 }
                 if let (Some(load), Some((_, entry))) =
-                    (cache.on_machine.get(id), cache.shard_of(id))
+                    (cache.machine_loads.get(id), cache.shard_of(id))
                 {
                     preempt_all(&mut preemptions, &entry.value, load);
                 }
@@ -115,7 +115,7 @@
             let Some((_, entry)) = cache.shard_of(id) else {
                 continue;
             };
-            let Some(load) = cache.on_machine.get(id) else {
+            let Some(load) = cache.machine_loads.get(id) else {
                 continue;
             };
             if !is_marked_draining(&entry.value, id) || !load.tasks.values().all(is_replica) {
@@ -148,7 +148,7 @@
             .free_capacity_elsewhere(cache, machine, unavailable)
             .candidates;
         let tasks = cache
-            .on_machine
+            .machine_loads
             .get(machine)
             .into_iter()
             .flat_map(|load| load.tasks.values());
@@ -181,7 +181,7 @@
             (id != machine && !unavailable.contains(id)).then(|| UsableMachine {
                 images: Arc::default(),
                 speed: NOMINAL_RATIO,
-                freed: Resources::default(),
+                freed_resources: Resources::default(),
             })
         };
         candidate_machines(
--- a/src/coordination/leader/fleet/failure_detector.rs
+++ b/src/coordination/leader/fleet/failure_detector.rs
@@ -31,7 +31,7 @@
 
 /// Up to this many machines lost at once are not a mass outage, whatever the size of the fleet.
 const MIN_MASS_OUTAGE_THRESHOLD: usize = 2;
-/// A mass outage is more than one in this many ordinary machines being unreachable at once.
+/// A mass outage is more than one in this many on-demand machines being unreachable at once.
 const MASS_OUTAGE_DIVISOR: usize = 4;
 /// A mass outage is also more than one in this many machines being without a command path at once.
 const COMMAND_PATH_OUTAGE_DIVISOR: usize = 10;
@@ -135,7 +135,7 @@
     }
 }
 
-/// Returns whether many ordinary machines are unreachable at once, which indicates a network
+/// Returns whether many on-demand machines are unreachable at once, which indicates a network
 /// partition.
 ///
 /// A single unresponsive machine has probably hung, and releasing it is the quickest way to prove
@@ -145,8 +145,8 @@
 /// of them at once. Machines reach the threshold for being unresponsive one after the other, so
 /// all unreachable machines are counted.
 fn is_mass_outage(cache: &StateCache, findings: &Findings<'_>) -> bool {
-    let ordinary = cache.machines.values().filter(|record| !record.spot);
-    let threshold = MIN_MASS_OUTAGE_THRESHOLD.max(ordinary.count() / MASS_OUTAGE_DIVISOR);
+    let on_demand = cache.machines.values().filter(|record| !record.spot);
+    let threshold = MIN_MASS_OUTAGE_THRESHOLD.max(on_demand.count() / MASS_OUTAGE_DIVISOR);
     findings.unreachable_count() > threshold
 }
 
@@ -163,7 +163,7 @@
     }
 }
 
-/// Determines whether the zone of an unresponsive ordinary machine seems to be cut off by a
+/// Determines whether the zone of an unresponsive on-demand machine seems to be cut off by a
 /// partition, or which neighbours to probe to find out.
 fn partition_evidence(
     cache: &StateCache,
@@ -178,13 +178,13 @@
             cache, state, machine, zone,
         ));
     }
-    if known.unreachable * 2 > known.ordinary {
+    if known.unreachable * 2 > known.on_demand {
         return PartitionEvidence::LikelyPartition;
     }
     PartitionEvidence::NotNeeded
 }
 
-/// Returns the addresses of some other ordinary machines of the zone. Machines that are being
+/// Returns the addresses of some other on-demand machines of the zone. Machines that are being
 /// verified themselves are left out: several may hang at once, which would look like a network
 /// partition.
 fn neighbour_addresses(
--- a/src/coordination/leader/fleet/inventory.rs
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -165,7 +165,7 @@
             adopt.push(UnknownMachine {
                 id: machine.id,
                 target: ProvisionTarget {
-                    kind: machine.kind,
+                    machine_type: machine.machine_type,
                     zone: machine.zone,
                     spot: machine.spot,
                 },
@@ -199,7 +199,7 @@
         .map(|heartbeat| UnknownMachine {
             id: heartbeat.machine.clone(),
             target: ProvisionTarget {
-                kind: heartbeat.kind.clone(),
+                machine_type: heartbeat.machine_type.clone(),
                 zone: heartbeat.zone.clone(),
                 spot: heartbeat.spot,
             },
@@ -208,14 +208,14 @@
 }
 
 /// Returns records of machine groups, each with machines of one type and zone that are all
-/// spot or all ordinary.
+/// spot or all on-demand.
 fn group_machines(machines: Vec<UnknownMachine>, now_ms: u64) -> Vec<MachineGroupRecord> {
     let mut groups: BTreeMap<ProvisionTarget, MachineGroupRecord> = BTreeMap::new();
     for UnknownMachine { id, target } in machines {
         let group = groups
             .entry(target.clone())
             .or_insert_with(|| MachineGroupRecord {
-                kind: target.kind,
+                machine_type: target.machine_type,
                 zone: target.zone,
                 spot: target.spot,
                 provisioned_ms: now_ms,
--- a/src/coordination/leader/fleet/machine_inspection.rs
+++ b/src/coordination/leader/fleet/machine_inspection.rs
@@ -59,11 +59,11 @@
     pub(super) spot: bool,
 }
 
-/// Counts of the ordinary (non-spot) machines of a zone.
+/// Counts of the on-demand (non-spot) machines of a zone.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ZoneReachability {
     /// Number of machines that are in shards.
-    pub(super) ordinary: usize,
+    pub(super) on_demand: usize,
     /// Number of these that no controller reaches.
     pub(super) unreachable: usize,
 }
@@ -87,7 +87,7 @@
     pub(super) unusable_machines: BTreeSet<MachineId>,
     /// Machines on which several jobs have failed, with the time when this was first seen.
     pub(super) quarantined_since: BTreeMap<MachineId, Instant>,
-    /// Reachability of the ordinary machines of each zone.
+    /// Reachability of the on-demand machines of each zone.
     zones: BTreeMap<&'a ZoneName, ZoneReachability>,
 }
 
@@ -100,12 +100,12 @@
         });
     }
 
-    /// Returns the number of ordinary machines in all zones that no controller reaches.
+    /// Returns the number of on-demand machines in all zones that no controller reaches.
     pub(super) fn unreachable_count(&self) -> usize {
         self.zones.values().map(|zone| zone.unreachable).sum()
     }
 
-    /// Returns the reachability of a zone's ordinary machines.
+    /// Returns the reachability of a zone's on-demand machines.
     pub(super) fn zone_reachability(&self, zone: Option<&ZoneName>) -> ZoneReachability {
         zone.and_then(|zone| self.zones.get(zone))
             .copied()
@@ -186,7 +186,7 @@
     /// Adds the findings about one machine.
     fn inspect(&mut self, machine: InspectedMachine<'a>) {
         if !machine.record.spot {
-            self.zone_of(machine).ordinary += 1;
+            self.zone_of(machine).on_demand += 1;
         }
         if !self.state.is_up(self.cache, machine.id) {
             self.inspect_booting(machine);
@@ -215,8 +215,8 @@
     fn inspect_booting(&mut self, machine: InspectedMachine<'a>) {
         let boot = self
             .cache
-            .machine_type(&machine.record.kind)
-            .map_or(DEFAULT_BOOT_TIME, |kind| kind.boot);
+            .machine_type(&machine.record.machine_type)
+            .map_or(DEFAULT_BOOT_TIME, |machine_type| machine_type.boot);
         let timeout = boot.mul_f64(BOOT_TIMEOUT_FACTOR) + BOOT_TIMEOUT_MARGIN;
         if self.age(machine.record) > timeout {
             self.findings
@@ -358,7 +358,7 @@
             .paid_periods
             .time_left(self.age(machine.record));
         self.state.fleet.draining_machines.contains(machine.id)
-            && !self.cache.on_machine.contains_key(machine.id)
+            && !self.cache.machine_loads.contains_key(machine.id)
             && paid_left < SCALE_IN_MARGIN
     }
 }
--- a/src/coordination/leader/fleet/miss_rate_band.rs
+++ b/src/coordination/leader/fleet/miss_rate_band.rs
@@ -16,7 +16,7 @@
             Leader,
             miss_rate::{MissRate, MissRateWindow, OverdueTasks},
             pool::{Pool, SuitedTasks, WantedMachines},
-            routing::Unplaced,
+            routing::UnplacedTasks,
         },
         policy::band,
     },
@@ -34,7 +34,7 @@
 }
 
 impl WaitingTasks {
-    fn new(options: &ProvisioningOptions<'_>, unplaced: &[Unplaced]) -> Self {
+    fn new(options: &ProvisioningOptions<'_>, unplaced: &[UnplacedTasks]) -> Self {
         let mut waiting = Self::default();
         for unplaced_tasks in unplaced {
             if options.cache.jobs.contains_key(&unplaced_tasks.job) {
@@ -44,7 +44,7 @@
         waiting
     }
 
-    fn add(&mut self, options: &ProvisioningOptions<'_>, unplaced: &Unplaced) {
+    fn add(&mut self, options: &ProvisioningOptions<'_>, unplaced: &UnplacedTasks) {
         self.total += unplaced.tasks;
         let mut tasks_without_pool = unplaced.tasks;
         for SuitedTasks { pool, tasks } in options.suitable_pools_for_waiting(unplaced) {
@@ -81,9 +81,9 @@
         let waiting = WaitingTasks::new(options, need.unplaced);
         let misses = miss_rate.current_rate(&waiting.overdue);
         let pools = pools_in_demand(&waiting, &misses);
-        let loads: Vec<band::TypeLoad> = pools
+        let loads: Vec<band::PoolLoad> = pools
             .iter()
-            .map(|pool| type_load(options.cache, pool, &waiting, &misses, need, &machines))
+            .map(|pool| pool_load(options.cache, pool, &waiting, &misses, need, &machines))
             .collect();
         let arrivals = miss_rate.arrival_rate(tuning.miss_rate_window);
         let counts = band::scale_out(misses.rate, arrivals, &loads, &band_thresholds(tuning));
@@ -132,14 +132,14 @@
 }
 
 /// Returns the inputs of the band policy for one pool.
-fn type_load(
+fn pool_load(
     cache: &StateCache,
     pool: &Pool,
     waiting: &WaitingTasks,
     misses: &MissRate,
     need: &MachineNeed<'_>,
     machines: &[UsedMachine],
-) -> band::TypeLoad {
+) -> band::PoolLoad {
     let queued = waiting.by_pool.get(pool).copied().unwrap_or(0.0);
     let least_utilisation = machines
         .iter()
@@ -150,7 +150,7 @@
         })
         .map(|used| used.utilisation)
         .min_by(f64::total_cmp);
-    band::TypeLoad {
+    band::PoolLoad {
         miss_share: misses.shares.get(pool).copied().unwrap_or(0.0),
         queue_share: queued / f64::from(waiting.total.max(1)),
         least_utilisation,
--- a/src/coordination/leader/fleet/mod.rs
+++ b/src/coordination/leader/fleet/mod.rs
@@ -49,7 +49,7 @@
         let cloud_rate_limiter = Arc::new(RateLimiter::new(
             (self.context.config.cloud_rps * CLOUD_RATE_FRACTION).max(MIN_CLOUD_CALLS_PER_SECOND),
         ));
-        while self.context.pause(PASS_INTERVAL).await {
+        while self.context.sleep_unless_stopped(PASS_INTERVAL).await {
             if !self.context.store.is_loaded()
                 || !self.context.store.is_reachable()
                 || self.context.leadership().is_none()
--- a/src/coordination/leader/fleet/provisioning.rs
+++ b/src/coordination/leader/fleet/provisioning.rs
@@ -55,7 +55,7 @@
                     .fleet
                     .next_provision_id(PROVISION_ID_PREFIX, self.context.config.incarnation);
                 let record = ProvisionRecord {
-                    kind: plan.pool.kind.clone(),
+                    machine_type: plan.pool.machine_type.clone(),
                     zone: plan.zone.clone(),
                     spot: plan.pool.spot,
                     count: plan.count,
@@ -126,7 +126,7 @@
     async fn provision(&self, request: &NamedRequest) {
         let NamedRequest { name, record } = request;
         let wanted = ProvisionRequest {
-            kind: record.kind.clone(),
+            machine_type: record.machine_type.clone(),
             zone: record.zone.clone(),
             spot: record.spot,
             count: record.count,
@@ -142,7 +142,7 @@
         match answer {
             Ok(machines) => self.record_provisioned(request, revision, machines).await,
             Err(CloudError::NoCapacity) => {
-                tracing::info!(%name, kind = %record.kind, zone = %record.zone,
+                tracing::info!(%name, kind = %record.machine_type, zone = %record.zone,
                     spot = record.spot, "no capacity");
                 self.record_refusal(record, record.count);
                 self.finish_request(name, revision, None).await;
@@ -167,7 +167,7 @@
         machines: Vec<MachineId>,
     ) {
         let NamedRequest { name, record } = request;
-        tracing::info!(%name, kind = %record.kind, zone = %record.zone,
+        tracing::info!(%name, kind = %record.machine_type, zone = %record.zone,
             spot = record.spot, asked = record.count, got = machines.len(), "machines provisioned");
         if machines.len() < record.count as usize {
             self.record_refusal(record, record.count - machines.len() as u32);
@@ -176,7 +176,7 @@
             lock(&self.state).fleet.refused_targets.remove(&target);
         }
         let group = (!machines.is_empty()).then(|| MachineGroupRecord {
-            kind: record.kind.clone(),
+            machine_type: record.machine_type.clone(),
             zone: record.zone.clone(),
             spot: record.spot,
             provisioned_ms: record.at_ms,
--- a/src/coordination/leader/fleet/provisioning_options/capacity_refusal.rs
+++ b/src/coordination/leader/fleet/provisioning_options/capacity_refusal.rs
@@ -16,11 +16,11 @@
 /// Number of refusals in a row after which the backoff is no longer doubled.
 const MAX_REFUSAL_STREAK: u32 = 3;
 
-/// A machine type, spot or ordinary, in one zone.
+/// A machine type, spot or on-demand, in one zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProvisionTarget {
     /// The cloud's machine type.
-    pub kind: TypeName,
+    pub machine_type: TypeName,
     /// The zone.
     pub zone: ZoneName,
     /// Whether it is a spot machine.
@@ -31,7 +31,7 @@
     /// Returns the target for a pool's machines in this zone.
     pub(super) fn of_pool(pool: &Pool, zone: &ZoneName) -> Self {
         Self {
-            kind: pool.kind.clone(),
+            machine_type: pool.machine_type.clone(),
             zone: zone.clone(),
             spot: pool.spot,
         }
@@ -41,7 +41,7 @@
 impl From<&ProvisionRecord> for ProvisionTarget {
     fn from(record: &ProvisionRecord) -> Self {
         Self {
-            kind: record.kind.clone(),
+            machine_type: record.machine_type.clone(),
             zone: record.zone.clone(),
             spot: record.spot,
         }
--- a/src/coordination/leader/fleet/provisioning_options/demand.rs
+++ b/src/coordination/leader/fleet/provisioning_options/demand.rs
@@ -11,7 +11,7 @@
     coordination::{
         leader::{
             pool::{Pool, SuitedTasks},
-            routing::Unplaced,
+            routing::UnplacedTasks,
         },
         policy::{placement, zone_constraint::ZoneConstraint},
         zone_usage,
@@ -31,8 +31,8 @@
 /// machine while it starts, is reported by a heartbeat and has its end recorded.
 const MIN_PAID_FRACTION: f64 = 0.05;
 
-/// A best-effort array job of which no task runs after this time may use ordinary machines as well,
-/// since spot machines may never become available.
+/// A best-effort array job of which no task runs after this time may use on-demand machines as
+/// well, since spot machines may never become available.
 const SPOT_ONLY_PERIOD: Duration = Duration::from_secs(120);
 
 /// The constraints on machines that are provisioned for a job with waiting tasks.
@@ -60,13 +60,14 @@
 
 impl ProvisioningOptions<'_> {
     /// Returns the demand of a job with waiting tasks; `None` if the job is not known.
-    fn demand(&self, waiting: &Unplaced) -> Option<JobDemand> {
+    fn demand(&self, waiting: &UnplacedTasks) -> Option<JobDemand> {
         let job = self.cache.jobs.get(&waiting.job)?;
         let spec = job.spec()?;
         let constraint = zone_usage::job_constraint(self.cache, job);
-        let may_wait_for_spot = job.present() > 0 || spec.age(self.wall_time) < SPOT_ONLY_PERIOD;
-        let spot_only = spec.is_idle_work() && spec.spot && may_wait_for_spot;
-        if spec.assigned_zone.is_none() || job.present() > 0 {
+        let may_wait_for_spot =
+            job.present_tasks() > 0 || spec.age(self.wall_time) < SPOT_ONLY_PERIOD;
+        let spot_only = spec.is_best_effort_array() && spec.spot && may_wait_for_spot;
+        if spec.assigned_zone.is_none() || job.present_tasks() > 0 {
             return Some(JobDemand {
                 spec: spec.clone(),
                 constraint,
@@ -88,7 +89,7 @@
 
     /// Returns the pools that best suit a job's waiting tasks, among the targets that the cloud
     /// has not recently refused. Tasks that no available target can run are left out.
-    pub fn suitable_pools_for_waiting(&self, waiting: &Unplaced) -> Vec<SuitedTasks> {
+    pub fn suitable_pools_for_waiting(&self, waiting: &UnplacedTasks) -> Vec<SuitedTasks> {
         let Some(demand) = self.demand(waiting) else {
             return Vec::new();
         };
@@ -99,7 +100,7 @@
     /// ones. Places the tasks that fit on the booting machines there.
     pub fn machines_needed(
         &self,
-        unplaced: &[Unplaced],
+        unplaced: &[UnplacedTasks],
         booting: &mut [placement::CandidateMachine],
     ) -> BTreeMap<Pool, f64> {
         let mut needed: BTreeMap<Pool, f64> = BTreeMap::new();
@@ -114,11 +115,11 @@
                 continue;
             }
             for SuitedTasks { pool, tasks } in self.suitable_pools(demand, remaining, true) {
-                let Some(kind) = self.cache.machine_type(&pool.kind) else {
+                let Some(machine_type) = self.cache.machine_type(&pool.machine_type) else {
                     continue;
                 };
-                let tasks_per_machine = spec.per_task.count_in(&kind.size).max(1);
-                if self.may_underfill_machine(waiting, spec, kind.hourly_price(pool.spot)) {
+                let tasks_per_machine = spec.per_task.count_in(&machine_type.size).max(1);
+                if self.may_underfill_machine(waiting, spec, machine_type.hourly_price(pool.spot)) {
                     may_be_underfilled.insert(pool.clone());
                 }
                 let machines = f64::from(tasks) / f64::from(tasks_per_machine);
@@ -137,7 +138,7 @@
     /// all of them at once, an array of thousands of tasks of a few seconds would bring up a fleet
     /// that is idle right afterwards (exception to section 5.4, see docs/DESIGN.md).
     fn paid_fraction(&self, spec: &JobSpec) -> f64 {
-        if !spec.is_idle_work() {
+        if !spec.is_best_effort_array() {
             return 1.0;
         }
         let paid_seconds = self.first_paid_period.as_secs_f64().max(1.0);
@@ -148,7 +149,7 @@
     /// Returns whether a machine with the price `rate` may be provisioned for the tasks even if
     /// they do not fill it: the machine is not expensive, or the tasks are overdue, belong to a
     /// service or have production priority.
-    fn may_underfill_machine(&self, waiting: &Unplaced, spec: &JobSpec, rate: f64) -> bool {
+    fn may_underfill_machine(&self, waiting: &UnplacedTasks, spec: &JobSpec, rate: f64) -> bool {
         rate <= self.lowest_rate(spec) * EXPENSIVE_PRICE_FACTOR
             || waiting.overdue
             || spec.kind == JobKind::Service
@@ -159,12 +160,14 @@
     /// available.
     fn lowest_rate(&self, spec: &JobSpec) -> f64 {
         self.machine_types()
-            .filter(|kind| spec.allows_type(&kind.name) && spec.per_task.fits_in(&kind.size))
-            .map(|kind| {
+            .filter(|machine_type| {
+                spec.allows_type(&machine_type.name) && spec.per_task.fits_in(&machine_type.size)
+            })
+            .map(|machine_type| {
                 if spec.spot {
-                    kind.price.min(kind.spot_price)
+                    machine_type.price.min(machine_type.spot_price)
                 } else {
-                    kind.price
+                    machine_type.price
                 }
             })
             .fold(f64::INFINITY, f64::min)
--- a/src/coordination/leader/fleet/provisioning_options/machines.rs
+++ b/src/coordination/leader/fleet/provisioning_options/machines.rs
@@ -45,10 +45,10 @@
         .iter()
         .filter(|(id, _)| !is_up(id))
         .filter_map(|(_, record)| {
-            let kind = cache.machine_type(&record.kind)?;
+            let machine_type = cache.machine_type(&record.machine_type)?;
             let age = Duration::from_millis(now_ms.saturating_sub(record.provisioned_ms));
-            (age < kind.boot.mul_f64(MAX_BOOT_FACTOR))
-                .then(|| empty_candidate(kind, &record.zone, record.spot))
+            (age < machine_type.boot.mul_f64(MAX_BOOT_FACTOR))
+                .then(|| empty_candidate(machine_type, &record.zone, record.spot))
         })
         .collect()
 }
@@ -60,9 +60,9 @@
     let mut candidates = Vec::new();
     for entry in cache.provision_requests.values() {
         let request = &entry.value;
-        if let Some(kind) = cache.machine_type(&request.kind) {
+        if let Some(machine_type) = cache.machine_type(&request.machine_type) {
             for _ in 0..request.count {
-                candidates.push(empty_candidate(kind, &request.zone, request.spot));
+                candidates.push(empty_candidate(machine_type, &request.zone, request.spot));
             }
         }
     }
@@ -77,7 +77,7 @@
     now_ms: u64,
     is_up: impl Fn(&MachineId) -> bool,
 ) -> Vec<UsedMachine> {
-    let kinds: Vec<&MachineType> = cache
+    let machine_types: Vec<&MachineType> = cache
         .catalog
         .iter()
         .flat_map(|entry| entry.value.types.iter())
@@ -87,14 +87,17 @@
         .iter()
         .filter(|(id, _)| is_up(id))
         .filter_map(|(id, record)| {
-            let kind_index = kinds.iter().position(|kind| kind.name == record.kind)?;
-            let size = kinds[kind_index].size;
-            let load = cache.on_machine.get(id);
+            let type_index = machine_types
+                .iter()
+                .position(|machine_type| machine_type.name == record.machine_type)?;
+            let size = machine_types[type_index].size;
+            let load = cache.machine_loads.get(id);
             let age = Duration::from_millis(now_ms.saturating_sub(record.provisioned_ms));
             let utilisation = scale_in::MachineUtilisation {
                 id: id.clone(),
-                type_index: kind_index,
-                utilisation: load.map_or(0.0, |load| load.taken.cpus) / size.cpus.max(MIN_CPUS),
+                type_index,
+                utilisation: load.map_or(0.0, |load| load.used_resources.cpus)
+                    / size.cpus.max(MIN_CPUS),
                 computing_power: size.cpus,
                 shard: cache.shard_of(id).map_or(0, |(shard, _)| shard.0),
                 paid_left: paid_periods.time_left(age),
--- a/src/coordination/leader/fleet/provisioning_options/mod.rs
+++ b/src/coordination/leader/fleet/provisioning_options/mod.rs
@@ -118,10 +118,10 @@
                 count,
             }];
         }
-        let Some(kind) = self.cache.machine_type(&pool.kind) else {
+        let Some(machine_type) = self.cache.machine_type(&pool.machine_type) else {
             return Vec::new();
         };
-        let mut shares: Vec<ZoneShare> = kind
+        let mut shares: Vec<ZoneShare> = machine_type
             .zones
             .iter()
             .filter(|zone| self.is_available(&ProvisionTarget::of_pool(pool, zone)))
--- a/src/coordination/leader/fleet/provisioning_options/suitability_search.rs
+++ b/src/coordination/leader/fleet/provisioning_options/suitability_search.rs
@@ -14,9 +14,9 @@
 /// Lower bound on the rate at which images are assumed to be fetched.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
-/// A machine type in one zone, spot or ordinary, on which tasks of a job may run.
+/// A machine type in one zone, spot or on-demand, on which tasks of a job may run.
 struct PossibleTarget<'a> {
-    kind: &'a MachineType,
+    machine_type: &'a MachineType,
     target: ProvisionTarget,
 }
 
@@ -66,19 +66,22 @@
     ) -> Vec<PossibleTarget<'a>> {
         let spec = &demand.spec;
         let mut targets = Vec::new();
-        let types = self
-            .machine_types()
-            .filter(|kind| spec.per_task.fits_in(&kind.size) && spec.allows_type(&kind.name));
-        for kind in types {
-            for zone in self.zones_by_machine_count(kind) {
+        let types = self.machine_types().filter(|machine_type| {
+            spec.per_task.fits_in(&machine_type.size) && spec.allows_type(&machine_type.name)
+        });
+        for machine_type in types {
+            for zone in self.zones_by_machine_count(machine_type) {
                 for spot in [true, false] {
                     let target = ProvisionTarget {
-                        kind: kind.name.clone(),
+                        machine_type: machine_type.name.clone(),
                         zone: zone.clone(),
                         spot,
                     };
                     if demand.admits(&target) && (!only_available || self.is_available(&target)) {
-                        targets.push(PossibleTarget { kind, target });
+                        targets.push(PossibleTarget {
+                            machine_type,
+                            target,
+                        });
                     }
                 }
             }
@@ -87,8 +90,8 @@
     }
 
     /// Returns the zones of a machine type, those with the fewest machines first.
-    fn zones_by_machine_count(&self, kind: &'a MachineType) -> Vec<&'a ZoneName> {
-        let mut zones: Vec<&ZoneName> = kind.zones.iter().collect();
+    fn zones_by_machine_count(&self, machine_type: &'a MachineType) -> Vec<&'a ZoneName> {
+        let mut zones: Vec<&ZoneName> = machine_type.zones.iter().collect();
         zones.sort_by_key(|zone| self.machine_count(zone));
         zones
     }
@@ -105,22 +108,26 @@
     ) -> Option<Pool> {
         let mut pools: Vec<Pool> = Vec::new();
         let mut candidates = Vec::new();
-        for PossibleTarget { kind, target } in targets {
+        for PossibleTarget {
+            machine_type,
+            target,
+        } in targets
+        {
             let ProvisionTarget {
-                kind: type_name,
+                machine_type: type_name,
                 zone,
                 spot,
             } = target;
-            let is_known = |pool: &Pool| pool.kind == type_name && pool.spot == spot;
+            let is_known = |pool: &Pool| pool.machine_type == type_name && pool.spot == spot;
             if !by_zone && pools.iter().any(is_known) {
                 continue;
             }
             pools.push(Pool {
-                kind: type_name,
+                machine_type: type_name,
                 spot,
                 zone: Some(zone),
             });
-            candidates.push(candidate(spec, tasks, kind, spot));
+            candidates.push(candidate(spec, tasks, machine_type, spot));
         }
         suitability::best(&candidates, self.suitability_k).map(|index| pools.swap_remove(index))
     }
@@ -137,13 +144,18 @@
 }
 
 /// Returns the time and the cost per task of running the tasks on new machines of this type.
-fn candidate(spec: &JobSpec, tasks: u32, kind: &MachineType, spot: bool) -> suitability::Candidate {
-    let tasks_per_machine = spec.per_task.count_in(&kind.size).max(1);
-    let fetch_seconds = spec.image_gb / kind.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
-    let time = kind.boot + Duration::from_secs_f64(fetch_seconds) + spec.estimate;
+fn candidate(
+    spec: &JobSpec,
+    tasks: u32,
+    machine_type: &MachineType,
+    spot: bool,
+) -> suitability::Candidate {
+    let tasks_per_machine = spec.per_task.count_in(&machine_type.size).max(1);
+    let fetch_seconds = spec.image_gb / machine_type.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
+    let time = machine_type.boot + Duration::from_secs_f64(fetch_seconds) + spec.estimate;
     let machines_per_task = f64::from(tasks.div_ceil(tasks_per_machine)) / f64::from(tasks);
     suitability::Candidate {
         time,
-        cost: machines_per_task * kind.hourly_price(spot) * time.as_secs_f64(),
+        cost: machines_per_task * machine_type.hourly_price(spot) * time.as_secs_f64(),
     }
 }
--- a/src/coordination/leader/fleet/release.rs
+++ b/src/coordination/leader/fleet/release.rs
@@ -91,7 +91,7 @@
         entry.revision <= cache.revision
             && entry.value.machines.get(machine) == Some(&MachineUse::Cordoned)
     });
-    is_cordoned && !cache.on_machine.contains_key(machine)
+    is_cordoned && !cache.machine_loads.contains_key(machine)
 }
 
 impl Leader {
@@ -138,7 +138,7 @@
             Err(error) => {
                 tracing::info!(%error, machines = machines.len(), "release to be retried");
                 let delay = jitter::millis(MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS);
-                self.context.pause(delay).await;
+                self.context.sleep_unless_stopped(delay).await;
             }
         }
         let mut state = lock(&self.state);
--- a/src/coordination/leader/miss_rate.rs
+++ b/src/coordination/leader/miss_rate.rs
@@ -35,8 +35,8 @@
 impl Progress {
     fn of(job: &Job) -> Self {
         Self {
-            started: job.placed + job.done,
-            done: job.done,
+            started: job.placed_tasks + job.completed_tasks,
+            done: job.completed_tasks,
         }
     }
 
@@ -202,7 +202,7 @@
             },
             None => EvaluatedTasks {
                 tasks: current.started.saturating_sub(before.started),
-                missed: self.starved_for(id) > start_target && !spec.is_idle_work(),
+                missed: self.starved_for(id) > start_target && !spec.is_best_effort_array(),
             },
         }
     }
--- a/src/coordination/leader/miss_rate/tests.rs
+++ b/src/coordination/leader/miss_rate/tests.rs
@@ -6,7 +6,7 @@
 #[tokio::test(start_paused = true)]
 async fn overdue_tasks_count_as_missed() {
     let pool = Pool {
-        kind: TypeName::new("t"),
+        machine_type: TypeName::new("t"),
         spot: false,
         zone: None,
     };
--- a/src/coordination/leader/pool.rs
+++ b/src/coordination/leader/pool.rs
@@ -4,12 +4,12 @@
 
 use crate::storage::{TypeName, ZoneName, records::MachineRecord};
 
-/// Machines that are equivalent for waiting tasks: of one type, either spot or ordinary, and
+/// Machines that are equivalent for waiting tasks: of one type, either spot or on-demand, and
 /// in one zone if the tasks are bound to zones.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pool {
     /// The cloud's machine type.
-    pub kind: TypeName,
+    pub machine_type: TypeName,
     /// Whether the machines are spot machines.
     pub spot: bool,
     /// The zone that the tasks need, or none if any zone will do.
@@ -19,7 +19,7 @@
 impl Pool {
     /// Whether a machine belongs to the pool.
     pub fn contains(&self, machine: &MachineRecord) -> bool {
-        machine.kind == self.kind
+        machine.machine_type == self.machine_type
             && machine.spot == self.spot
             && self.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
     }
@@ -28,7 +28,7 @@
 impl fmt::Display for Pool {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let kind = if self.spot { "spot" } else { "ordinary" };
-        write!(f, "{}/{kind}", self.kind)?;
+        write!(f, "{}/{kind}", self.machine_type)?;
         match &self.zone {
             Some(zone) => write!(f, "/{zone}"),
             None => Ok(()),
--- a/src/coordination/leader/rebalance.rs
+++ b/src/coordination/leader/rebalance.rs
@@ -50,7 +50,7 @@
 /// Running tasks are not affected. New ones are not placed on the shard while it moves, so no
 /// move starts while tasks wait for room.
 pub(super) fn rebalance(cache: &StateCache, state: &mut LeaderState, now: Instant) {
-    if state.moving.len() >= MAX_CONCURRENT_MOVES || !state.unplaced.is_empty() {
+    if state.shard_moves.len() >= MAX_CONCURRENT_MOVES || !state.unplaced.is_empty() {
         return;
     }
     if let Some(best) = best_move(cache, state) {
@@ -59,7 +59,7 @@
             to: best.to,
             since: now,
         };
-        state.moving.insert(best.shard, shard_move);
+        state.shard_moves.insert(best.shard, shard_move);
     }
 }
 
@@ -70,7 +70,7 @@
     for (id, entry) in &cache.shards {
         let shard = &entry.value;
         if shard.machines.is_empty()
-            || state.moving.contains_key(id)
+            || state.shard_moves.contains_key(id)
             || !cache.has_current_owner(shard)
         {
             continue;
@@ -168,10 +168,10 @@
             .avoided_owners
             .insert(shard.controller.clone(), now);
         owner_unreachable.retain(|machine, _| !shard.machines.contains_key(machine));
-        if !state.moving.contains_key(id) {
+        if !state.shard_moves.contains_key(id) {
             tracing::info!(shard = %id, from = %shard.controller, %to, lost = lost_machines,
                 "shard owner cannot reach its machines; moving the shard");
-            state.moving.insert(*id, ShardMove { to, since: now });
+            state.shard_moves.insert(*id, ShardMove { to, since: now });
         }
     }
     owner_unreachable
--- a/src/coordination/leader/routing/candidates.rs
+++ b/src/coordination/leader/routing/candidates.rs
@@ -54,7 +54,7 @@
     /// Learned speed relative to other machines of the type; 1 is typical.
     pub speed: f64,
     /// Resources of ended tasks that the state cache still counts as used.
-    pub freed: Resources,
+    pub freed_resources: Resources,
 }
 
 /// Looks up an owner's machine; returns `None` if it takes no tasks at present.
@@ -107,15 +107,15 @@
     id: &MachineId,
 ) -> Option<CandidateMachine> {
     let record = cache.machines.get(id)?;
-    let machine_type = cache.machine_type(&record.kind)?;
+    let machine_type = cache.machine_type(&record.machine_type)?;
     let machine = usable(&shard.controller, id)?;
     let mut free = machine_type.size;
-    free -= cache.taken(id);
+    free -= cache.used_resources(id);
     // An owner's status is up to one second old and may still report freed resources that the
     // cache no longer counts as used. The free resources are therefore limited to the machine's
     // size.
-    if cache.on_machine.contains_key(id) {
-        free += machine.freed;
+    if cache.machine_loads.contains_key(id) {
+        free += machine.freed_resources;
         free = free.at_most(&machine_type.size);
     }
     Some(CandidateMachine {
--- a/src/coordination/leader/routing/gangs.rs
+++ b/src/coordination/leader/routing/gangs.rs
@@ -59,7 +59,7 @@
     ) -> bool {
         let QueuedJob { id, job, .. } = queued;
         let now = self.now;
-        if job.present() == 0 {
+        if job.present_tasks() == 0 {
             self.gangs.remove(*id);
             return true;
         }
@@ -68,7 +68,7 @@
             last_evicted: None,
         };
         let gang = self.gangs.entry((*id).clone()).or_insert(new_gang);
-        let can_join = job.may_join();
+        let can_join = job.can_place_waiting_gang_tasks();
         if can_join && now.duration_since(gang.since) < PARTIAL_GANG_TIMEOUT {
             return true;
         }
--- a/src/coordination/leader/routing/mod.rs
+++ b/src/coordination/leader/routing/mod.rs
@@ -27,7 +27,7 @@
 pub use candidates::{FreeCapacity, UsableMachine, candidate_machines};
 pub use reclaim::Reclaiming;
 pub use requirements::PlacementRequirements;
-pub use result::{QuotaDemand, RoutingCounts, RoutingResult, Unplaced, ZoneAssignment};
+pub use result::{QuotaDemand, RoutingCounts, RoutingResult, UnplacedTasks, ZoneAssignment};
 pub use state::{
     ExpiredOffersByJob, OutstandingOffers, PartialGangs, PendingPreemptions, RecordAffinity,
 };
@@ -64,7 +64,7 @@
     /// The machines that tasks can be routed to; the pass deducts what it places.
     pub free_capacity: FreeCapacity,
     /// Outstanding offers of earlier passes.
-    pub offered: &'a mut OutstandingOffers,
+    pub outstanding_offers: &'a mut OutstandingOffers,
     /// Preemptions requested in earlier passes.
     pub pending_preemptions: &'a mut PendingPreemptions,
     /// Tasks of the lowest priority that are being preempted, see [`reclaim`].
@@ -120,7 +120,7 @@
             }
         }
         let unplaced = result.unplaced.iter().map(|unplaced| unplaced.tasks);
-        let outstanding: usize = self.offered.values().map(BTreeMap::len).sum();
+        let outstanding: usize = self.outstanding_offers.values().map(BTreeMap::len).sum();
         result.counts.unplaced = unplaced.map(|tasks| tasks as usize).sum();
         result.counts.offered = result.offered;
         result.counts.under_way = outstanding - result.offered;
@@ -149,7 +149,7 @@
         result: &mut RoutingResult,
     ) {
         let QueuedJob { id, spec, job, .. } = queued;
-        let outstanding = self.offered.get(*id).map_or(0, BTreeMap::len);
+        let outstanding = self.outstanding_offers.get(*id).map_or(0, BTreeMap::len);
         let waiting = (job.waiting() as usize).saturating_sub(outstanding);
         let within_limit = self.tasks_within_limit(spec, used);
         let tried = if self.is_on_probation(id) { 1 } else { waiting };
@@ -186,7 +186,9 @@
     ) {
         let QueuedJob { id, spec, .. } = queued;
         let is_gang = spec.kind == JobKind::Gang;
-        if is_gang && (self.offered.contains_key(*id) || !self.may_route_gang(queued, result)) {
+        if is_gang
+            && (self.outstanding_offers.contains_key(*id) || !self.may_route_gang(queued, result))
+        {
             return;
         }
         let mut tasks = self.tasks_to_route(queued);
@@ -212,7 +214,7 @@
         } else {
             MAX_TASKS_PER_JOB_PER_PASS
         };
-        let outstanding = self.offered.get(*id);
+        let outstanding = self.outstanding_offers.get(*id);
         let waiting = job.waiting_tasks(max_tasks).into_iter();
         let mut tasks: Vec<u32> = waiting
             .filter(|task| outstanding.is_none_or(|tasks| !tasks.contains_key(task)))
--- a/src/coordination/leader/routing/offers.rs
+++ b/src/coordination/leader/routing/offers.rs
@@ -19,7 +19,7 @@
     /// outstanding ones.
     pub(super) fn expire_offers(&mut self, used: &mut QuotaUsage) {
         self.remove_ended_offers();
-        if !self.offered.is_empty() {
+        if !self.outstanding_offers.is_empty() {
             self.reserve_outstanding_offers(used);
         }
     }
@@ -28,7 +28,7 @@
         let (cache, now, ttl) = (self.cache, self.now, self.offer_ttl);
         let expired_offers = &mut *self.expired_offers;
         expired_offers.retain(|_, expired| now.duration_since(expired.last) < EXPIRED_OFFERS_TTL);
-        self.offered.retain(|id, tasks| {
+        self.outstanding_offers.retain(|id, tasks| {
             let Some(job) = cache.jobs.get(id) else {
                 return false;
             };
@@ -57,7 +57,7 @@
         let index_of: BTreeMap<MachineId, usize> = candidates
             .map(|(index, candidate)| (candidate.machine.clone(), index))
             .collect();
-        for (id, tasks) in self.offered.iter() {
+        for (id, tasks) in self.outstanding_offers.iter() {
             let Some(spec) = self.cache.jobs.get(id).and_then(Job::spec) else {
                 continue;
             };
@@ -91,7 +91,7 @@
             machine: candidate.machine.clone(),
             offered_at: self.now,
         };
-        self.offered
+        self.outstanding_offers
             .entry(id.clone())
             .or_default()
             .insert(task, offered);
--- a/src/coordination/leader/routing/preemption.rs
+++ b/src/coordination/leader/routing/preemption.rs
@@ -111,7 +111,7 @@
     /// `None` if there are not enough of them.
     fn victims_for_quota(&self, spec: &JobSpec) -> Option<Vec<(ControllerName, TaskId)>> {
         let mut victims: Vec<Victim<'_>> = Vec::new();
-        for (machine, load) in &self.cache.on_machine {
+        for (machine, load) in &self.cache.machine_loads {
             if !load.teams.iter().any(|(team, _)| *team == spec.team) {
                 continue;
             }
@@ -213,7 +213,7 @@
         {
             return None;
         }
-        let load = self.cache.on_machine.get(&candidate.machine);
+        let load = self.cache.machine_loads.get(&candidate.machine);
         let tasks = load.into_iter().flat_map(|load| &load.tasks);
         let mut victims: Vec<Victim<'_>> = tasks
             .filter_map(|(task, placed)| {
--- a/src/coordination/leader/routing/queue_order.rs
+++ b/src/coordination/leader/routing/queue_order.rs
@@ -80,10 +80,12 @@
     ) -> Option<QueuedJob<'b>> {
         let job = cache.jobs.get(id)?;
         let spec = job.spec()?;
-        if self.is_on_probation(id) && (job.present() > 0 || self.offered.contains_key(id)) {
+        if self.is_on_probation(id)
+            && (job.present_tasks() > 0 || self.outstanding_offers.contains_key(id))
+        {
             return None;
         }
-        let started = job.placed + job.done > 0;
+        let started = job.placed_tasks + job.completed_tasks > 0;
         let borrows = self.borrows(spec, used);
         let (priority, borrows) =
             aged_priority(spec.priority, borrows, started, spec.age(self.wall_time));
--- a/src/coordination/leader/routing/quota_use.rs
+++ b/src/coordination/leader/routing/quota_use.rs
@@ -18,7 +18,7 @@
     pub(super) fn of(cache: &StateCache, owners: &[ControllerName]) -> Self {
         let used_by = |owner| cache.quota_used(cache.machines_of(owner));
         Self {
-            total: cache.quota_used(cache.on_machine.keys()),
+            total: cache.quota_used(cache.machine_loads.keys()),
             by_owner: owners.iter().map(used_by).collect(),
         }
     }
--- a/src/coordination/leader/routing/reclaim.rs
+++ b/src/coordination/leader/routing/reclaim.rs
@@ -78,7 +78,7 @@
 
 /// Whether running tasks of this job may be preempted for tasks of a higher priority.
 fn is_reclaimable(spec: &JobSpec) -> bool {
-    spec.is_idle_work() && spec.estimate > SHORT_TASK_RUN_TIME
+    spec.is_best_effort_array() && spec.estimate > SHORT_TASK_RUN_TIME
 }
 
 impl RoutingPass<'_> {
@@ -131,7 +131,7 @@
     fn find_reclaimable(&self) -> Vec<ReclaimableMachine> {
         let mut machines = Vec::new();
         for (candidate, machine) in self.free_capacity.candidates.iter().enumerate() {
-            let Some(load) = self.cache.on_machine.get(&machine.machine) else {
+            let Some(load) = self.cache.machine_loads.get(&machine.machine) else {
                 continue;
             };
             let mut victims: Vec<Victim> = Vec::new();
--- a/src/coordination/leader/routing/records.rs
+++ b/src/coordination/leader/routing/records.rs
@@ -29,7 +29,7 @@
                 }
             }
         }
-        for (task, offered) in self.offered.get(id).into_iter().flatten() {
+        for (task, offered) in self.outstanding_offers.get(id).into_iter().flatten() {
             if task / keys::TASKS_PER_RUN_RECORD == record {
                 controllers.insert(&offered.controller);
             }
--- a/src/coordination/leader/routing/result.rs
+++ b/src/coordination/leader/routing/result.rs
@@ -9,7 +9,7 @@
 
 /// Tasks of a job that fit on no machine.
 #[derive(Clone, Debug)]
-pub struct Unplaced {
+pub struct UnplacedTasks {
     /// Their job.
     pub job: JobId,
     /// Number of tasks.
@@ -64,7 +64,7 @@
     /// Tasks to offer to each owner.
     pub offers: BTreeMap<ControllerName, Vec<Offer>>,
     /// Tasks that fit on no machine, for which machines are provisioned.
-    pub unplaced: Vec<Unplaced>,
+    pub unplaced: Vec<UnplacedTasks>,
     /// Quota that an owner lacks for tasks that it has capacity for.
     pub deficit: BTreeMap<(ControllerName, TeamName), Quota>,
     /// Tasks with capacity that lack quota, the most urgent first (in queue order).
--- a/src/coordination/leader/routing/unplaced.rs
+++ b/src/coordination/leader/routing/unplaced.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use super::{
-    PlacementRequirements, QuotaDemand, RoutingPass, RoutingResult, Unplaced,
+    PlacementRequirements, QuotaDemand, RoutingPass, RoutingResult, UnplacedTasks,
     queue_order::QueuedJob, quota_use::QuotaUsage,
 };
 use crate::{
@@ -224,7 +224,7 @@
         // later tasks of the team.
         let quota = Quota::from(&spec.per_task).times(f64::from(tasks));
         used.add_unplaced(&spec.team, &quota);
-        result.unplaced.push(Unplaced {
+        result.unplaced.push(UnplacedTasks {
             job: queued.id.clone(),
             tasks,
             overdue: self.is_overdue(spec),
@@ -232,12 +232,12 @@
     }
 
     /// Whether unplaced tasks of this job have waited longer than the start target or will miss
-    /// their deadline. Idle work without a deadline is never overdue.
+    /// their deadline. A best-effort array job without a deadline is never overdue.
     fn is_overdue(&self, spec: &JobSpec) -> bool {
         let age = spec.age(self.wall_time);
         match spec.deadline {
             Some(deadline) => age + spec.estimate > deadline,
-            None => age > self.start_target && !spec.is_idle_work(),
+            None => age > self.start_target && !spec.is_best_effort_array(),
         }
     }
 }
--- a/src/coordination/leader/routing/zone_bound.rs
+++ b/src/coordination/leader/routing/zone_bound.rs
@@ -51,7 +51,7 @@
             }
             return true;
         };
-        let is_unplaced = job.present() == 0 && !self.offered.contains_key(*id);
+        let is_unplaced = job.present_tasks() == 0 && !self.outstanding_offers.contains_key(*id);
         let has_capacity = capacity
             .get(assigned_zone)
             .is_some_and(|tasks| *tasks >= needed);
@@ -122,7 +122,7 @@
         if !queued.spec.is_zone_bound() {
             return;
         }
-        let outstanding = self.offered.get(queued.id);
+        let outstanding = self.outstanding_offers.get(queued.id);
         for (task, offered) in outstanding.into_iter().flatten() {
             if let Some(record) = self.cache.machines.get(&offered.machine)
                 && counts(*task)
--- a/src/coordination/leader/shard_leasing.rs
+++ b/src/coordination/leader/shard_leasing.rs
@@ -97,8 +97,8 @@
         drop_finished_moves(cache, &mut state);
         state.fleet.draining_machines.refresh(cache);
         ShardPlanInputs {
-            moving: state
-                .moving
+            shard_moves: state
+                .shard_moves
                 .iter()
                 .map(|(id, shard_move)| (*id, shard_move.to.clone()))
                 .collect(),
@@ -116,7 +116,7 @@
                 .min(MAX_OPS_PER_COMMIT),
             controllers_transfer,
             free_quota: state.free_quota.clone(),
-            in_flight: quota_in_flight(cache, &state.offered),
+            in_flight: quota_in_flight(cache, &state.outstanding_offers),
             demand: state.demand.clone(),
         }
     }
@@ -144,7 +144,7 @@
 
 /// Drops shard moves that have happened, or have exceeded [`SHARD_MOVE_TIMEOUT`].
 fn drop_finished_moves(cache: &StateCache, state: &mut LeaderState) {
-    state.moving.retain(|id, shard_move| {
+    state.shard_moves.retain(|id, shard_move| {
         shard_move.since.elapsed() < SHARD_MOVE_TIMEOUT
             && cache
                 .shards
@@ -156,10 +156,10 @@
 /// Returns the quota of tasks that are offered to owners and not yet placed.
 fn quota_in_flight(
     cache: &StateCache,
-    offered: &OutstandingOffers,
+    outstanding_offers: &OutstandingOffers,
 ) -> BTreeMap<(ControllerName, TeamName), Quota> {
     let mut in_flight: BTreeMap<(ControllerName, TeamName), Quota> = BTreeMap::new();
-    for (id, tasks) in offered {
+    for (id, tasks) in outstanding_offers {
         let Some(job) = cache.jobs.get(id) else {
             continue;
         };
--- a/src/coordination/leader/shards/inputs.rs
+++ b/src/coordination/leader/shards/inputs.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Default)]
 pub struct ShardPlanInputs {
     /// Shards that are to be leased to another controller, after they were cordoned.
-    pub moving: BTreeMap<ShardId, ControllerName>,
+    pub shard_moves: BTreeMap<ShardId, ControllerName>,
     /// Machines that are to be cordoned since they are being released.
     pub releasing: BTreeSet<MachineId>,
     /// The machines that are draining.
--- a/src/coordination/leader/shards/machine_assignment.rs
+++ b/src/coordination/leader/shards/machine_assignment.rs
@@ -161,7 +161,7 @@
         // An idle machine is not marked as draining: the leader routes no tasks to it, which
         // needs no change of the shard. A machine that was marked and is now idle keeps the
         // mark, which needs no change either; without it its owner would place replicas there.
-        let is_idle = !self.cache.on_machine.contains_key(machine);
+        let is_idle = !self.cache.machine_loads.contains_key(machine);
         let is_marked = current_use == MachineUse::Draining;
         if inputs.draining_machines.contains(machine) && (is_marked || !is_idle) {
             return MachineUse::Draining;
--- a/src/coordination/leader/shards/moves.rs
+++ b/src/coordination/leader/shards/moves.rs
@@ -25,7 +25,7 @@
     pub(super) fn move_shards(&mut self, inputs: &ShardPlanInputs) {
         for (id, entry) in &self.cache.shards {
             let target = inputs
-                .moving
+                .shard_moves
                 .get(id)
                 .filter(|target| self.may_move(&entry.value, target));
             match target {
--- a/src/coordination/leader/shards/quota_division.rs
+++ b/src/coordination/leader/shards/quota_division.rs
@@ -106,7 +106,7 @@
                 *sum = sum.plus(&quota);
             }
         }
-        let others = self.cache.on_machine.keys();
+        let others = self.cache.machine_loads.keys();
         let outside = others.filter(|id| !in_shards.contains(id));
         PlannedUse {
             by_controller,
--- a/src/coordination/leader/shards/tests/mod.rs
+++ b/src/coordination/leader/shards/tests/mod.rs
@@ -74,7 +74,7 @@
 /// Applies planned changes to the cache as their commit would.
 fn apply_changes(cache: &mut StateCache, plan: &ShardPlanChanges) {
     let revision = Revision(cache.revision.0 + 1);
-    for op in plan.transaction(cache).ops {
+    for op in plan.transaction(cache).operations {
         if let Operation::Put { key, value, .. } = op {
             cache.set(&key, value, revision);
         }
--- a/src/coordination/leader/shards/tests/moves.rs
+++ b/src/coordination/leader/shards/tests/moves.rs
@@ -24,7 +24,9 @@
     let teams = [team(8.0)];
     plan_until_stable(&mut cache, &teams, &ShardPlanInputs::default());
     let mut inputs = ShardPlanInputs::default();
-    inputs.moving.insert(ShardId(1), ControllerName::new("n1"));
+    inputs
+        .shard_moves
+        .insert(ShardId(1), ControllerName::new("n1"));
     let next = plan(&cache, &teams, &inputs);
     assert!(next.shards[&ShardId(1)].cordoned);
     assert_eq!(next.shards[&ShardId(1)].controller.as_str(), "n0");
@@ -39,7 +41,9 @@
     let teams = [team(24.0)];
     plan_until_stable(&mut cache, &teams, &ShardPlanInputs::default());
     let mut inputs = ShardPlanInputs::default();
-    inputs.moving.insert(ShardId(1), ControllerName::new("n1"));
+    inputs
+        .shard_moves
+        .insert(ShardId(1), ControllerName::new("n1"));
     let next = plan(&cache, &teams, &inputs);
     apply_changes(&mut cache, &next);
     plan_until_stable(&mut cache, &teams, &ShardPlanInputs::default());
@@ -61,7 +65,7 @@
         let target = ControllerName::new("n1");
         match self {
             Self::WithItsShard => {
-                inputs.moving.insert(ShardId(1), target);
+                inputs.shard_moves.insert(ShardId(1), target);
             }
             Self::Alone => {
                 let machine = MachineId::new("vm-1");
--- a/src/coordination/leader/state.rs
+++ b/src/coordination/leader/state.rs
@@ -97,7 +97,7 @@
     /// The last status of each controller.
     pub(super) statuses: BTreeMap<ControllerName, PeerStatus>,
     /// Tasks offered to owners and not yet placed.
-    pub(super) offered: routing::OutstandingOffers,
+    pub(super) outstanding_offers: routing::OutstandingOffers,
     /// Waiting tasks for which others are being preempted, and the tasks being preempted.
     pub(super) pending_preemptions: routing::PendingPreemptions,
     /// Tasks of the lowest priority that are being stopped to free capacity.
@@ -111,7 +111,7 @@
     /// When the zone of each job was last assigned or removed.
     pub(super) zone_changed_at: BTreeMap<JobId, Instant>,
     /// Waiting tasks for which the last routing pass found no room.
-    pub(super) unplaced: Vec<routing::Unplaced>,
+    pub(super) unplaced: Vec<routing::UnplacedTasks>,
     /// Machines that were booting in that pass, so that no task was routed to them.
     pub(super) booting_when_routed: BTreeSet<MachineId>,
     /// Results of the last routing pass by number of tasks, for the log.
@@ -130,7 +130,7 @@
     /// The quota targets that were last sent.
     pub(super) sent_targets: Option<SentTargets>,
     /// Shards that are being moved to another controller.
-    pub(super) moving: BTreeMap<ShardId, ShardMove>,
+    pub(super) shard_moves: BTreeMap<ShardId, ShardMove>,
     /// When non-urgent changes of shards were last written.
     pub(super) last_use_write: Option<Instant>,
     /// Machines that are to be released or are being released.
@@ -289,7 +289,7 @@
         let age = peer.age();
         // A draining machine that is idle must remain idle until it is released.
         let awaits_release = self.fleet.draining_machines.contains(machine)
-            && !cache.on_machine.contains_key(machine);
+            && !cache.machine_loads.contains_key(machine);
         let is_usable = age <= STATUS_TTL
             && self.is_up(cache, machine)
             && !awaits_release
@@ -301,7 +301,7 @@
         is_usable.then(|| routing::UsableMachine {
             images: owned.images.clone(),
             speed: owned.speed,
-            freed: owned.freed,
+            freed_resources: owned.freed_resources,
         })
     }
 
@@ -316,7 +316,7 @@
 
     /// Clears the results of the last routing pass, since no task is waiting any more.
     pub(super) fn clear_routing(&mut self) {
-        self.offered.clear();
+        self.outstanding_offers.clear();
         self.unplaced.clear();
         self.booting_when_routed.clear();
         self.routing_counts = Default::default();
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -65,7 +65,7 @@
             };
             let jittered =
                 interval.mul_f64(jitter::uniform(MIN_INTERVAL_FACTOR, MAX_INTERVAL_FACTOR));
-            if !self.context.pause(jittered).await {
+            if !self.context.sleep_unless_stopped(jittered).await {
                 return;
             }
         }
@@ -92,7 +92,7 @@
         let living = self.context.store.cache().controllers.len();
         // The lower limits that are announced for later may take effect as soon as all
         // controllers support them.
-        let announced_limits_apply = self.context.all_support(ProtocolVersion::GANGS);
+        let announced_limits_apply = self.context.all_controllers_support(ProtocolVersion::GANGS);
         let leads = self.context.leadership().is_some();
         self.context
             .store
--- a/src/coordination/owner/candidates.rs
+++ b/src/coordination/owner/candidates.rs
@@ -32,11 +32,11 @@
             .filter_map(|(id, usage)| {
                 let agent = state.agents.get(id)?;
                 let record = cache.machines.get(id)?;
-                let machine_type = cache.machine_type(&record.kind)?;
+                let machine_type = cache.machine_type(&record.machine_type)?;
                 if *usage == MachineUse::Cordoned || !self.may_take_tasks(state, agent, now) {
                     return None;
                 }
-                let room = free_resources(machine_type, agent, cache.on_machine.get(id));
+                let room = free_resources(machine_type, agent, cache.machine_loads.get(id));
                 if room.cpus < AMOUNT_SLACK {
                     return None;
                 }
@@ -44,7 +44,7 @@
                 Some(CandidateMachine {
                     owner: 0,
                     machine: id.clone(),
-                    kind: record.kind.clone(),
+                    machine_type: record.machine_type.clone(),
                     zone: record.zone.clone(),
                     spot: record.spot,
                     free: room,
@@ -71,7 +71,7 @@
             && agent.time_since_heartbeat(now) <= max_heartbeat_age
             && !agent.unreachable
             && agent.in_doubt_start.is_none()
-            && agent.leaves_at.is_none()
+            && agent.reclaim_at.is_none()
             && !state.is_quarantined(agent, now)
             && !agent.is_command_path_lost(config.command_path_timeout(), now)
     }
@@ -85,7 +85,7 @@
 ) -> Resources {
     let mut room = machine_type.size;
     if let Some(load) = load {
-        room -= load.taken;
+        room -= load.used_resources;
         room += agent.freed_resources(load);
     }
     room
--- a/src/coordination/owner/commands.rs
+++ b/src/coordination/owner/commands.rs
@@ -11,7 +11,7 @@
         clients::{Command, CommandResponse, NoResponse},
         context::lock,
     },
-    storage::{AgentEpoch, MachineId, StateCache, Token},
+    storage::{AgentEpoch, FencingToken, MachineId, StateCache},
 };
 
 /// Maximum number of machines probed at a time.
@@ -28,7 +28,7 @@
 struct AddressedCommands {
     machine: MachineId,
     address: String,
-    token: Token,
+    token: FencingToken,
     epoch: AgentEpoch,
     commands: Vec<Command>,
     /// Whether the commands start tasks. If there is no response, these starts are in doubt.
@@ -97,7 +97,7 @@
         }
         Some(AddressedCommands {
             address,
-            token: Token::from(shard.revision),
+            token: FencingToken::from(shard.revision),
             epoch: start_epoch.unwrap_or(agent.epoch),
             commands,
             has_starts,
@@ -143,7 +143,7 @@
 
     /// Probes machines whose heartbeats are missing, until the controller stops.
     pub(in crate::coordination) async fn probe_unresponsive(&self) {
-        while self.context.pause(PROBE_SCAN_INTERVAL).await {
+        while self.context.sleep_unless_stopped(PROBE_SCAN_INTERVAL).await {
             let targets = {
                 let cache = self.context.store.cache();
                 self.probe_targets(&cache)
--- a/src/coordination/owner/commits.rs
+++ b/src/coordination/owner/commits.rs
@@ -24,14 +24,14 @@
 /// 64 KiB.
 const RECORDS_PER_COMMIT: usize = 12;
 
-/// Maximum number of run records in one transaction of idle work. It is smaller, because the
-/// next commit of other work waits for such a transaction.
-const IDLE_RECORDS_PER_COMMIT: usize = 4;
-/// Spare writes that must be left for idle work to be committed, as a fraction of the writes
-/// of one second.
-const IDLE_WORK_MIN_SPARE_WRITES: f64 = 0.5;
-/// Maximum delay of a commit of idle work because of other writes.
-const IDLE_WORK_MAX_DELAY: Duration = Duration::from_secs(2);
+/// Maximum number of run records in one transaction of best-effort array jobs. It is smaller,
+/// because the next commit of other jobs waits for such a transaction.
+const BEST_EFFORT_RECORDS_PER_COMMIT: usize = 4;
+/// Spare writes that must be left for changes of best-effort array jobs to be committed, as a
+/// fraction of the writes of one second.
+const BEST_EFFORT_MIN_SPARE_WRITES: f64 = 0.5;
+/// Maximum delay of a commit of best-effort array jobs because of other writes.
+const BEST_EFFORT_MAX_DELAY: Duration = Duration::from_secs(2);
 /// Pause after a commit that failed for another reason than a conflict.
 const FAILED_COMMIT_PAUSE: Duration = Duration::from_millis(100);
 
@@ -52,8 +52,8 @@
     Places,
     /// Writes only results, for which nothing waits.
     Results,
-    /// Any change of idle work.
-    IdleWork,
+    /// Any change of a best-effort array job.
+    BestEffort,
 }
 
 /// The outcome of committing a group of changes together.
@@ -66,7 +66,7 @@
 
 fn urgency(change: &RecordChange, priority: Option<Priority>) -> Urgency {
     match priority {
-        Some(_) if change.is_idle_work => Urgency::IdleWork,
+        Some(_) if change.is_best_effort_array => Urgency::BestEffort,
         _ if change.finishes_job => Urgency::FinishesJob,
         Some(Priority::Production) if change.has_placements => Urgency::PlacesProduction,
         _ if change.has_placements => Urgency::Places,
@@ -111,7 +111,7 @@
             allocation.revision
         };
         while let Some(first) = writes.first() {
-            if first.change.is_idle_work && !self.may_write_idle_work() {
+            if first.change.is_best_effort_array && !self.may_write_best_effort() {
                 return;
             }
             let group = self.next_group(&mut writes);
@@ -132,22 +132,22 @@
         }
     }
 
-    /// Whether changes of idle work may be committed now. Idle work uses only the writes of the
-    /// state service that other work leaves, as it does with machines. Without this limit an
-    /// array of 25,000 short tasks used all of the writes for half a minute, in which replicas
-    /// of services waited to be placed.
-    fn may_write_idle_work(&self) -> bool {
+    /// Whether changes of best-effort array jobs may be committed now. These jobs use only the
+    /// writes of the state service that other jobs leave unused, as they do with machines. Without
+    /// this limit an array of 25,000 short tasks used all of the writes for half a minute, in which
+    /// replicas of services waited to be placed.
+    fn may_write_best_effort(&self) -> bool {
         let now = Instant::now();
         let mut state = lock(&self.state);
-        let delayed_since = *state.idle_work_delayed_since.get_or_insert(now);
-        let is_due = now.duration_since(delayed_since) >= IDLE_WORK_MAX_DELAY;
+        let delayed_since = *state.best_effort_delayed_since.get_or_insert(now);
+        let is_due = now.duration_since(delayed_since) >= BEST_EFFORT_MAX_DELAY;
         // Reads the spare writes rather than asking the rate limiter for one: if the call had
         // to wait, this controller would try for more than its share of the writes, at the
         // expense of the other controllers.
-        if !is_due && self.context.store.spare_writes() < IDLE_WORK_MIN_SPARE_WRITES {
+        if !is_due && self.context.store.spare_writes() < BEST_EFFORT_MIN_SPARE_WRITES {
             return false;
         }
-        state.idle_work_delayed_since = None;
+        state.best_effort_delayed_since = None;
         true
     }
 
@@ -159,15 +159,16 @@
         if first.change.shared {
             return vec![first];
         }
-        let (fenced, is_idle_work) = (first.change.fenced, first.change.is_idle_work);
+        let (fenced, is_best_effort_array) =
+            (first.change.fenced, first.change.is_best_effort_array);
         let changes_per_transaction = self.context.config.state_limits.txn_ops;
-        let max_ops = changes_per_transaction.min(if is_idle_work {
-            IDLE_RECORDS_PER_COMMIT
+        let max_ops = changes_per_transaction.min(if is_best_effort_array {
+            BEST_EFFORT_RECORDS_PER_COMMIT
         } else {
             RECORDS_PER_COMMIT
         });
         let max_conditions = CONDITIONS_PER_CHANGE * changes_per_transaction;
-        let mut ops = first.transaction.ops.len();
+        let mut ops = first.transaction.operations.len();
         let mut conditions = 1 + first.transaction.conditions.len();
         let mut group = vec![first];
         let mut index = 0;
@@ -176,13 +177,14 @@
                 transaction,
                 change,
             } = &writes[index];
-            let is_alike =
-                change.fenced == fenced && !change.shared && change.is_idle_work == is_idle_work;
+            let is_alike = change.fenced == fenced
+                && !change.shared
+                && change.is_best_effort_array == is_best_effort_array;
             if is_alike
-                && ops + transaction.ops.len() <= max_ops
+                && ops + transaction.operations.len() <= max_ops
                 && conditions + transaction.conditions.len() <= max_conditions
             {
-                ops += transaction.ops.len();
+                ops += transaction.operations.len();
                 conditions += transaction.conditions.len();
                 group.push(writes.remove(index));
             } else {
@@ -234,7 +236,7 @@
                     if error.is_unknown() && is_fenced {
                         lock(&self.state).has_commit_in_doubt = true;
                     }
-                    self.context.pause(FAILED_COMMIT_PAUSE).await;
+                    self.context.sleep_unless_stopped(FAILED_COMMIT_PAUSE).await;
                     return GroupOutcome::EndsRound;
                 }
             }
--- a/src/coordination/owner/failing_jobs.rs
+++ b/src/coordination/owner/failing_jobs.rs
@@ -99,7 +99,7 @@
                 .sum();
             let has_failed_elsewhere =
                 failing.machines.len() >= CRASH_LOOP_AFTER_MACHINES || ended > failing.failures;
-            failing.is_crash_looping = job.done == 0 && has_failed_elsewhere;
+            failing.is_crash_looping = job.completed_tasks == 0 && has_failed_elsewhere;
         }
     }
 
--- a/src/coordination/owner/heartbeats.rs
+++ b/src/coordination/owner/heartbeats.rs
@@ -12,7 +12,7 @@
         clients::{Command, Heartbeat, HeartbeatResponse, TaskState},
         context::lock,
     },
-    storage::{Attempt, MachineId, StateCache, TaskId, Token, state_cache::PlacedTask},
+    storage::{Attempt, FencingToken, MachineId, StateCache, TaskId, state_cache::PlacedTask},
 };
 
 /// Maximum number of commands in one response; the next response has the rest.
@@ -26,11 +26,11 @@
         &self,
         cache: &StateCache,
         heartbeat: &Heartbeat,
-        token: Token,
+        token: FencingToken,
     ) -> HeartbeatResponse {
         let now = Instant::now();
         let mut state = lock(&self.state);
-        let acquisition_token = Token::from(cache.owned_since(&heartbeat.machine));
+        let acquisition_token = FencingToken::from(cache.owned_since(&heartbeat.machine));
         // The machine was lost and acquired anew before the owner's loop noticed.
         if state
             .agents
@@ -76,7 +76,7 @@
     is_preempted: impl Fn(&TaskId, Attempt) -> bool,
 ) -> Vec<Command> {
     let none = BTreeMap::new();
-    let load = cache.on_machine.get(machine);
+    let load = cache.machine_loads.get(machine);
     let placed = load.map_or(&none, |load| &load.tasks);
     let mut commands = Vec::new();
     let mut stops = Vec::new();
--- a/src/coordination/owner/in_doubt.rs
+++ b/src/coordination/owner/in_doubt.rs
@@ -9,7 +9,7 @@
 use crate::{
     coordination::{agent_state::InDoubtStart, context::lock},
     storage::{
-        CommitError, Revision, ShardId, StateCache, Token, Transaction, keys,
+        CommitError, FencingToken, Revision, ShardId, StateCache, Transaction, keys,
         rate_limiter::RequestPriority,
         records::{AllocationRecord, ShardRecord},
         state_cache::Versioned,
@@ -76,7 +76,7 @@
                 && token >= agent.token;
             if is_due && let Some((shard, entry)) = self.context.own_shard_of(cache, id) {
                 // If the token was raised already, the agent only has to receive it.
-                let is_raised = Token::from(entry.revision) > token;
+                let is_raised = FencingToken::from(entry.revision) > token;
                 if !is_raised {
                     found.insert(shard, entry.clone());
                 }
@@ -108,7 +108,7 @@
                 tracing::debug!(%error, "cannot rewrite the quota allocation");
                 lock(&self.state).has_commit_in_doubt |= error.is_unknown();
                 if !self.context.store.read_barrier().await {
-                    self.context.pause(RETRY_PAUSE).await;
+                    self.context.sleep_unless_stopped(RETRY_PAUSE).await;
                 }
                 false
             }
--- a/src/coordination/owner/mod.rs
+++ b/src/coordination/owner/mod.rs
@@ -78,8 +78,8 @@
     pending_results: BTreeMap<JobId, Instant>,
     /// Jobs with recent task failures on this owner's machines.
     failing: FailingJobs,
-    /// Since when changes of idle work have been waiting for spare writes.
-    idle_work_delayed_since: Option<Instant>,
+    /// Since when changes of best-effort array jobs have been waiting for spare writes.
+    best_effort_delayed_since: Option<Instant>,
     /// Missing quota of each team for the tasks that were offered to this owner.
     deficit: BTreeMap<TeamName, Quota>,
     /// The outcome of a commit is unknown. Nothing is placed before the quota allocation has
@@ -212,7 +212,7 @@
                 since_heartbeat: agent.time_since_heartbeat(now),
                 unreachable: agent.unreachable,
                 quarantined: state.is_quarantined(agent, now),
-                reclaim_announced: agent.leaves_at.is_some(),
+                reclaim_announced: agent.reclaim_at.is_some(),
                 command_path_lost: agent
                     .is_command_path_lost(self.context.config.command_path_timeout(), now),
                 address: agent
@@ -227,8 +227,8 @@
                 sequence: agent.sequence(),
                 images: agent.images(),
                 speed: agent.speed,
-                freed: cache
-                    .on_machine
+                freed_resources: cache
+                    .machine_loads
                     .get(id)
                     .map(|load| agent.freed_resources(load))
                     .unwrap_or_default(),
--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -107,9 +107,11 @@
         for offered in offered_jobs(state, cache) {
             let mut tasks = offered.unplaced(state, changes);
             if state.failing.is_on_probation(offered.id, now) {
-                tasks.truncate(usize::from(offered.job.present() == 0));
+                tasks.truncate(usize::from(offered.job.present_tasks() == 0));
             }
-            if offered.spec.kind == JobKind::Gang && (tasks.is_empty() || !offered.job.may_join()) {
+            if offered.spec.kind == JobKind::Gang
+                && (tasks.is_empty() || !offered.job.can_place_waiting_gang_tasks())
+            {
                 continue;
             }
             let chosen = self.place_job(state, cache, allocation, &offered, &tasks, &mut free);
--- a/src/coordination/owner/planned_changes.rs
+++ b/src/coordination/owner/planned_changes.rs
@@ -35,9 +35,9 @@
     pub(super) shared: bool,
     /// Whether the change completes the job.
     pub(super) finishes_job: bool,
-    /// Whether the job is idle work, see
-    /// [`JobSpec::is_idle_work`](crate::storage::JobSpec::is_idle_work).
-    pub(super) is_idle_work: bool,
+    /// Whether it is a best-effort array job, see
+    /// [`JobSpec::is_best_effort_array`](crate::storage::JobSpec::is_best_effort_array).
+    pub(super) is_best_effort_array: bool,
     /// Starts to be sent once the change is committed.
     pub(super) starts: Vec<PlannedStart>,
     /// Reported ends from which run times, speeds and failures are learned once the change
@@ -95,7 +95,7 @@
             fenced: false,
             shared: false,
             finishes_job: false,
-            is_idle_work: false,
+            is_best_effort_array: false,
             starts: Vec::new(),
             task_ends: Vec::new(),
         })
--- a/src/coordination/owner/record_writes.rs
+++ b/src/coordination/owner/record_writes.rs
@@ -18,7 +18,7 @@
     ) -> Option<Transaction> {
         let job = cache.jobs.get(&change.id)?;
         let spec = job.spec();
-        change.is_idle_work = spec.is_some_and(|spec| spec.is_idle_work());
+        change.is_best_effort_array = spec.is_some_and(|spec| spec.is_best_effort_array());
         change.shared = self.is_shared(cache, job, change.record_index);
         let key = keys::run(&change.id, change.record_index);
         let mut part =
--- a/src/coordination/owner/results.rs
+++ b/src/coordination/owner/results.rs
@@ -91,7 +91,7 @@
             preempting,
             ..
         } = state;
-        let (Some(load), Some(agent)) = (cache.on_machine.get(machine), agents.get_mut(machine))
+        let (Some(load), Some(agent)) = (cache.machine_loads.get(machine), agents.get_mut(machine))
         else {
             return false;
         };
@@ -99,7 +99,7 @@
         let cache_gb = cache
             .machines
             .get(machine)
-            .and_then(|record| cache.machine_type(&record.kind))
+            .and_then(|record| cache.machine_type(&record.machine_type))
             .map(|machine_type| machine_type.cache_gb);
         for (task, placed) in &load.tasks {
             let is_running = agent
--- a/src/coordination/owner/round.rs
+++ b/src/coordination/owner/round.rs
@@ -9,7 +9,7 @@
 use crate::{
     coordination::{agent_state::AgentState, clients::PeerRequest, context::lock},
     storage::{
-        ControllerName, Revision, ShardId, StateCache, TaskId, Token,
+        ControllerName, FencingToken, Revision, ShardId, StateCache, TaskId,
         rate_limiter::RequestPriority, records::AllocationRecord, state_cache::Versioned,
     },
 };
@@ -75,7 +75,7 @@
             self.send_commands(machine, None, commands);
         }
         if let Some(wait) = commit_wait {
-            self.context.pause(wait).await;
+            self.context.sleep_unless_stopped(wait).await;
             self.context.owner_wakeup.notify_one();
             return;
         }
@@ -180,7 +180,7 @@
         let now = Instant::now();
         agents.retain(|id, agent| {
             self.context.own_shard_of(cache, id).is_some()
-                && agent.acquisition_token == Token::from(cache.owned_since(id))
+                && agent.acquisition_token == FencingToken::from(cache.owned_since(id))
         });
         for (_, entry) in self.context.own_shards(cache) {
             for id in entry.value.machines.keys() {
--- a/src/coordination/owner/stops.rs
+++ b/src/coordination/owner/stops.rs
@@ -93,37 +93,37 @@
 }
 
 /// A machine that the cloud is about to reclaim.
-struct LeavingMachine<'agents, 'cache> {
+struct ReclaimedMachine<'agents, 'cache> {
     agent: &'agents AgentState,
-    leaves_at: Instant,
+    reclaim_at: Instant,
     tasks: &'cache BTreeMap<TaskId, PlacedTask>,
 }
 
-fn leaving_machines<'agents, 'cache>(
+fn reclaimed_machines<'agents, 'cache>(
     agents: &'agents BTreeMap<MachineId, AgentState>,
     cache: &'cache StateCache,
-) -> impl Iterator<Item = LeavingMachine<'agents, 'cache>> {
+) -> impl Iterator<Item = ReclaimedMachine<'agents, 'cache>> {
     agents.iter().filter_map(|(machine, agent)| {
-        Some(LeavingMachine {
+        Some(ReclaimedMachine {
             agent,
-            leaves_at: agent.leaves_at?,
-            tasks: &cache.on_machine.get(machine)?.tasks,
+            reclaim_at: agent.reclaim_at?,
+            tasks: &cache.machine_loads.get(machine)?.tasks,
         })
     })
 }
 
-impl<'cache> LeavingMachine<'_, 'cache> {
+impl<'cache> ReclaimedMachine<'_, 'cache> {
     /// Returns the tasks to be stopped before the cloud reclaims the machine: replicas of
     /// services, which are placed on another machine, and array tasks that still have the
     /// time to save a checkpoint. Gangs are stopped as a whole, see [`Self::gangs_to_stop`].
     fn tasks_to_stop(&self, now: Instant) -> impl Iterator<Item = StopTarget<'cache>> {
-        let leaves_at = self.leaves_at;
+        let reclaim_at = self.reclaim_at;
         self.tasks.iter().filter_map(move |(task, placed)| {
             let spec = placed.spec.as_ref()?;
             let must_stop = match spec.kind {
                 JobKind::Gang => false,
                 JobKind::Service => true,
-                JobKind::Array => !spec.checkpoint.is_zero() && now + spec.save < leaves_at,
+                JobKind::Array => !spec.checkpoint.is_zero() && now + spec.save < reclaim_at,
             };
             must_stop.then(|| StopTarget {
                 task: task.clone(),
@@ -142,9 +142,9 @@
             }
             let observed = self.agent.tasks.get(task);
             let running_since = observed.and_then(|observed| observed.running_since);
-            let ends_first = running_since.is_some_and(|at| at + spec.estimate < self.leaves_at);
+            let ends_first = running_since.is_some_and(|at| at + spec.estimate < self.reclaim_at);
             let is_stop_sent = self.agent.stops_sent.contains_key(task);
-            let can_save = now + spec.save < self.leaves_at;
+            let can_save = now + spec.save < self.reclaim_at;
             (!ends_first && !is_stop_sent && can_save).then(|| task.job.clone())
         })
     }
@@ -165,7 +165,7 @@
         let mut targets: Vec<StopTarget<'_>> = cancelled_tasks(cache).collect();
         targets.extend(preempted_tasks(cache, preempting));
         let mut leaving_gangs: BTreeSet<JobId> = BTreeSet::new();
-        for machine in leaving_machines(agents, cache) {
+        for machine in reclaimed_machines(agents, cache) {
             targets.extend(machine.tasks_to_stop(now));
             leaving_gangs.extend(machine.gangs_to_stop(now));
         }
--- a/src/coordination/peer_exchange.rs
+++ b/src/coordination/peer_exchange.rs
@@ -58,22 +58,23 @@
         }
     }
 
-    /// Returns this controller's status. `full`: with the lists of machines and failing jobs,
+    /// Returns this controller's status. `with_lists`: with the lists of machines and failing jobs,
     /// which only the leader needs.
-    pub fn status(&self, full: bool) -> StatusMessage {
+    pub fn status(&self, with_lists: bool) -> StatusMessage {
         let now = Instant::now();
         let mut status = StatusMessage {
             controller: self.context.config.name.clone(),
             incarnation: self.context.config.incarnation,
             protocol_version: self.context.config.protocol_version,
             highest_revision: self.context.store.highest_revision(),
-            state_reachable: self.context.store.is_loaded() && self.context.store.is_reachable(),
-            full,
+            state_service_reachable: self.context.store.is_loaded()
+                && self.context.store.is_reachable(),
+            has_lists: with_lists,
             owned: Vec::new(),
             indirect_heartbeats: Vec::new(),
             failing: Vec::new(),
         };
-        if full {
+        if with_lists {
             status.owned = self.owner.owned_machines(now);
             status.indirect_heartbeats = self.indirect_heartbeats.list(now);
             status.failing = self.owner.failing_jobs(now);
@@ -92,7 +93,7 @@
 
     /// Background task: exchanges status with every peer.
     pub(super) async fn run(&self) {
-        while self.context.pause(EXCHANGE_INTERVAL).await {
+        while self.context.sleep_unless_stopped(EXCHANGE_INTERVAL).await {
             self.exchange_status().await;
         }
     }
@@ -126,7 +127,7 @@
                     // start does not know what its predecessor confirmed to users. Any
                     // response would carry a revision that covers all of that.
                     is_confirmed &= theirs.highest_revision > Revision(0);
-                    any_reaches_state_service |= theirs.state_reachable;
+                    any_reaches_state_service |= theirs.state_service_reachable;
                     if theirs.highest_revision > applied_revision {
                         is_confirmed &= theirs.protocol_version >= ProtocolVersion::CANCELLATIONS;
                         peers_ahead.push(name);
@@ -198,16 +199,16 @@
         }
     }
 
-    /// Records the status of a peer as of `at`, and passes a full status to the leader.
+    /// Records the status of a peer as of `at`, and passes a status with lists to the leader.
     fn note_peer_status(&self, name: &ControllerName, status: StatusMessage, at: Instant) {
         let version = status.protocol_version;
         let is_new = self
             .liveness
-            .note_status(name, version, status.state_reachable, at);
+            .note_status(name, version, status.state_service_reachable, at);
         if is_new {
             tracing::info!(peer = %name, protocol_version = version.0, "peer protocol version");
         }
-        if status.full {
+        if status.has_lists {
             self.leader.record_status(status, at);
         }
     }
--- a/src/coordination/peer_liveness.rs
+++ b/src/coordination/peer_liveness.rs
@@ -22,7 +22,7 @@
 struct LastStatus {
     as_of: Instant,
     /// Whether the state service answered the peer.
-    state_reachable: bool,
+    state_service_reachable: bool,
 }
 
 /// Information from the peers' status messages.
@@ -47,13 +47,13 @@
         &self,
         peer: &ControllerName,
         version: ProtocolVersion,
-        state_reachable: bool,
+        state_service_reachable: bool,
         as_of: Instant,
     ) -> bool {
         let mut state = lock(&self.0);
         let last_status = LastStatus {
             as_of,
-            state_reachable,
+            state_service_reachable,
         };
         state.last_status.insert(peer.clone(), last_status);
         state.protocol_versions.insert(peer.clone(), version) != Some(version)
@@ -74,7 +74,9 @@
     pub(super) fn any_peer_reaches_state_service(&self) -> bool {
         let state = lock(&self.0);
         let mut statuses = state.last_status.values();
-        statuses.any(|status| status.as_of.elapsed() < REACHABILITY_TTL && status.state_reachable)
+        statuses.any(|status| {
+            status.as_of.elapsed() < REACHABILITY_TTL && status.state_service_reachable
+        })
     }
 
     /// Returns the highest protocol version that every configured controller supports. A
--- a/src/coordination/policy/band.rs
+++ b/src/coordination/policy/band.rs
@@ -1,17 +1,17 @@
 //! The miss-rate band and periodic scaling out (section 5.3.1, algorithm 1,
 //! equation 6).
 
-/// Load and demand of one machine type in a scaling round.
+/// Load and demand of one pool in a scaling round.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct TypeLoad {
-    /// Share of the recent misses that belongs to tasks suited to this type (σ).
+pub struct PoolLoad {
+    /// Share of the recent misses that belongs to tasks suited to this pool (σ).
     pub miss_share: f64,
-    /// Share of the waiting tasks that suit this type (φ).
+    /// Share of the waiting tasks that suit this pool (φ).
     pub queue_share: f64,
-    /// Utilisation of the least-used machine of this type (ρ); `None` if there is no such
+    /// Utilisation of the least-used machine of this pool (ρ); `None` if there is no such
     /// machine.
     pub least_utilisation: Option<f64>,
-    /// Machines that the waiting tasks suited to this type would fill, less those booting (not
+    /// Machines that the waiting tasks suited to this pool would fill, less those booting (not
     /// in the paper).
     pub machines_needed: u32,
 }
@@ -23,24 +23,24 @@
     pub beta: f64,
     /// Weight of the miss share against the queue share, 0 to 1 (k).
     pub miss_weight: f64,
-    /// Minimum demand of a type for which machines are provisioned.
+    /// Minimum demand for a pool at which machines are provisioned.
     pub demand: f64,
-    /// Minimum utilisation of the least-used machine of a type for which more machines are
+    /// Minimum utilisation of the least-used machine of a pool for which more machines are
     /// provisioned.
     pub utilisation: f64,
 }
 
-/// Returns the demand for a machine type: ω = k·σ + (1 - k)·φ.
-pub fn demand(load: &TypeLoad, miss_weight: f64) -> f64 {
+/// Returns the demand for a pool: ω = k·σ + (1 - k)·φ.
+pub fn demand(load: &PoolLoad, miss_weight: f64) -> f64 {
     miss_weight * load.miss_share + (1.0 - miss_weight) * load.queue_share
 }
 
-/// Returns the number of machines of each type to provision: arrivals·ω/β, rounded down and at
+/// Returns the number of machines of each pool to provision: arrivals·ω/β, rounded down and at
 /// most the machines needed. `arrivals` is the arrival rate in tasks per minute.
 pub fn scale_out(
     miss_rate: f64,
     arrivals: f64,
-    loads: &[TypeLoad],
+    loads: &[PoolLoad],
     thresholds: &Thresholds,
 ) -> Vec<u32> {
     loads
--- a/src/coordination/policy/band/tests.rs
+++ b/src/coordination/policy/band/tests.rs
@@ -14,8 +14,8 @@
     queue_share: f64,
     least_utilisation: Option<f64>,
     machines_needed: u32,
-) -> TypeLoad {
-    TypeLoad {
+) -> PoolLoad {
+    PoolLoad {
         miss_share,
         queue_share,
         least_utilisation,
--- a/src/coordination/policy/placement.rs
+++ b/src/coordination/policy/placement.rs
@@ -17,7 +17,7 @@
     /// The machine.
     pub machine: MachineId,
     /// Its machine type.
-    pub kind: TypeName,
+    pub machine_type: TypeName,
     /// Its zone.
     pub zone: ZoneName,
     /// Whether it is a spot machine.
@@ -77,7 +77,7 @@
 /// Whether the job allows the machine's type, zone and spot status, regardless of free
 /// resources and of the job's other tasks.
 pub fn is_eligible(spec: &JobSpec, candidate: &CandidateMachine) -> bool {
-    spec.allows_type(&candidate.kind)
+    spec.allows_type(&candidate.machine_type)
         && spec.allows_zone(&candidate.zone)
         && (spec.spot || !candidate.spot)
 }
@@ -93,7 +93,7 @@
         Self {
             owner: 0,
             machine,
-            kind: machine_type.name.clone(),
+            machine_type: machine_type.name.clone(),
             zone: zone.clone(),
             spot,
             free: machine_type.size,
--- a/src/coordination/policy/placement/tests.rs
+++ b/src/coordination/policy/placement/tests.rs
@@ -45,7 +45,7 @@
     CandidateMachine {
         owner: 0,
         machine: MachineId::new(name),
-        kind: TypeName::new("type"),
+        machine_type: TypeName::new("type"),
         zone: ZoneName::new("zone"),
         spot,
         free: size,
--- a/src/protocol/agents.rs
+++ b/src/protocol/agents.rs
@@ -7,7 +7,9 @@
 use crate::{
     coordination::clients::{Command, Exit, Heartbeat, TaskState, TaskStatus},
     protocol::seconds,
-    storage::{AgentEpoch, Attempt, ControllerName, MachineId, TaskId, Token, TypeName, ZoneName},
+    storage::{
+        AgentEpoch, Attempt, ControllerName, FencingToken, MachineId, TaskId, TypeName, ZoneName,
+    },
 };
 
 /// Path on a controller that accepts heartbeats of agents.
@@ -111,12 +113,12 @@
         Ok(Heartbeat {
             machine: MachineId::new(request.machine),
             address: request.address,
-            kind: TypeName::new(request.machine_type),
+            machine_type: TypeName::new(request.machine_type),
             zone: ZoneName::new(request.zone),
             spot: request.spot,
             epoch: AgentEpoch(request.epoch),
             sequence: request.sequence,
-            token: Token(request.token),
+            token: FencingToken(request.token),
             notice: request.notice_seconds.and_then(seconds),
             tasks,
         })
@@ -232,7 +234,7 @@
 
 impl HeartbeatReply {
     /// Creates a response with the owner's fencing token.
-    pub fn new(token: Token, commands: &[Command]) -> Self {
+    pub fn new(token: FencingToken, commands: &[Command]) -> Self {
         Self {
             token: token.0,
             commands: commands.iter().map(CommandMessage::from).collect(),
@@ -258,7 +260,7 @@
 
 impl CommandRequest {
     /// Creates a request of the owner with this token for an agent in this epoch.
-    pub fn new(token: Token, epoch: AgentEpoch, commands: &[Command]) -> Self {
+    pub fn new(token: FencingToken, epoch: AgentEpoch, commands: &[Command]) -> Self {
         Self {
             token: token.0,
             epoch: epoch.0,
--- a/src/protocol/agents/tests.rs
+++ b/src/protocol/agents/tests.rs
@@ -12,7 +12,7 @@
     )
     .expect("valid");
     let heartbeat = Heartbeat::try_from(request).expect("a heartbeat");
-    assert_eq!(heartbeat.token, Token(41));
+    assert_eq!(heartbeat.token, FencingToken(41));
     assert_eq!(heartbeat.tasks[1].state, TaskState::Exited(Exit::Done));
 }
 
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -120,7 +120,7 @@
     pub fn new(id: &ProvisionId, request: &ProvisionRequest) -> Self {
         Self {
             id: id.to_string(),
-            machine_type: request.kind.to_string(),
+            machine_type: request.machine_type.to_string(),
             zone: request.zone.to_string(),
             spot: request.spot,
             count: request.count,
@@ -180,7 +180,7 @@
             },
             age: seconds(message.age_seconds).unwrap_or_default(),
             id: MachineId::new(message.id),
-            kind: TypeName::new(message.machine_type),
+            machine_type: TypeName::new(message.machine_type),
             zone: ZoneName::new(message.zone),
             spot: message.spot,
         }
--- a/src/protocol/key_value_store.rs
+++ b/src/protocol/key_value_store.rs
@@ -87,7 +87,7 @@
     fn from(response: RangeResponse) -> Self {
         RangePage {
             items: response.entries.into_iter().map(KeyValue::from).collect(),
-            more: response.has_more,
+            has_more: response.has_more,
             revision: Revision(response.revision),
         }
     }
@@ -162,7 +162,11 @@
                     revision: revision.0,
                 })
                 .collect(),
-            operations: transaction.ops.iter().map(OperationMessage::from).collect(),
+            operations: transaction
+                .operations
+                .iter()
+                .map(OperationMessage::from)
+                .collect(),
         }
     }
 }
--- a/src/protocol/peer_frames/status.rs
+++ b/src/protocol/peer_frames/status.rs
@@ -23,8 +23,8 @@
     controller: String,
     incarnation: u64,
     highest_revision: u64,
-    state_reachable: bool,
-    full: bool,
+    state_service_reachable: bool,
+    has_lists: bool,
     owned: Vec<OwnedMachineFrame>,
     indirect_heartbeats: Vec<IndirectHeartbeatFrame>,
     failing: Vec<FailingEntry>,
@@ -36,7 +36,7 @@
     since_heartbeat_ms: u64,
     unreachable: bool,
     quarantined: bool,
-    leaving: bool,
+    reclaim_announced: bool,
     command_path_lost: bool,
     address: Option<String>,
     epoch: u64,
@@ -44,13 +44,13 @@
     images: Vec<String>,
     speed: f64,
     /// Processor cores, accelerators and memory, in this order.
-    freed: [f64; 3],
+    freed_resources: [f64; 3],
 }
 
 #[derive(Archive, Serialize, Deserialize, Debug)]
 struct IndirectHeartbeatFrame {
     machine: String,
-    kind: String,
+    machine_type: String,
     zone: String,
     spot: bool,
     epoch: u64,
@@ -86,8 +86,8 @@
             controller: status.controller.to_string(),
             incarnation: status.incarnation.0,
             highest_revision: status.highest_revision.0,
-            state_reachable: status.state_reachable,
-            full: status.full,
+            state_service_reachable: status.state_service_reachable,
+            has_lists: status.has_lists,
             owned: status.owned.into_iter().map(Into::into).collect(),
             indirect_heartbeats: indirect_heartbeats.map(Into::into).collect(),
             failing: failing.chain([version]).collect(),
@@ -112,8 +112,8 @@
             incarnation: Incarnation(frame.incarnation),
             protocol_version: protocol_version.unwrap_or_default(),
             highest_revision: Revision(frame.highest_revision),
-            state_reachable: frame.state_reachable,
-            full: frame.full,
+            state_service_reachable: frame.state_service_reachable,
+            has_lists: frame.has_lists,
             owned: frame.owned.into_iter().map(Into::into).collect(),
             indirect_heartbeats: indirect_heartbeats.map(Into::into).collect(),
             failing: failing.collect(),
@@ -128,34 +128,38 @@
             since_heartbeat_ms: to_millis(machine.since_heartbeat),
             unreachable: machine.unreachable,
             quarantined: machine.quarantined,
-            leaving: machine.reclaim_announced,
+            reclaim_announced: machine.reclaim_announced,
             command_path_lost: machine.command_path_lost,
             address: machine.address,
             epoch: machine.epoch.0,
             sequence: machine.sequence,
             images: machine.images.iter().map(ToString::to_string).collect(),
             speed: machine.speed,
-            freed: [machine.freed.cpus, machine.freed.gpus, machine.freed.memory],
+            freed_resources: [
+                machine.freed_resources.cpus,
+                machine.freed_resources.gpus,
+                machine.freed_resources.memory,
+            ],
         }
     }
 }
 
 impl From<OwnedMachineFrame> for OwnedMachine {
     fn from(frame: OwnedMachineFrame) -> Self {
-        let [cpus, gpus, memory] = frame.freed;
+        let [cpus, gpus, memory] = frame.freed_resources;
         Self {
             machine: MachineId::new(frame.machine),
             since_heartbeat: Duration::from_millis(frame.since_heartbeat_ms),
             unreachable: frame.unreachable,
             quarantined: frame.quarantined,
-            reclaim_announced: frame.leaving,
+            reclaim_announced: frame.reclaim_announced,
             command_path_lost: frame.command_path_lost,
             address: frame.address,
             epoch: AgentEpoch(frame.epoch),
             sequence: frame.sequence,
             images: Arc::new(frame.images.into_iter().map(ImageName::new).collect()),
             speed: frame.speed,
-            freed: Resources { cpus, gpus, memory },
+            freed_resources: Resources { cpus, gpus, memory },
         }
     }
 }
@@ -164,7 +168,7 @@
     fn from(heartbeat: IndirectHeartbeat) -> Self {
         Self {
             machine: heartbeat.machine.to_string(),
-            kind: heartbeat.kind.to_string(),
+            machine_type: heartbeat.machine_type.to_string(),
             zone: heartbeat.zone.to_string(),
             spot: heartbeat.spot,
             epoch: heartbeat.epoch.0,
@@ -178,7 +182,7 @@
     fn from(frame: IndirectHeartbeatFrame) -> Self {
         Self {
             machine: MachineId::new(frame.machine),
-            kind: TypeName::new(frame.kind),
+            machine_type: TypeName::new(frame.machine_type),
             zone: ZoneName::new(frame.zone),
             spot: frame.spot,
             epoch: AgentEpoch(frame.epoch),
--- a/src/storage/client/commits.rs
+++ b/src/storage/client/commits.rs
@@ -22,7 +22,7 @@
         let mut retries = 0;
         loop {
             self.request_limiter.acquire(1.0, priority).await;
-            let writes = transaction.ops.len() as f64;
+            let writes = transaction.operations.len() as f64;
             self.write_limiter.acquire(writes, priority).await;
             let result = self.key_value_store.commit(transaction).await;
             self.count_commit(transaction, &result);
@@ -50,11 +50,11 @@
     /// Rejects a transaction above the current or the announced size limits instead of sending
     /// it: the service would reject every retry as well.
     fn check_size(&self, transaction: &Transaction) -> Result<(), StateError> {
-        let ops = transaction.ops.len();
+        let ops = transaction.operations.len();
         let conditions = transaction.conditions.len();
         let max_ops = self.limits.txn_ops;
         let large = transaction
-            .ops
+            .operations
             .iter()
             .find_map(|operation| match operation {
                 Operation::Put { key, value, .. } => {
@@ -81,7 +81,7 @@
     /// them.
     fn apply_commit(&self, transaction: &Transaction, revision: Revision) {
         let mut cache = self.cache();
-        for operation in &transaction.ops {
+        for operation in &transaction.operations {
             match operation {
                 Operation::Put { key, value, .. } => cache.set(key, value.clone(), revision),
                 Operation::Delete { key } => cache.delete_ahead(key, revision),
--- a/src/storage/client/counters.rs
+++ b/src/storage/client/counters.rs
@@ -36,12 +36,14 @@
         counters.requests += 1;
         match result {
             Ok(_) => {
-                for operation in &transaction.ops {
+                for operation in &transaction.operations {
                     let label = counter_label(operation);
                     *counters.written.entry(label).or_default() += 1;
                 }
             }
-            Err(CommitError::Conflict(_)) => counters.conflicted += transaction.ops.len() as u32,
+            Err(CommitError::Conflict(_)) => {
+                counters.conflicted += transaction.operations.len() as u32;
+            }
             Err(CommitError::State(StateError::Throttled)) => counters.throttled += 1,
             Err(_) => {}
         }
--- a/src/storage/client/key_value_store.rs
+++ b/src/storage/client/key_value_store.rs
@@ -61,7 +61,7 @@
     /// The keys with their values.
     pub items: Vec<KeyValue>,
     /// Whether there are more keys after the last one.
-    pub more: bool,
+    pub has_more: bool,
     /// The service's revision at the time of the read.
     pub revision: Revision,
 }
@@ -85,11 +85,11 @@
     fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StateError>>;
     /// Renews a lease.
     fn renew_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StateError>>;
-    /// Returns the changes after `from`, with the revision up to which they are complete. If
+    /// Returns the changes after `after`, with the revision up to which they are complete. If
     /// there are none yet, waits up to `max_wait` for the first one.
     fn watch(
         &self,
-        from: Revision,
+        after: Revision,
         max_wait: Duration,
     ) -> BoxFuture<'_, Result<(Revision, Vec<WatchEvent>), StateError>>;
 }
--- a/src/storage/client/reads.rs
+++ b/src/storage/client/reads.rs
@@ -233,7 +233,7 @@
                 for item in page.items {
                     fresh.set(&item.key, item.value, item.revision);
                 }
-                if !page.more || after.is_none() {
+                if !page.has_more || after.is_none() {
                     break;
                 }
             }
--- a/src/storage/client/transaction.rs
+++ b/src/storage/client/transaction.rs
@@ -34,7 +34,7 @@
     /// Keys with their required revisions; 0: the key must be absent.
     pub conditions: Vec<(String, Revision)>,
     /// The changes.
-    pub ops: Vec<Operation>,
+    pub operations: Vec<Operation>,
 }
 
 impl Transaction {
@@ -58,13 +58,13 @@
     ) -> Self {
         // The records are plain data with string keys, so serialization does not fail.
         let value = serde_json::to_value(value).unwrap_or(Value::Null);
-        self.ops.push(Operation::Put { key, value, lease });
+        self.operations.push(Operation::Put { key, value, lease });
         self
     }
 
     /// Removes a key.
     pub fn remove(mut self, key: String) -> Self {
-        self.ops.push(Operation::Delete { key });
+        self.operations.push(Operation::Delete { key });
         self
     }
 
@@ -75,6 +75,6 @@
                 self.conditions.push(condition);
             }
         }
-        self.ops.extend(other.ops);
+        self.operations.extend(other.operations);
     }
 }
--- a/src/storage/ids.rs
+++ b/src/storage/ids.rs
@@ -107,7 +107,7 @@
 number_type!(
     /// A fencing token of a machine: the revision of the record that gave its shard's owner the
     /// right to command it.
-    Token
+    FencingToken
 );
 number_type!(
     /// The number of a task's placement, from 1; increases with every new placement.
@@ -126,9 +126,9 @@
     ShardId
 );
 
-impl From<Revision> for Token {
+impl From<Revision> for FencingToken {
     fn from(revision: Revision) -> Self {
-        Token(revision.0)
+        FencingToken(revision.0)
     }
 }
 
--- a/src/storage/model.rs
+++ b/src/storage/model.rs
@@ -189,10 +189,10 @@
         }
     }
 
-    /// Whether the job is idle work: independent tasks of the lowest priority, which use
+    /// Whether this is a best-effort array job: independent tasks of the lowest priority, which use
     /// capacity that other jobs leave idle, need not start promptly, and yield to any other
     /// work.
-    pub fn is_idle_work(&self) -> bool {
+    pub fn is_best_effort_array(&self) -> bool {
         self.kind == JobKind::Array && self.priority == Priority::BestEffort
     }
 
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -157,7 +157,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineRecord {
     /// Its machine type.
-    pub kind: TypeName,
+    pub machine_type: TypeName,
     /// Its zone.
     pub zone: ZoneName,
     /// Whether it is a spot machine, which the cloud may reclaim at any time.
@@ -177,7 +177,7 @@
 pub struct MachineGroupRecord {
     /// The machine type of all machines in the group.
     #[serde(rename = "t")]
-    pub kind: TypeName,
+    pub machine_type: TypeName,
     /// The zone of all machines in the group.
     #[serde(rename = "z")]
     pub zone: ZoneName,
@@ -198,7 +198,7 @@
 pub struct ProvisionRecord {
     /// The requested machine type.
     #[serde(rename = "t")]
-    pub kind: TypeName,
+    pub machine_type: TypeName,
     /// The requested zone.
     #[serde(rename = "z")]
     pub zone: ZoneName,
--- a/src/storage/state_cache/job.rs
+++ b/src/storage/state_cache/job.rs
@@ -1,7 +1,7 @@
 //! A cached job: its spec and run records, and the figures derived from them.
 //!
-//! The cache sets the fields and keeps `placed`, `done` and `lost` consistent with the
-//! records; planning, placement and the status of jobs read them.
+//! The cache sets the fields and keeps `placed_tasks`, `completed_tasks` and `lost_tasks`
+//! consistent with the records; planning, placement and the status of jobs read them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -27,12 +27,12 @@
     /// must be stopped and none may start.
     pub cleanup_since: Option<Revision>,
     /// Number of tasks that are placed according to its run records.
-    pub placed: u32,
+    pub placed_tasks: u32,
     /// Number of completed tasks.
-    pub done: u32,
+    pub completed_tasks: u32,
     /// Placed tasks whose machines are gone. A machine is removed from its machine group only
     /// after the cloud has confirmed its return, or when it is known not to exist any more.
-    pub lost: BTreeSet<u32>,
+    pub lost_tasks: BTreeSet<u32>,
 }
 
 impl Job {
@@ -49,14 +49,15 @@
     }
 
     /// Number of placed tasks that are, or may be, on a machine.
-    pub fn present(&self) -> u32 {
-        self.placed.saturating_sub(self.lost.len() as u32)
+    pub fn present_tasks(&self) -> u32 {
+        self.placed_tasks
+            .saturating_sub(self.lost_tasks.len() as u32)
     }
 
     /// The machine on which a task is, or may be. A task whose machine is gone has none and waits
     /// again: its next placement replaces the recorded one in a single change of the record.
     pub fn placement(&self, task: u32) -> Option<&Placement> {
-        if self.lost.contains(&task) {
+        if self.lost_tasks.contains(&task) {
             return None;
         }
         self.recorded_placement(task)
@@ -81,7 +82,10 @@
     /// Number of its tasks that are neither present nor done; 0 for a cancelled job.
     pub fn waiting(&self) -> u32 {
         match (&self.spec, self.cleanup_since) {
-            (Some(spec), None) => spec.value.tasks.saturating_sub(self.present() + self.done),
+            (Some(spec), None) => spec
+                .value
+                .tasks
+                .saturating_sub(self.present_tasks() + self.completed_tasks),
             _ => 0,
         }
     }
@@ -106,7 +110,8 @@
                 if waiting.len() >= limit {
                     return waiting;
                 }
-                let is_present = record.placed.contains_key(&task) && !self.lost.contains(&task);
+                let is_present =
+                    record.placed.contains_key(&task) && !self.lost_tasks.contains(&task);
                 if !is_present && !record.is_done(task) {
                     waiting.push(task);
                 }
@@ -120,7 +125,7 @@
         self.records()
             .flat_map(|record| &record.placed)
             .map(|(task, placement)| (*task, placement))
-            .filter(|(task, _)| !self.lost.contains(task))
+            .filter(|(task, _)| !self.lost_tasks.contains(task))
     }
 
     /// Whether a gang's waiting tasks may be placed. They may if no task of the gang is present,
@@ -128,12 +133,12 @@
     /// room, and the others wait for them. They may not if a task of the attempt has ended or is
     /// lost: then the remaining tasks must leave their machines first, and all tasks are placed
     /// again with the next attempt.
-    pub fn may_join(&self) -> bool {
+    pub fn can_place_waiting_gang_tasks(&self) -> bool {
         let Some(attempt) = self.present_placements().map(|(_, p)| p.attempt).min() else {
             return true;
         };
-        self.done == 0
-            && self.lost.is_empty()
+        self.completed_tasks == 0
+            && self.lost_tasks.is_empty()
             && self.last_ended_attempt().is_none_or(|last| last < attempt)
     }
 
@@ -165,16 +170,16 @@
     pub fn all_done(&self) -> bool {
         self.spec
             .as_ref()
-            .is_some_and(|spec| self.done >= spec.value.tasks)
+            .is_some_and(|spec| self.completed_tasks >= spec.value.tasks)
     }
 
     /// Updates the counts of placed and completed tasks from the records.
     pub(super) fn recount(&mut self) {
-        self.placed = 0;
-        self.done = 0;
+        self.placed_tasks = 0;
+        self.completed_tasks = 0;
         for entry in self.run_records.values() {
-            self.placed += entry.value.placed.len() as u32;
-            self.done += entry.value.done_count();
+            self.placed_tasks += entry.value.placed.len() as u32;
+            self.completed_tasks += entry.value.done_count();
         }
     }
 }
--- a/src/storage/state_cache/machine_load.rs
+++ b/src/storage/state_cache/machine_load.rs
@@ -16,7 +16,7 @@
     /// The tasks that are, or may be, on it.
     pub tasks: BTreeMap<TaskId, PlacedTask>,
     /// The machine's resources that the tasks use.
-    pub taken: Resources,
+    pub used_resources: Resources,
     /// The quota that the tasks use, by team.
     pub teams: Vec<(TeamName, Quota)>,
     /// Whether a replica of a service is among the tasks.
@@ -36,12 +36,12 @@
     /// Recomputes the sums from the tasks. This is cheap, as a machine has few tasks, and
     /// incremental updates would accumulate rounding errors.
     pub(super) fn recount(&mut self) {
-        self.taken = Resources::default();
+        self.used_resources = Resources::default();
         self.teams.clear();
         self.has_service = false;
         for placed in self.tasks.values() {
             let Some(spec) = &placed.spec else { continue };
-            self.taken += spec.per_task;
+            self.used_resources += spec.per_task;
             self.has_service |= spec.kind == JobKind::Service;
             let quota = Quota::from(&spec.per_task);
             match self.teams.iter_mut().find(|(team, _)| *team == spec.team) {
--- a/src/storage/state_cache/machines.rs
+++ b/src/storage/state_cache/machines.rs
@@ -82,7 +82,7 @@
     fn add_machines(&mut self, provision_id: &ProvisionId, machine_group: &MachineGroupRecord) {
         for (machine, address) in &machine_group.machines {
             let record = MachineRecord {
-                kind: machine_group.kind.clone(),
+                machine_type: machine_group.machine_type.clone(),
                 zone: machine_group.zone.clone(),
                 spot: machine_group.spot,
                 provisioned_ms: machine_group.provisioned_ms,
@@ -95,14 +95,14 @@
 
     /// Sets whether the tasks placed on a machine count as lost, so that they wait again.
     fn set_machine_lost(&mut self, machine: &MachineId, lost: bool) {
-        let load = self.on_machine.get(machine).into_iter();
+        let load = self.machine_loads.get(machine).into_iter();
         let tasks: Vec<TaskId> = load.flat_map(|load| load.tasks.keys().cloned()).collect();
         for task in tasks {
             if let Some(job) = self.jobs.get_mut(&task.job) {
                 if lost {
-                    job.lost.insert(task.index);
+                    job.lost_tasks.insert(task.index);
                 } else {
-                    job.lost.remove(&task.index);
+                    job.lost_tasks.remove(&task.index);
                 }
             }
             self.index(&task.job);
--- a/src/storage/state_cache/mod.rs
+++ b/src/storage/state_cache/mod.rs
@@ -78,7 +78,7 @@
     /// The protocol version that all controllers support; `None` if none has been written yet.
     pub common_version: Option<Versioned<CommonVersionRecord>>,
     /// Placed tasks by machine, with the sums of their resources.
-    pub on_machine: HashMap<MachineId, MachineLoad>,
+    pub machine_loads: HashMap<MachineId, MachineLoad>,
     /// Jobs with tasks that are neither present nor done.
     pub waiting: BTreeSet<JobId>,
     /// Jobs that are cancelled, or done, and whose keys are still to be removed.
--- a/src/storage/state_cache/queries.rs
+++ b/src/storage/state_cache/queries.rs
@@ -54,10 +54,10 @@
     }
 
     /// The resources of a machine that the tasks placed on it use.
-    pub fn taken(&self, machine: &MachineId) -> Resources {
-        self.on_machine
+    pub fn used_resources(&self, machine: &MachineId) -> Resources {
+        self.machine_loads
             .get(machine)
-            .map(|load| load.taken)
+            .map(|load| load.used_resources)
             .unwrap_or_default()
     }
 
@@ -69,7 +69,7 @@
         let mut used: BTreeMap<TeamName, Quota> = BTreeMap::new();
         for machine in machines {
             for (team, quota) in self
-                .on_machine
+                .machine_loads
                 .get(machine)
                 .iter()
                 .flat_map(|load| &load.teams)
--- a/src/storage/state_cache/runs.rs
+++ b/src/storage/state_cache/runs.rs
@@ -74,7 +74,7 @@
             .map(|(task, placement)| (*task, placement.machine.clone()))
             .collect();
         for (task, machine) in placed {
-            if let Some(load) = self.on_machine.get_mut(&machine) {
+            if let Some(load) = self.machine_loads.get_mut(&machine) {
                 if let Some(placed) = load.tasks.get_mut(&TaskId::new(id.clone(), task)) {
                     placed.spec = spec.clone();
                 }
@@ -101,13 +101,13 @@
             before,
             after,
         };
-        change.apply(&mut self.on_machine);
+        change.apply(&mut self.machine_loads);
         let range = record_index * keys::TASKS_PER_RUN_RECORD
             ..(record_index + 1) * keys::TASKS_PER_RUN_RECORD;
-        job.lost.retain(|task| !range.contains(task));
+        job.lost_tasks.retain(|task| !range.contains(task));
         for (task, placement) in after {
             if !self.machines.contains_key(&placement.machine) {
-                job.lost.insert(*task);
+                job.lost_tasks.insert(*task);
             }
         }
         if let Some(record) = record {
--- a/src/storage/state_cache/tests.rs
+++ b/src/storage/state_cache/tests.rs
@@ -19,8 +19,8 @@
     let mut cache = StateCache::default();
     cache.set("run/job-1/0", run("vm-2"), Revision(9));
     cache.set("run/job-1/0", run("vm-1"), Revision(5));
-    assert!(cache.on_machine.contains_key(&MachineId::new("vm-2")));
-    assert!(!cache.on_machine.contains_key(&MachineId::new("vm-1")));
+    assert!(cache.machine_loads.contains_key(&MachineId::new("vm-2")));
+    assert!(!cache.machine_loads.contains_key(&MachineId::new("vm-1")));
 }
 
 #[test]
@@ -29,7 +29,7 @@
     cache.set("run/job-1/0", run("vm-1"), Revision(5));
     cache.delete_ahead("run/job-1/0", Revision(8));
     cache.set("run/job-1/0", run("vm-1"), Revision(7));
-    assert!(cache.jobs.is_empty() && cache.on_machine.is_empty());
+    assert!(cache.jobs.is_empty() && cache.machine_loads.is_empty());
     cache.advance(Revision(8));
     assert!(cache.own_deletions.is_empty());
 }
@@ -118,9 +118,9 @@
             *cpus.entry(placement.machine.clone()).or_default() += each;
         }
     }
-    assert_eq!(cpus.len(), cache.on_machine.len());
+    assert_eq!(cpus.len(), cache.machine_loads.len());
     for (machine, cpus) in cpus {
-        assert!((cache.taken(&machine).cpus - cpus).abs() < 1e-9);
+        assert!((cache.used_resources(&machine).cpus - cpus).abs() < 1e-9);
         let used = cache.quota_used(std::iter::once(&machine));
         let sum: f64 = used.values().map(|quota| quota.cpus).sum();
         assert!((sum - cpus).abs() < 1e-9);
@@ -131,7 +131,7 @@
             .values()
             .flat_map(|k| k.value.placed.values());
         let present = placed.filter(|p| cache.machines.contains_key(&p.machine));
-        assert_eq!(present.count() as u32, job.present());
+        assert_eq!(present.count() as u32, job.present_tasks());
         assert_eq!(cache.waiting.contains(id), job.waiting() > 0);
     }
 }
@@ -166,12 +166,12 @@
         json!({"p": {"0": {"a": 1, "m": "vm-1", "s": 1}, "1": {"a": 4, "m": "vm-2", "s": 1}}}),
         Revision(5),
     );
-    assert_eq!(cache.jobs[&id].present(), 0);
+    assert_eq!(cache.jobs[&id].present_tasks(), 0);
     cache.set("machine/r-1", machine_group(&["vm-1", "vm-2"]), Revision(2));
-    assert_eq!(cache.jobs[&id].present(), 2);
+    assert_eq!(cache.jobs[&id].present_tasks(), 2);
     assert!(cache.jobs[&id].placement(1).is_some());
     cache.set("machine/r-1", machine_group(&["vm-1"]), Revision(7));
-    assert_eq!(cache.jobs[&id].present(), 1);
+    assert_eq!(cache.jobs[&id].present_tasks(), 1);
     assert!(cache.jobs[&id].placement(1).is_none());
     assert!(cache.jobs[&id].placement(0).is_some());
     // The next placement replaces the old one, with a new attempt.
@@ -181,9 +181,9 @@
     record.place(1, MachineId::new("vm-1"), AgentEpoch(1), attempt);
     let value = serde_json::to_value(&record).expect("run records always serialize");
     cache.set("run/job-1/0", value, Revision(8));
-    assert_eq!(cache.jobs[&id].present(), 2);
+    assert_eq!(cache.jobs[&id].present_tasks(), 2);
     cache.delete("machine/r-1", Revision(9));
-    assert_eq!(cache.jobs[&id].present(), 0);
+    assert_eq!(cache.jobs[&id].present_tasks(), 0);
 }
 
 #[test]
--- a/src/transport/network_clients/agents.rs
+++ b/src/transport/network_clients/agents.rs
@@ -9,7 +9,7 @@
 use crate::{
     coordination::clients::{AgentClient, Command, CommandResponse, Heartbeat, NoResponse},
     protocol::agents::{COMMAND_PATH, CommandRequest, INSPECT_PATH, parse_heartbeat},
-    storage::{AgentEpoch, Token},
+    storage::{AgentEpoch, FencingToken},
     transport::network::{Destination, HttpRequest, HttpResponse, Method, Network, status},
 };
 
@@ -55,7 +55,7 @@
     fn send_commands<'a>(
         &'a self,
         address: &'a str,
-        token: Token,
+        token: FencingToken,
         epoch: AgentEpoch,
         commands: &'a [Command],
     ) -> BoxFuture<'a, Result<CommandResponse, NoResponse>> {
--- a/src/transport/network_clients/key_value_store.rs
+++ b/src/transport/network_clients/key_value_store.rs
@@ -162,11 +162,11 @@
 
     fn watch(
         &self,
-        from: Revision,
+        after: Revision,
         max_wait: Duration,
     ) -> BoxFuture<'_, Result<(Revision, Vec<WatchEvent>), StateError>> {
         async move {
-            let path = watch_path(from, max_wait);
+            let path = watch_path(after, max_wait);
             let response = self.get_path(path, max_wait + REQUEST_TIMEOUT).await?;
             if response.status == status::GONE {
                 return Err(StateError::TooOld);
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -50,8 +50,8 @@
         incarnation: Incarnation(7),
         protocol_version,
         highest_revision: Revision(412),
-        state_reachable: true,
-        full: true,
+        state_service_reachable: true,
+        has_lists: true,
         owned: vec![OwnedMachine {
             machine: MachineId::new("vm-000231"),
             since_heartbeat: Duration::from_millis(1500),
@@ -64,7 +64,7 @@
             sequence: 88,
             images: Arc::new(vec![ImageName::new("img-07")]),
             speed: 0.9,
-            freed: Resources {
+            freed_resources: Resources {
                 cpus: 4.0,
                 gpus: 1.0,
                 memory: 8.0,
@@ -72,7 +72,7 @@
         }],
         indirect_heartbeats: vec![IndirectHeartbeat {
             machine: MachineId::new("vm-000232"),
-            kind: TypeName::new("g8"),
+            machine_type: TypeName::new("g8"),
             zone: ZoneName::new("a"),
             spot: true,
             epoch: AgentEpoch(1),
@@ -182,7 +182,10 @@
     let names_format = version.protocol_version >= ProtocolVersion::GANGS;
     assert_eq!(records, 11 + u64::from(names_format));
     let job = &cache.jobs[&JobId::new("job-000412")];
-    assert_eq!((job.placed, job.done, job.waiting()), (1, 2, 13));
+    assert_eq!(
+        (job.placed_tasks, job.completed_tasks, job.waiting()),
+        (1, 2, 13)
+    );
     let placement = job.placement(3).expect("a placement");
     assert_eq!(placement.attempt, version.attempt);
     assert!(cache.catalog.is_some() && cache.leader.is_some());
--- a/tests/state_cache.rs
+++ b/tests/state_cache.rs
@@ -52,7 +52,7 @@
     ] {
         let cache = gang(run.clone());
         let job = &cache.jobs[&id(1)];
-        assert_eq!(job.may_join(), joins, "{run}");
+        assert_eq!(job.can_place_waiting_gang_tasks(), joins, "{run}");
         assert_eq!(job.gang_attempt(), Attempt(attempt), "{run}");
     }
 }
