--- a/src/coordination/context.rs
+++ b/src/coordination/context.rs
@@ -1,6 +1,6 @@
-//! State shared by all components of a controller: the configuration, the
-//! store, the clients of agents, cloud and peers, wake-up signals and the shutdown token. This
-//! module depends on none of the components.
+//! State shared by all components of a controller: the configuration, the store, the clients of
+//! agents, cloud and peers, wake-up signals and the shutdown token. This module depends on none of
+//! the components.
 //!
 //! Lock order: the store's cache first, then the state of a component.
 
--- a/src/coordination/leader/fleet/failure_detector.rs
+++ b/src/coordination/leader/fleet/failure_detector.rs
@@ -115,7 +115,7 @@
         verifications
     }
 
-    /// Returns whether the machine's agent, if it has received no answer since its last
+    /// Returns whether the machine's agent, if it has received no response since its last
     /// heartbeat, has lost its lease and therefore stopped its tasks.
     fn is_agent_lease_expired(&self, unresponsive: &UnresponsiveMachine) -> bool {
         let config = &self.context.config;
--- a/src/coordination/leader/routing/gangs.rs
+++ b/src/coordination/leader/routing/gangs.rs
@@ -68,8 +68,8 @@
             last_evicted: None,
         };
         let gang = self.gangs.entry((*id).clone()).or_insert(new_gang);
-        let can_join = job.can_place_waiting_gang_tasks();
-        if can_join && now.duration_since(gang.since) < PARTIAL_GANG_TIMEOUT {
+        let can_place = job.can_place_waiting_gang_tasks();
+        if can_place && now.duration_since(gang.since) < PARTIAL_GANG_TIMEOUT {
             return true;
         }
         // All placed tasks of the gang are preempted; this is repeated only after the timeout.
@@ -77,7 +77,7 @@
         if last_evicted.is_none_or(|at| now.duration_since(at) > PREEMPTION_TIMEOUT) {
             gang.last_evicted = Some(now);
             self.evict_gang(queued, result);
-            tracing::debug!(job = %id, joins = can_join, "partial gang evicted");
+            tracing::debug!(job = %id, joins = can_place, "partial gang evicted");
         }
         false
     }
--- a/src/coordination/leader/state.rs
+++ b/src/coordination/leader/state.rs
@@ -164,11 +164,11 @@
         self.fleet.provision_count = provision_count;
     }
 
-    /// Records the lease of a leadership claim whose commit got no answer, so that the process
+    /// Records the lease of a leadership claim whose commit got no response, so that the process
     /// learned of its election from the cache. Marks a commit as in doubt, so that the leader
     /// record is rewritten with this lease before the next decision. Without the lease, the
     /// process could never rewrite its record, and so could not act after its first commit
-    /// that got no answer.
+    /// that got no response.
     pub(super) fn adopt_lease(&mut self, lease: LeaseId) {
         if self.lease != Some(lease) {
             self.lease = Some(lease);
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,8 +1,8 @@
 //! Coordination of the controllers: leadership, shard ownership, fencing, recovery, and the
 //! scheduling policy as pure functions.
 //!
-//! A [`Controller`] consists of long-running components, each a module that owns its
-//! state. All share one [`context::Context`].
+//! A [`Controller`] consists of long-running components, each a module that owns its state. All
+//! share one [`context::Context`].
 
 mod agent_state;
 pub mod clients;
--- a/src/coordination/owner/stops.rs
+++ b/src/coordination/owner/stops.rs
@@ -164,13 +164,13 @@
         } = state;
         let mut targets: Vec<StopTarget<'_>> = cancelled_tasks(cache).collect();
         targets.extend(preempted_tasks(cache, preempting));
-        let mut leaving_gangs: BTreeSet<JobId> = BTreeSet::new();
+        let mut gangs_to_stop: BTreeSet<JobId> = BTreeSet::new();
         for machine in reclaimed_machines(agents, cache) {
             targets.extend(machine.tasks_to_stop(now));
-            leaving_gangs.extend(machine.gangs_to_stop(now));
+            gangs_to_stop.extend(machine.gangs_to_stop(now));
         }
         let mut remote_gang_members: BTreeMap<ControllerName, Vec<TaskId>> = BTreeMap::new();
-        for id in leaving_gangs {
+        for id in gangs_to_stop {
             let Some(job) = cache.jobs.get(&id) else {
                 continue;
             };
--- a/src/coordination/peer_liveness.rs
+++ b/src/coordination/peer_liveness.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug)]
 struct LastStatus {
     as_of: Instant,
-    /// Whether the state service answered the peer.
+    /// Whether the state service responded to the peer.
     state_service_reachable: bool,
 }
 
--- a/src/coordination/quota_exchange/mod.rs
+++ b/src/coordination/quota_exchange/mod.rs
@@ -38,7 +38,7 @@
     pub refused: u32,
     /// Number of its own requests that were granted.
     pub received: u32,
-    /// Number of its own requests that were refused or got no answer.
+    /// Number of its own requests that were refused or got no response.
     pub unserved: u32,
 }
 
--- a/src/storage/model.rs
+++ b/src/storage/model.rs
@@ -190,8 +190,7 @@
     }
 
     /// Whether this is a best-effort array job: independent tasks of the lowest priority, which use
-    /// capacity that other jobs leave idle, need not start promptly, and yield to any other
-    /// work.
+    /// capacity that other jobs leave idle, need not start promptly, and yield to any other job.
     pub fn is_best_effort_array(&self) -> bool {
         self.kind == JobKind::Array && self.priority == Priority::BestEffort
     }
