--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -261,7 +261,7 @@
     runtime.shutdown_background();
 }
 
-/// Runs the controller's duties and its two servers until it is stopped.
+/// Runs the controller's background tasks and its two servers until it is stopped.
 async fn serve_controller(
     controller: &Arc<Controller>,
     public: SocketAddr,
@@ -275,17 +275,17 @@
     let private = TcpListener::bind(private)
         .await
         .expect("the loopback address is free");
-    let mut duties = JoinSet::new();
-    controller.start(&mut duties);
+    let mut background_tasks = JoinSet::new();
+    controller.start(&mut background_tasks);
     let router = server::router(controller.clone(), sockets.clone());
-    duties.spawn({
+    background_tasks.spawn({
         let (sockets, stop) = (sockets.clone(), stop.clone());
         async move {
             server::serve(router, public, sockets, stop).await;
             "server"
         }
     });
-    duties.spawn({
+    background_tasks.spawn({
         let (controller, sockets, stop) = (controller.clone(), sockets.clone(), stop.clone());
         async move {
             peer_connections::serve(controller, private, sockets, stop).await;
@@ -293,7 +293,7 @@
         }
     });
     stop.cancelled().await;
-    duties.abort_all();
+    background_tasks.abort_all();
 }
 
 /// Forwards requests of one controller to a simulated service.
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -10,10 +10,10 @@
         owner::ShardOwner,
         peer_liveness::PeerLiveness,
     },
-    storage::Token,
+    storage::FencingToken,
 };
 
-/// The duty that responds to heartbeats.
+/// Responds to heartbeats.
 pub struct HeartbeatService {
     context: Arc<Context>,
     owner: Arc<ShardOwner>,
@@ -22,7 +22,7 @@
 }
 
 impl HeartbeatService {
-    /// Creates the duty, which has no state of its own.
+    /// Creates the service, which has no state of its own.
     pub(super) fn new(
         context: Arc<Context>,
         owner: Arc<ShardOwner>,
@@ -52,7 +52,7 @@
         };
         let controller = shard.value.controller.clone();
         let owner = shard.value.owner;
-        let token = Token::from(shard.revision);
+        let token = FencingToken::from(shard.revision);
         if controller != context.config.name {
             let is_owner_alive = cache
                 .controllers
--- a/src/coordination/leader/fleet/eviction.rs
+++ b/src/coordination/leader/fleet/eviction.rs
@@ -80,7 +80,7 @@
                     continue;
                 }
                 if let (Some(load), Some((_, entry))) =
-                    (cache.on_machine.get(id), cache.shard_of(id))
+                    (cache.machine_loads.get(id), cache.shard_of(id))
                 {
                     preempt_all(&mut preemptions, &entry.value, load);
                 }
@@ -115,7 +115,7 @@
             let Some((_, entry)) = cache.shard_of(id) else {
                 continue;
             };
-            let Some(load) = cache.on_machine.get(id) else {
+            let Some(load) = cache.machine_loads.get(id) else {
                 continue;
             };
             if !is_marked_draining(&entry.value, id) || !load.tasks.values().all(is_replica) {
@@ -148,7 +148,7 @@
             .free_capacity_elsewhere(cache, machine, unavailable)
             .candidates;
         let tasks = cache
-            .on_machine
+            .machine_loads
             .get(machine)
             .into_iter()
             .flat_map(|load| load.tasks.values());
@@ -181,7 +181,7 @@
             (id != machine && !unavailable.contains(id)).then(|| UsableMachine {
                 images: Arc::default(),
                 speed: NOMINAL_RATIO,
-                freed: Resources::default(),
+                freed_resources: Resources::default(),
             })
         };
         candidate_machines(
@@ -196,7 +196,7 @@
     /// not depend on a zone or on the job's other replicas, and the job has reached
     /// [`MIN_AGE_TO_MOVE`].
     fn may_move_replica(&self, spec: &JobSpec) -> bool {
-        let now = (self.context.config.wall)();
+        let now = (self.context.config.wall_clock)();
         let is_spread = spec.spread && spec.tasks > 1;
         !is_spread && !spec.one_zone && spec.age(now) >= MIN_AGE_TO_MOVE
     }
--- a/src/coordination/leader/fleet/failure_detector.rs
+++ b/src/coordination/leader/fleet/failure_detector.rs
@@ -145,8 +145,8 @@
 /// of them at once. Machines reach the threshold for being unresponsive one after the other, so
 /// all unreachable machines are counted.
 fn is_mass_outage(cache: &StateCache, findings: &Findings<'_>) -> bool {
-    let ordinary = cache.machines.values().filter(|record| !record.spot);
-    let threshold = MIN_MASS_OUTAGE_THRESHOLD.max(ordinary.count() / MASS_OUTAGE_DIVISOR);
+    let on_demand = cache.machines.values().filter(|record| !record.spot);
+    let threshold = MIN_MASS_OUTAGE_THRESHOLD.max(on_demand.count() / MASS_OUTAGE_DIVISOR);
     findings.unreachable_count() > threshold
 }
 
@@ -178,7 +178,7 @@
             cache, state, machine, zone,
         ));
     }
-    if known.unreachable * 2 > known.ordinary {
+    if known.unreachable * 2 > known.on_demand {
         return PartitionEvidence::LikelyPartition;
     }
     PartitionEvidence::NotNeeded
--- a/src/coordination/leader/fleet/machine_inspection.rs
+++ b/src/coordination/leader/fleet/machine_inspection.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ZoneReachability {
     /// Number of machines that are in shards.
-    pub(super) ordinary: usize,
+    pub(super) on_demand: usize,
     /// Number of these that no controller reaches.
     pub(super) unreachable: usize,
 }
@@ -186,7 +186,7 @@
     /// Adds the findings about one machine.
     fn inspect(&mut self, machine: InspectedMachine<'a>) {
         if !machine.record.spot {
-            self.zone_of(machine).ordinary += 1;
+            self.zone_of(machine).on_demand += 1;
         }
         if !self.state.is_up(self.cache, machine.id) {
             self.inspect_booting(machine);
@@ -215,8 +215,8 @@
     fn inspect_booting(&mut self, machine: InspectedMachine<'a>) {
         let boot = self
             .cache
-            .machine_type(&machine.record.kind)
-            .map_or(DEFAULT_BOOT_TIME, |kind| kind.boot);
+            .machine_type(&machine.record.machine_type)
+            .map_or(DEFAULT_BOOT_TIME, |machine_type| machine_type.boot);
         let timeout = boot.mul_f64(BOOT_TIMEOUT_FACTOR) + BOOT_TIMEOUT_MARGIN;
         if self.age(machine.record) > timeout {
             self.findings
@@ -358,7 +358,7 @@
             .paid_periods
             .time_left(self.age(machine.record));
         self.state.fleet.draining_machines.contains(machine.id)
-            && !self.cache.on_machine.contains_key(machine.id)
+            && !self.cache.machine_loads.contains_key(machine.id)
             && paid_left < SCALE_IN_MARGIN
     }
 }
--- a/src/coordination/leader/miss_rate.rs
+++ b/src/coordination/leader/miss_rate.rs
@@ -35,8 +35,8 @@
 impl Progress {
     fn of(job: &Job) -> Self {
         Self {
-            started: job.placed + job.done,
-            done: job.done,
+            started: job.placed_tasks + job.completed_tasks,
+            done: job.completed_tasks,
         }
     }
 
@@ -128,7 +128,7 @@
         &mut self,
         cache: &StateCache,
         now: Instant,
-        wall: SystemTime,
+        wall_time: SystemTime,
         start_target: Duration,
         window: Duration,
         pool_for: impl Fn(&Arc<JobSpec>) -> Option<Pool>,
@@ -144,7 +144,7 @@
             }
             let before = self.progress_before(id, current);
             let EvaluatedTasks { tasks, missed } =
-                self.evaluate_targets(id, spec, before, current, wall, start_target);
+                self.evaluate_targets(id, spec, before, current, wall_time, start_target);
             if tasks > 0 {
                 *evaluated.entry((pool_for(spec), missed)).or_default() += tasks;
             }
@@ -191,17 +191,17 @@
         spec: &JobSpec,
         before: Progress,
         current: Progress,
-        wall: SystemTime,
+        wall_time: SystemTime,
         start_target: Duration,
     ) -> EvaluatedTasks {
         match spec.deadline {
             Some(deadline) => EvaluatedTasks {
                 tasks: current.done.saturating_sub(before.done),
-                missed: spec.age(wall) > deadline && self.starved_for(id) > MIN_STARVATION,
+                missed: spec.age(wall_time) > deadline && self.starved_for(id) > MIN_STARVATION,
             },
             None => EvaluatedTasks {
                 tasks: current.started.saturating_sub(before.started),
-                missed: self.starved_for(id) > start_target && !spec.is_idle_work(),
+                missed: self.starved_for(id) > start_target && !spec.is_best_effort_array(),
             },
         }
     }
--- a/src/coordination/leader/routing/zone_bound.rs
+++ b/src/coordination/leader/routing/zone_bound.rs
@@ -51,7 +51,7 @@
             }
             return true;
         };
-        let is_unplaced = job.present() == 0 && !self.offered.contains_key(*id);
+        let is_unplaced = job.present_tasks() == 0 && !self.outstanding_offers.contains_key(*id);
         let has_capacity = capacity
             .get(assigned_zone)
             .is_some_and(|tasks| *tasks >= needed);
@@ -102,9 +102,11 @@
         let scope = self.scope(queued.spec);
         let mut parts = zone_usage::constrained_parts(self.cache, queued.job, scope, tasks);
         for (part, constraint) in &mut parts {
-            let record = part.first().map_or(0, |task| task / keys::CHUNK);
+            let record = part
+                .first()
+                .map_or(0, |task| task / keys::TASKS_PER_RUN_RECORD);
             self.count_offered(queued, constraint, |task| {
-                scope == ZoneScope::WholeJob || task / keys::CHUNK == record
+                scope == ZoneScope::WholeJob || task / keys::TASKS_PER_RUN_RECORD == record
             });
         }
         parts
@@ -120,7 +122,7 @@
         if !queued.spec.is_zone_bound() {
             return;
         }
-        let outstanding = self.offered.get(queued.id);
+        let outstanding = self.outstanding_offers.get(queued.id);
         for (task, offered) in outstanding.into_iter().flatten() {
             if let Some(record) = self.cache.machines.get(&offered.machine)
                 && counts(*task)
--- a/src/coordination/owner/failing_jobs.rs
+++ b/src/coordination/owner/failing_jobs.rs
@@ -92,14 +92,14 @@
             let Some(job) = cache.jobs.get(id) else {
                 continue;
             };
-            let records = job.chunks.values().map(|entry| &entry.value);
+            let records = job.run_records.values().map(|entry| &entry.value);
             let ended: u64 = records
                 .flat_map(|record| record.last_attempts.values())
                 .map(|attempt| attempt.0)
                 .sum();
             let has_failed_elsewhere =
                 failing.machines.len() >= CRASH_LOOP_AFTER_MACHINES || ended > failing.failures;
-            failing.is_crash_looping = job.done == 0 && has_failed_elsewhere;
+            failing.is_crash_looping = job.completed_tasks == 0 && has_failed_elsewhere;
         }
     }
 
--- a/src/coordination/owner/planned_changes.rs
+++ b/src/coordination/owner/planned_changes.rs
@@ -17,7 +17,7 @@
     /// The job.
     pub(super) id: JobId,
     /// Index of the run record within the job.
-    pub(super) chunk: u32,
+    pub(super) record_index: u32,
     /// The new content of the record.
     pub(super) record: RunRecord,
     /// Whether the change places tasks.
@@ -35,8 +35,9 @@
     pub(super) shared: bool,
     /// Whether the change completes the job.
     pub(super) finishes_job: bool,
-    /// Whether the job is idle work, see [`JobSpec::is_idle_work`](crate::storage::JobSpec::is_idle_work).
-    pub(super) is_idle_work: bool,
+    /// Whether it is a best-effort array job, see
+    /// [`JobSpec::is_best_effort_array`](crate::storage::JobSpec::is_best_effort_array).
+    pub(super) is_best_effort_array: bool,
     /// Starts to be sent once the change is committed.
     pub(super) starts: Vec<PlannedStart>,
     /// Reported ends from which run times, speeds and failures are learned once the change
@@ -79,14 +80,14 @@
         job: &state_cache::Job,
         task: u32,
     ) -> &mut RecordChange {
-        let chunk = task / keys::CHUNK;
-        let key = (id.clone(), chunk);
+        let record_index = task / keys::TASKS_PER_RUN_RECORD;
+        let key = (id.clone(), record_index);
         self.0.entry(key).or_insert_with(|| RecordChange {
             id: id.clone(),
-            chunk,
+            record_index,
             record: job
-                .chunks
-                .get(&chunk)
+                .run_records
+                .get(&record_index)
                 .map(|entry| entry.value.clone())
                 .unwrap_or_default(),
             has_placements: false,
@@ -94,7 +95,7 @@
             fenced: false,
             shared: false,
             finishes_job: false,
-            is_idle_work: false,
+            is_best_effort_array: false,
             starts: Vec::new(),
             task_ends: Vec::new(),
         })
--- a/src/storage/model.rs
+++ b/src/storage/model.rs
@@ -189,16 +189,15 @@
         }
     }
 
-    /// Whether the job is idle work: independent tasks of the lowest priority, which use
-    /// capacity that other jobs leave idle, need not start promptly, and yield to any other
-    /// work.
-    pub fn is_idle_work(&self) -> bool {
+    /// Whether this is a best-effort array job: independent tasks of the lowest priority, which use
+    /// capacity that other jobs leave idle, need not start promptly, and yield to any other job.
+    pub fn is_best_effort_array(&self) -> bool {
         self.kind == JobKind::Array && self.priority == Priority::BestEffort
     }
 
     /// Number of run records for its tasks.
     pub fn run_record_count(&self) -> u32 {
-        self.tasks.div_ceil(keys::CHUNK)
+        self.tasks.div_ceil(keys::TASKS_PER_RUN_RECORD)
     }
 
     /// Time since it was accepted.
--- a/src/storage/state_cache/job.rs
+++ b/src/storage/state_cache/job.rs
@@ -1,7 +1,7 @@
 //! A cached job: its spec and run records, and the figures derived from them.
 //!
-//! The cache sets the fields and keeps `placed`, `done` and `lost` consistent with the
-//! records; planning, placement and the status of jobs read them.
+//! The cache sets the fields and keeps `placed_tasks`, `completed_tasks` and `lost_tasks`
+//! consistent with the records; planning, placement and the status of jobs read them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,18 +21,18 @@
 pub struct Job {
     /// Its spec; `None` if the key is deleted or has not been read yet.
     pub spec: Option<Versioned<Arc<JobSpec>>>,
-    /// Its run records, by the number of the range of tasks (see [`keys::CHUNK`]).
-    pub chunks: BTreeMap<u32, Versioned<RunRecord>>,
+    /// Its run records, by their index (see [`keys::TASKS_PER_RUN_RECORD`]).
+    pub run_records: BTreeMap<u32, Versioned<RunRecord>>,
     /// Revision of the cleanup mark, if there is one: the job is cancelled, or over. Its tasks
     /// must be stopped and none may start.
     pub cleanup_since: Option<Revision>,
     /// Number of tasks that are placed according to its run records.
-    pub placed: u32,
+    pub placed_tasks: u32,
     /// Number of completed tasks.
-    pub done: u32,
+    pub completed_tasks: u32,
     /// Placed tasks whose machines are terminated. A machine is removed from its machine group only
     /// after the cloud has confirmed its release, or when it is known not to exist any more.
-    pub lost: BTreeSet<u32>,
+    pub lost_tasks: BTreeSet<u32>,
 }
 
 impl Job {
@@ -42,21 +42,22 @@
     }
 
     /// Revision of one of its run records; 0 if there is no such record.
-    pub fn run_revision(&self, chunk: u32) -> Revision {
-        self.chunks
-            .get(&chunk)
+    pub fn run_revision(&self, record_index: u32) -> Revision {
+        self.run_records
+            .get(&record_index)
             .map_or(Revision(0), |entry| entry.revision)
     }
 
     /// Number of placed tasks that are, or may be, on a machine.
-    pub fn present(&self) -> u32 {
-        self.placed.saturating_sub(self.lost.len() as u32)
+    pub fn present_tasks(&self) -> u32 {
+        self.placed_tasks
+            .saturating_sub(self.lost_tasks.len() as u32)
     }
 
     /// The machine on which a task is, or may be. A task whose machine is terminated has none and
     /// waits again: its next placement replaces the recorded one in a single change of the record.
     pub fn placement(&self, task: u32) -> Option<&Placement> {
-        if self.lost.contains(&task) {
+        if self.lost_tasks.contains(&task) {
             return None;
         }
         self.recorded_placement(task)
@@ -64,8 +65,8 @@
 
     /// The placement of a task in its run record, even if the machine is terminated.
     pub fn recorded_placement(&self, task: u32) -> Option<&Placement> {
-        self.chunks
-            .get(&(task / keys::CHUNK))?
+        self.run_records
+            .get(&(task / keys::TASKS_PER_RUN_RECORD))?
             .value
             .placed
             .get(&task)
@@ -73,15 +74,18 @@
 
     /// Whether this task has completed.
     pub fn is_task_done(&self, task: u32) -> bool {
-        self.chunks
-            .get(&(task / keys::CHUNK))
+        self.run_records
+            .get(&(task / keys::TASKS_PER_RUN_RECORD))
             .is_some_and(|entry| entry.value.is_done(task))
     }
 
     /// Number of its tasks that are neither present nor done; 0 for a cancelled job.
     pub fn waiting(&self) -> u32 {
         match (&self.spec, self.cleanup_since) {
-            (Some(spec), None) => spec.value.tasks.saturating_sub(self.present() + self.done),
+            (Some(spec), None) => spec
+                .value
+                .tasks
+                .saturating_sub(self.present_tasks() + self.completed_tasks),
             _ => 0,
         }
     }
@@ -96,14 +100,18 @@
         }
         let empty = RunRecord::default();
         let mut waiting = Vec::new();
-        for chunk in 0..spec.tasks.div_ceil(keys::CHUNK) {
-            let record = self.chunks.get(&chunk).map_or(&empty, |entry| &entry.value);
-            let first_task = chunk * keys::CHUNK;
-            for task in first_task..(first_task + keys::CHUNK).min(spec.tasks) {
+        for record_index in 0..spec.tasks.div_ceil(keys::TASKS_PER_RUN_RECORD) {
+            let record = self
+                .run_records
+                .get(&record_index)
+                .map_or(&empty, |entry| &entry.value);
+            let first_task = record_index * keys::TASKS_PER_RUN_RECORD;
+            for task in first_task..(first_task + keys::TASKS_PER_RUN_RECORD).min(spec.tasks) {
                 if waiting.len() >= limit {
                     return waiting;
                 }
-                let is_present = record.placed.contains_key(&task) && !self.lost.contains(&task);
+                let is_present =
+                    record.placed.contains_key(&task) && !self.lost_tasks.contains(&task);
                 if !is_present && !record.is_done(task) {
                     waiting.push(task);
                 }
@@ -117,7 +125,7 @@
         self.records()
             .flat_map(|record| &record.placed)
             .map(|(task, placement)| (*task, placement))
-            .filter(|(task, _)| !self.lost.contains(task))
+            .filter(|(task, _)| !self.lost_tasks.contains(task))
     }
 
     /// Whether a gang's waiting tasks may be placed. They may if no task of the gang is present, or
@@ -125,12 +133,12 @@
     /// and the others wait for them. They may not if a task of the attempt has ended or is lost:
     /// then the remaining tasks must leave their machines first, and all tasks are placed again
     /// with the next attempt.
-    pub fn may_join(&self) -> bool {
+    pub fn can_place_waiting_gang_tasks(&self) -> bool {
         let Some(attempt) = self.present_placements().map(|(_, p)| p.attempt).min() else {
             return true;
         };
-        self.done == 0
-            && self.lost.is_empty()
+        self.completed_tasks == 0
+            && self.lost_tasks.is_empty()
             && self.last_ended_attempt().is_none_or(|last| last < attempt)
     }
 
@@ -155,23 +163,23 @@
     }
 
     fn records(&self) -> impl Iterator<Item = &RunRecord> {
-        self.chunks.values().map(|entry| &entry.value)
+        self.run_records.values().map(|entry| &entry.value)
     }
 
     /// Whether all its tasks have completed.
     pub fn all_done(&self) -> bool {
         self.spec
             .as_ref()
-            .is_some_and(|spec| self.done >= spec.value.tasks)
+            .is_some_and(|spec| self.completed_tasks >= spec.value.tasks)
     }
 
     /// Updates the counts of placed and completed tasks from the records.
     pub(super) fn recount(&mut self) {
-        self.placed = 0;
-        self.done = 0;
-        for entry in self.chunks.values() {
-            self.placed += entry.value.placed.len() as u32;
-            self.done += entry.value.done_count();
+        self.placed_tasks = 0;
+        self.completed_tasks = 0;
+        for entry in self.run_records.values() {
+            self.placed_tasks += entry.value.placed.len() as u32;
+            self.completed_tasks += entry.value.done_count();
         }
     }
 }
--- a/src/transport/network_clients/key_value_store.rs
+++ b/src/transport/network_clients/key_value_store.rs
@@ -64,11 +64,11 @@
                 status::TOO_MANY_REQUESTS => Err(StateError::Throttled),
                 status::SERVICE_UNAVAILABLE => Err(StateError::Unavailable),
                 // These codes leave open whether the request was executed.
-                status::INTERNAL_SERVER_ERROR.. => Err(StateError::NoAnswer),
+                status::INTERNAL_SERVER_ERROR.. => Err(StateError::NoResponse),
                 _ => Ok(response),
             },
             Err(SendError::NotSent(_)) => Err(StateError::Unavailable),
-            Err(SendError::NoAnswer(_)) => Err(StateError::NoAnswer),
+            Err(SendError::NoResponse(_)) => Err(StateError::NoResponse),
         }
     }
 }
@@ -162,11 +162,11 @@
 
     fn watch(
         &self,
-        from: Revision,
+        after: Revision,
         max_wait: Duration,
     ) -> BoxFuture<'_, Result<(Revision, Vec<WatchEvent>), StateError>> {
         async move {
-            let path = watch_path(from, max_wait);
+            let path = watch_path(after, max_wait);
             let response = self.get_path(path, max_wait + REQUEST_TIMEOUT).await?;
             if response.status == status::GONE {
                 return Err(StateError::TooOld);
--- a/tests/state_cache.rs
+++ b/tests/state_cache.rs
@@ -65,7 +65,7 @@
     ] {
         let cache = gang(run.clone());
         let job = &cache.jobs[&id(1)];
-        assert_eq!(job.may_join(), may_join, "{run}");
+        assert_eq!(job.can_place_waiting_gang_tasks(), may_join, "{run}");
         assert_eq!(job.gang_attempt(), Attempt(attempt), "{run}");
     }
 }
