--- a/crates/quota-report/src/cases.rs
+++ b/crates/quota-report/src/cases.rs
@@ -1,12 +1,12 @@
-//! What is measured: bursts that move from one controller's machines to the next, a spell
-//! without a leader, and a flood that uses limits up.
+//! The measured cases. Each one has bursts of jobs that move from one controller's machines to
+//! the next, a period without a leader, and an overload that exhausts the teams' limits.
 
 use std::{thread, time::Duration};
 
 use hdrhistogram::Histogram;
 use simulator::scenario::{Measured, Scenario};
 
-/// Controllers and teams of a case, and whether controllers transfer quota.
+/// Number of controllers and teams of a case, and whether controllers transfer quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Case {
     pub controllers: usize,
@@ -14,24 +14,25 @@
     pub transfers: bool,
 }
 
-/// CPUs of a team's limit: three tasks' worth and no more, so that a burst of two needs
-/// what lies with several controllers.
-const LIMIT: f64 = 6.0;
-/// Seconds at which machines are up and images cached.
-const BURSTS_FROM: f64 = 40.0;
-/// ... the leader is gone for good until it is replaced.
-const LEADER_DIES: f64 = 119.0;
-/// Jobs submitted within this time after its death are told apart.
-const WITHOUT_LEADER: f64 = 5.0;
-const FLOOD_FROM: f64 = 150.0;
-const FLOOD_UNTIL: f64 = 200.0;
-/// Longer waits count as this.
-const LONGEST_MS: u64 = 600_000;
-/// Bursts of all teams a second are kept below what the state service takes.
-const JOBS_A_SECOND: f64 = 5.0;
+/// Limit of each team. It suffices for three tasks only, so that a burst of two tasks needs
+/// quota from several controllers.
+const TEAM_LIMIT_CPUS: f64 = 6.0;
+/// Start of the bursts. By then machines have booted and images are cached.
+const BURSTS_START_S: f64 = 40.0;
+/// Time at which the leader crashes. It stays down long enough for another controller to
+/// replace it.
+const LEADER_CRASH_S: f64 = 119.0;
+/// Jobs submitted within this time after the crash are counted separately.
+const WITHOUT_LEADER_S: f64 = 5.0;
+const OVERLOAD_START_S: f64 = 150.0;
+const OVERLOAD_END_S: f64 = 200.0;
+/// Maximum recorded wait; longer ones are recorded as this.
+const MAX_WAIT_MS: u64 = 600_000;
+/// Rate of jobs in bursts, over all teams. It stays below the capacity of the state service.
+const JOBS_PER_SECOND: f64 = 5.0;
 
 impl Case {
-    /// All cases of the report.
+    /// Returns all cases of the report.
     pub fn all() -> Vec<Case> {
         let sizes = [3, 5, 9].into_iter().flat_map(|c| [(c, 10), (c, 100)]);
         sizes
@@ -45,30 +46,30 @@
             .collect()
     }
 
-    /// Its name in the report.
+    /// Returns the name of the case in the report.
     pub fn name(&self) -> String {
-        let how = if self.transfers {
+        let division = if self.transfers {
             "transfers"
         } else {
             "leader"
         };
         format!(
-            "{} controllers, {} teams, {how}",
+            "{} controllers, {} teams, {division}",
             self.controllers, self.teams
         )
     }
 
-    /// Seconds between two bursts of all teams.
-    fn pause(&self) -> f64 {
-        (self.teams as f64 / JOBS_A_SECOND).max(2.0)
+    /// Returns the seconds between two bursts of all teams.
+    fn burst_interval_s(&self) -> f64 {
+        (self.teams as f64 / JOBS_PER_SECOND).max(2.0)
     }
 
-    fn bursts(&self) -> usize {
-        let span = FLOOD_FROM - 10.0 - BURSTS_FROM;
-        (span / self.pause()) as usize + 1
+    fn burst_count(&self) -> usize {
+        let span = OVERLOAD_START_S - 10.0 - BURSTS_START_S;
+        (span / self.burst_interval_s()) as usize + 1
     }
 
-    /// The scenario that is played.
+    /// Returns the scenario for the simulator, as text.
     fn scenario(&self, seed: u64) -> String {
         let zones: Vec<String> = (0..self.controllers).map(|n| format!("z{n}")).collect();
         let mut lines = vec![
@@ -86,86 +87,90 @@
             lines.push("transfers".into());
         }
         for team in 0..self.teams {
-            lines.push(format!("team team-{team} limit={LIMIT} guaranteed=2"));
+            lines.push(format!(
+                "team team-{team} limit={TEAM_LIMIT_CPUS} guaranteed=2"
+            ));
         }
-        // A replica in each zone keeps its machine.
+        // A service with one task in each zone keeps a machine provisioned there.
         for (n, zone) in zones.iter().enumerate() {
             lines.push(format!(
                 "at 1 submit job-{n} team=base service tasks=1 cpus=1 zone={zone}"
             ));
         }
         let mut job = 100;
-        for burst in 0..self.bursts() {
+        for burst in 0..self.burst_count() {
             for team in 0..self.teams {
                 let zone = &zones[(burst + team) % zones.len()];
-                let at = BURSTS_FROM + burst as f64 * self.pause();
+                let at = BURSTS_START_S + burst as f64 * self.burst_interval_s();
                 lines.push(format!(
                     "at {at:.2} submit job-{job} team=team-{team} tasks=2 cpus=2 run=1 zone={zone}"
                 ));
                 job += 1;
             }
         }
-        lines.push(format!("at {LEADER_DIES} crash leader for=20"));
+        lines.push(format!("at {LEADER_CRASH_S} crash leader for=20"));
         for team in 0..self.teams.min(20) {
             lines.push(format!(
-                "at {FLOOD_FROM} submit job-{job} team=team-{team} tasks=60 cpus=2 run=3"
+                "at {OVERLOAD_START_S} submit job-{job} team=team-{team} tasks=60 cpus=2 run=3"
             ));
             job += 1;
         }
-        lines.push(format!("until {FLOOD_UNTIL}"));
+        lines.push(format!("until {OVERLOAD_END_S}"));
         lines.join("\n")
     }
 
-    /// Teams that flood.
-    fn flooding(&self) -> usize {
+    /// Returns the number of teams that take part in the overload.
+    fn overloading_teams(&self) -> usize {
         self.teams.min(20)
     }
 }
 
-/// What was measured of a case, over all seeds.
+/// Measured results of a case, over all seeds.
 pub struct CaseResult {
     pub case: Case,
-    /// Milliseconds from submission to start, while a leader leads.
-    pub waits: Histogram<u64>,
-    /// ... of jobs submitted just after the leader's death.
-    pub without_leader: Histogram<u64>,
-    /// Part of the limits in use while teams flood.
-    pub use_of_limits: f64,
-    /// Changes of the state service for each start.
-    pub changes: f64,
-    /// Jobs of bursts that had not begun at the end.
-    pub not_begun: usize,
-    pub broken: Vec<String>,
+    /// Times from submission to start in milliseconds, of jobs submitted while there was a
+    /// leader.
+    pub waits_ms: Histogram<u64>,
+    /// The same, of jobs submitted just after the leader's crash.
+    pub waits_without_leader_ms: Histogram<u64>,
+    /// Mean fraction of the teams' limits in use during the overload.
+    pub limit_utilisation: f64,
+    /// Changes requested from the state service, per start of a task.
+    pub changes_per_start: f64,
+    /// Number of jobs of bursts that had not started by the end.
+    pub not_started: usize,
+    /// Violated rules, and failed expectations.
+    pub violations: Vec<String>,
 }
 
 impl CaseResult {
-    /// A line of figures.
-    pub fn line(&self) -> String {
-        let quantile = |of: &Histogram<u64>, part| of.value_at_quantile(part);
+    /// Returns the figures of the case in one line.
+    pub fn summary(&self) -> String {
+        let quantile = |waits: &Histogram<u64>, quantile| waits.value_at_quantile(quantile);
         format!(
             "{}: waits {} {} {} ms (p50 p99 max), without a leader {} {} ms (p50 max), \
-             limits used {:.2}, {:.2} changes a start, {} not begun, {} broken",
+             limit utilisation {:.2}, {:.2} changes per start, {} not started, {} violations",
             self.case.name(),
-            quantile(&self.waits, 0.5),
-            quantile(&self.waits, 0.99),
-            self.waits.max(),
-            quantile(&self.without_leader, 0.5),
-            self.without_leader.max(),
-            self.use_of_limits,
-            self.changes,
-            self.not_begun,
-            self.broken.len()
+            quantile(&self.waits_ms, 0.5),
+            quantile(&self.waits_ms, 0.99),
+            self.waits_ms.max(),
+            quantile(&self.waits_without_leader_ms, 0.5),
+            self.waits_without_leader_ms.max(),
+            self.limit_utilisation,
+            self.changes_per_start,
+            self.not_started,
+            self.violations.len()
         )
     }
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_MS, 3).expect("the bounds are in order")
+    Histogram::new_with_bounds(1, MAX_WAIT_MS, 3).expect("the histogram bounds are valid")
 }
 
-/// Plays a case with several seeds side by side.
+/// Runs a case with seeds from 1 to `seeds`, each in a thread of its own.
 pub fn measure(case: &Case, seeds: u64) -> CaseResult {
-    let playing: Vec<_> = (1..=seeds)
+    let runs: Vec<_> = (1..=seeds)
         .map(|seed| {
             let text = case.scenario(seed);
             thread::spawn(move || Scenario::parse(&text).measure())
@@ -173,15 +178,15 @@
         .collect();
     let mut result = CaseResult {
         case: *case,
-        waits: histogram(),
-        without_leader: histogram(),
-        use_of_limits: 0.0,
-        changes: 0.0,
-        not_begun: 0,
-        broken: Vec::new(),
+        waits_ms: histogram(),
+        waits_without_leader_ms: histogram(),
+        limit_utilisation: 0.0,
+        changes_per_start: 0.0,
+        not_started: 0,
+        violations: Vec::new(),
     };
-    for played in playing {
-        let measured = played.join().expect("the scenario ends");
+    for run in runs {
+        let measured = run.join().expect("the scenario thread should not panic");
         result.add(&measured, seeds as f64);
     }
     result
@@ -189,45 +194,47 @@
 
 impl CaseResult {
     fn add(&mut self, measured: &Measured, seeds: f64) {
-        let second = Duration::from_secs_f64;
-        let is_burst = |at: Duration| at >= second(BURSTS_FROM) && at < second(FLOOD_FROM);
+        let seconds = Duration::from_secs_f64;
+        let is_burst =
+            |at: Duration| at >= seconds(BURSTS_START_S) && at < seconds(OVERLOAD_START_S);
         for (at, wait) in measured.waits.iter().filter(|(at, _)| is_burst(*at)) {
             let Some(wait) = wait else {
-                self.not_begun += 1;
+                self.not_started += 1;
                 continue;
             };
-            let dies = second(LEADER_DIES);
-            let is_alone = *at >= dies && *at < dies + second(WITHOUT_LEADER);
-            let waits = if is_alone {
-                &mut self.without_leader
+            let crash = seconds(LEADER_CRASH_S);
+            let is_without_leader = *at >= crash && *at < crash + seconds(WITHOUT_LEADER_S);
+            let waits = if is_without_leader {
+                &mut self.waits_without_leader_ms
             } else {
-                &mut self.waits
+                &mut self.waits_ms
             };
             waits.saturating_record(wait.as_millis() as u64);
         }
-        self.use_of_limits += self.flooded(measured) / seeds;
-        self.changes += measured.changes as f64 / measured.starts.max(1) as f64 / seeds;
-        self.broken.extend(measured.wrong.iter().cloned());
+        self.limit_utilisation += self.overload_utilisation(measured) / seeds;
+        self.changes_per_start += measured.changes as f64 / measured.starts.max(1) as f64 / seeds;
+        self.violations.extend(measured.wrong.iter().cloned());
     }
 
-    /// The mean part of the flooding teams' limits in use, once the first tasks run.
-    fn flooded(&self, measured: &Measured) -> f64 {
-        let from = Duration::from_secs_f64(FLOOD_FROM + 5.0);
-        let until = Duration::from_secs_f64(FLOOD_FROM + 30.0);
+    /// Returns the mean fraction of the overloading teams' limits in use, from 5 to 30 seconds
+    /// after the overload begins, when the first tasks run.
+    fn overload_utilisation(&self, measured: &Measured) -> f64 {
+        let from = Duration::from_secs_f64(OVERLOAD_START_S + 5.0);
+        let until = Duration::from_secs_f64(OVERLOAD_START_S + 30.0);
         let samples = measured
             .used
             .iter()
-            .filter(|s| s.at >= from && s.at < until);
-        let parts: Vec<f64> = samples
+            .filter(|sample| sample.at >= from && sample.at < until);
+        let fractions: Vec<f64> = samples
             .map(|sample| {
                 let teams = sample
                     .used
                     .iter()
                     .filter(|(team, _)| team.as_str() != "base");
                 let used: f64 = teams.map(|(_, cpus)| cpus).sum();
-                used / (LIMIT * self.case.flooding() as f64)
+                used / (TEAM_LIMIT_CPUS * self.case.overloading_teams() as f64)
             })
             .collect();
-        parts.iter().sum::<f64>() / parts.len().max(1) as f64
+        fractions.iter().sum::<f64>() / fractions.len().max(1) as f64
     }
 }
--- a/crates/quota-report/src/main.rs
+++ b/crates/quota-report/src/main.rs
@@ -1,6 +1,6 @@
-//! Measures how quota reaches tasks, with the leader's division and with transfers between
-//! controllers, on the same stand-ins; writes an HTML report with plots. All figures are
-//! from simulated machines.
+//! Measures how long tasks wait for quota, when the leader divides team limits and when
+//! controllers transfer quota to each other, with the same simulated services. Writes an HTML
+//! report with plots. All figures come from simulated machines.
 
 mod cases;
 mod report;
@@ -14,10 +14,10 @@
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
-    /// The report to write
+    /// Path of the report to write
     #[arg(long, value_name = "FILE", default_value = "quota-report.html")]
     output: std::path::PathBuf,
-    /// Seeds of each case
+    /// Number of seeds to run each case with
     #[arg(long, default_value_t = 3)]
     seeds: u64,
 }
@@ -27,16 +27,16 @@
     let mut results = Vec::new();
     for case in Case::all() {
         let result = measure(&case, arguments.seeds);
-        println!("{}", result.line());
+        println!("{}", result.summary());
         results.push(result);
     }
-    let broken = results.iter().any(|result| !result.broken.is_empty());
+    let has_violations = results.iter().any(|result| !result.violations.is_empty());
     if let Err(error) = report::write(&arguments.output, &results) {
         eprintln!("quota-report: {error}");
         return ExitCode::FAILURE;
     }
-    if broken {
-        eprintln!("quota-report: rules were broken, see the report");
+    if has_violations {
+        eprintln!("quota-report: rules were violated; see the report");
         return ExitCode::FAILURE;
     }
     ExitCode::SUCCESS
--- a/crates/quota/src/deficit.rs
+++ b/crates/quota/src/deficit.rs
@@ -1,4 +1,5 @@
-//! The recipient's side of transfers: what is lacking, and whom to ask for it.
+//! The recipient's side of transfers: which quota the controller lacks, and which donor to
+//! request it from.
 
 use std::{
     collections::BTreeMap,
@@ -7,41 +8,43 @@
 
 use crate::{Quota, Refusal, TransferRequest};
 
-/// A request without an answer by now is taken for lost.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(1500);
-/// A shortage that nobody has named for this long is over.
+/// A request without a response for this long is considered lost.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// A deficit that has not been reported again for this long is dropped.
 const DEFICIT_TTL: Duration = Duration::from_secs(3);
-/// A controller that had nothing to spare is not asked again for this long.
-const REFUSED_PAUSE: Duration = Duration::from_millis(400);
-/// ... that gave no answer, or was not ready.
-const LOST_PAUSE: Duration = Duration::from_secs(2);
-
-/// What the recipient believes another controller could give.
+/// Minimum time before the next request to a donor that had nothing to spare, was busy, or
+/// found the request outdated.
+const REFUSED_BACKOFF: Duration = Duration::from_millis(400);
+/// Minimum time before the next request to a donor that did not respond, was not ready, or
+/// found the request invalid.
+const UNAVAILABLE_BACKOFF: Duration = Duration::from_secs(2);
+
+/// The recipient's estimate of what another controller could give.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DonorView<C, T> {
-    /// The controller.
+    /// The controller that would give quota.
     pub donor: C,
-    /// What it seems to have to spare, by team.
+    /// Estimated unused quota of that controller, by team.
     pub spare: BTreeMap<T, Quota>,
 }
 
-/// A request with the controller that it goes to.
+/// A request and the controller to send it to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Addressed<C, T> {
-    /// The controller that is asked.
+pub struct OutgoingRequest<C, T> {
+    /// The controller that receives the request.
     pub donor: C,
-    /// What it is asked for.
+    /// The request.
     pub request: TransferRequest<C, T>,
 }
 
-/// What became of a request.
+/// Result of a request, as the recipient knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome<T> {
-    /// Transferred, by team.
+    /// The transferred amounts, by team.
     Granted(BTreeMap<T, Quota>),
-    /// Nothing has changed.
+    /// The donor refused the request, and nothing has changed.
     Refused(Refusal),
-    /// No answer: it may have been carried out, or may yet be.
+    /// There was no usable response: the transfer may have been committed, or may still be.
     Lost,
 }
 
@@ -49,10 +52,10 @@
 struct Deficit {
     amount: Quota,
     since: Instant,
-    named: Instant,
+    last_reported: Instant,
 }
 
-/// A request under way.
+/// A request that has been sent and not yet answered.
 #[derive(Clone, Debug, PartialEq)]
 struct Pending<C> {
     donor: C,
@@ -60,77 +63,81 @@
     sent: Instant,
 }
 
-/// What one controller lacks, and whom it has asked. One request is under way at a time:
-/// each transfer changes the recipient's own record, which voids its placements under way.
+/// The quota that one controller lacks, and its pending request for it. At most one request
+/// is pending at a time: each transfer changes the recipient's allocation record, which
+/// invalidates the placements that the recipient has planned with the previous revision.
 #[derive(Clone, Debug)]
 pub struct Deficits<C, T> {
     recipient: C,
-    process: u64,
+    incarnation: u64,
     last_number: u64,
-    lacking: BTreeMap<T, Deficit>,
+    deficits: BTreeMap<T, Deficit>,
     pending: Option<Pending<C>>,
-    avoided: BTreeMap<C, Instant>,
+    /// Donors that are not asked again before a time.
+    backoffs: BTreeMap<C, Instant>,
 }
 
 impl<C: Clone + Ord, T: Clone + Ord> Deficits<C, T> {
-    /// Of this process of a controller.
-    pub fn new(recipient: C, process: u64) -> Self {
+    /// Returns an empty set of deficits for one incarnation (process) of a controller.
+    pub fn new(recipient: C, incarnation: u64) -> Self {
         Self {
             recipient,
-            process,
+            incarnation,
             last_number: 0,
-            lacking: BTreeMap::new(),
+            deficits: BTreeMap::new(),
             pending: None,
-            avoided: BTreeMap::new(),
+            backoffs: BTreeMap::new(),
         }
     }
 
-    /// Notes that this much is lacking now. Amounts that cannot be asked for are over.
-    pub fn note(&mut self, team: &T, amount: Quota, now: Instant) {
-        if !amount.is_askable() {
-            self.lacking.remove(team);
+    /// Reports the current deficit of a team. An amount that cannot be requested, such as
+    /// zero, removes the team's deficit.
+    pub fn report(&mut self, team: &T, amount: Quota, now: Instant) {
+        if !amount.is_requestable() {
+            self.deficits.remove(team);
             return;
         }
-        let since = self.lacking.get(team).map_or(now, |known| known.since);
+        let since = self.deficits.get(team).map_or(now, |known| known.since);
         let deficit = Deficit {
             amount,
             since,
-            named: now,
+            last_reported: now,
         };
-        self.lacking.insert(team.clone(), deficit);
+        self.deficits.insert(team.clone(), deficit);
     }
 
-    /// Nothing of this team's limit is lacking any more. Returns for how long it was.
-    pub fn met(&mut self, team: &T, now: Instant) -> Option<Duration> {
-        let deficit = self.lacking.remove(team)?;
+    /// Removes a team's deficit, and returns how long it lasted.
+    pub fn clear(&mut self, team: &T, now: Instant) -> Option<Duration> {
+        let deficit = self.deficits.remove(team)?;
         Some(now.saturating_duration_since(deficit.since))
     }
 
-    /// Whether anything is lacking.
+    /// Whether there are no deficits.
     pub fn is_empty(&self) -> bool {
-        self.lacking.is_empty()
+        self.deficits.is_empty()
     }
 
-    /// For how long the oldest shortage has lasted.
-    pub fn oldest(&self, now: Instant) -> Option<Duration> {
-        let since = self.lacking.values().map(|deficit| deficit.since).min()?;
+    /// Returns how long the oldest deficit has lasted.
+    pub fn oldest_age(&self, now: Instant) -> Option<Duration> {
+        let since = self.deficits.values().map(|deficit| deficit.since).min()?;
         Some(now.saturating_duration_since(since))
     }
 
-    /// The next request to send, if something is lacking, somebody seems to have it, and
-    /// no request is under way.
+    /// Returns the next request to send. There is none while a request is pending, without a
+    /// deficit, or if no donor that may be asked now is estimated to have unused quota of a
+    /// team with a deficit. Of several donors, the one with the largest request is chosen.
     pub fn next_request(
         &mut self,
         donors: &[DonorView<C, T>],
         now: Instant,
-    ) -> Option<Addressed<C, T>> {
-        self.forget_outdated(now);
-        if self.pending.is_some() || self.lacking.is_empty() {
+    ) -> Option<OutgoingRequest<C, T>> {
+        self.expire(now);
+        if self.pending.is_some() || self.deficits.is_empty() {
             return None;
         }
-        let (donor, wanted) = donors
+        let (view, wanted) = donors
             .iter()
-            .filter(|view| !self.avoided.contains_key(&view.donor))
+            .filter(|view| !self.backoffs.contains_key(&view.donor))
             .map(|view| (view, self.wanted_from(view)))
             .filter(|(_, wanted)| !wanted.is_empty())
             .max_by(|(_, a), (_, b)| {
@@ -141,69 +148,70 @@
             })?;
         self.last_number += 1;
         self.pending = Some(Pending {
-            donor: donor.donor.clone(),
+            donor: view.donor.clone(),
             number: self.last_number,
             sent: now,
         });
-        Some(Addressed {
-            donor: donor.donor.clone(),
+        Some(OutgoingRequest {
+            donor: view.donor.clone(),
             request: TransferRequest {
                 recipient: self.recipient.clone(),
-                process: self.process,
+                incarnation: self.incarnation,
                 number: self.last_number,
                 wanted,
             },
         })
     }
 
-    /// Notes what became of a request. Answers to earlier requests say nothing any more.
-    pub fn answered(&mut self, number: u64, outcome: &Outcome<T>, now: Instant) {
+    /// Records the outcome of the pending request. Outcomes of earlier requests are ignored.
+    pub fn record_outcome(&mut self, number: u64, outcome: &Outcome<T>, now: Instant) {
         let is_pending = |pending: &Pending<C>| pending.number == number;
         let Some(pending) = self.pending.take_if(|pending| is_pending(pending)) else {
             return;
         };
-        let pause = match outcome {
+        let backoff = match outcome {
             Outcome::Granted(amounts) => {
                 for (team, amount) in amounts {
                     self.reduce(team, amount);
                 }
                 return;
             }
-            // Its records or ours have changed: the next look shows them.
+            // Either allocation record has changed: the request may be repeated as soon as the
+            // recipient has read the current ones.
             Outcome::Refused(Refusal::Conflict) => return,
             Outcome::Refused(Refusal::NothingToSpare | Refusal::Busy | Refusal::Outdated) => {
-                REFUSED_PAUSE
+                REFUSED_BACKOFF
             }
-            Outcome::Refused(_) | Outcome::Lost => LOST_PAUSE,
+            Outcome::Refused(_) | Outcome::Lost => UNAVAILABLE_BACKOFF,
         };
-        self.avoided.insert(pending.donor, now + pause);
+        self.backoffs.insert(pending.donor, now + backoff);
     }
 
     fn reduce(&mut self, team: &T, amount: &Quota) {
-        if let Some(deficit) = self.lacking.get_mut(team) {
+        if let Some(deficit) = self.deficits.get_mut(team) {
             deficit.amount = deficit.amount.minus(amount).at_least_zero();
-            if !deficit.amount.is_askable() {
-                self.lacking.remove(team);
+            if !deficit.amount.is_requestable() {
+                self.deficits.remove(team);
             }
         }
     }
 
-    fn forget_outdated(&mut self, now: Instant) {
-        self.avoided.retain(|_, until| *until > now);
-        self.lacking
-            .retain(|_, deficit| now.duration_since(deficit.named) < DEFICIT_TTL);
+    fn expire(&mut self, now: Instant) {
+        self.backoffs.retain(|_, until| *until > now);
+        self.deficits
+            .retain(|_, deficit| now.duration_since(deficit.last_reported) < DEFICIT_TTL);
         let is_lost = |pending: &mut Pending<C>| {
-            now.saturating_duration_since(pending.sent) > ANSWER_PATIENCE
+            now.saturating_duration_since(pending.sent) > RESPONSE_TIMEOUT
         };
         if let Some(lost) = self.pending.take_if(is_lost) {
-            self.avoided.insert(lost.donor, now + LOST_PAUSE);
+            self.backoffs.insert(lost.donor, now + UNAVAILABLE_BACKOFF);
         }
     }
 
-    /// All that is lacking and of which the donor seems to have some: it knows best what
-    /// it can give.
+    /// Returns the full deficits of all teams of which the donor is estimated to have unused
+    /// quota. They are not capped by the estimate: the donor knows best what it can give.
     fn wanted_from(&self, view: &DonorView<C, T>) -> BTreeMap<T, Quota> {
-        self.lacking
+        self.deficits
             .iter()
             .filter(|(team, deficit)| {
                 let spare = view.spare.get(*team).copied().unwrap_or_default();
--- a/crates/quota/src/donor.rs
+++ b/crates/quota/src/donor.rs
@@ -1,72 +1,74 @@
-//! The donor's side of transfers: which requests count, and what may be given.
+//! The donor's side of transfers: which requests are accepted, and how much may be given.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::{Quota, Refusal, TransferRequest};
 
-/// Requests that wait for the donor's next commit, at most. Each controller has one
-/// under way at a time, so that this serves more controllers than a deployment has.
-pub const PENDING_REQUESTS: usize = 32;
+/// Maximum number of requests that wait for the donor's next commit. Each controller has at
+/// most one pending request, so that this suffices for more controllers than a deployment has.
+pub const MAX_PENDING_REQUESTS: usize = 32;
 
-/// Of what a donor can spare, the part that it gives even if less is asked for: the next
-/// shortage is then met without another change of both records.
-const GENEROSITY: f64 = 0.5;
+/// Fraction of its unused quota that a donor gives even if less is requested, so that the
+/// recipient's next deficit needs no further change of both records.
+const MIN_GRANT_FRACTION: f64 = 0.5;
 
-/// One controller's allocation of a team's limit, as far as its donor's decision needs it.
+/// One controller's allocation of a team's limit, and how much of it is needed: the input of
+/// its decisions as a donor.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Holding {
-    /// What its record allows it.
+    /// The allocation according to the controller's record.
     pub allocated: Quota,
-    /// What its tasks use until they are proven gone.
+    /// Quota in use by its tasks, counted until they are proven to have ended.
     pub used: Quota,
-    /// What it is about to use, or is to keep by the leader's targets.
+    /// Quota that it is about to use, or that the leader's targets assign to it.
     pub reserved: Quota,
 }
 
 impl Holding {
-    /// What may be given away: never below what tasks use, nor below what is reserved.
+    /// Returns the quota that may be given away, so that what remains is never less than what
+    /// tasks use, nor less than what is reserved.
     pub fn spare(&self) -> Quota {
         let kept = self.used.max(&self.reserved);
         self.allocated.minus(&kept).at_least_zero()
     }
 
-    /// What is given to a controller that lacks `wanted`. What would be left is given as
-    /// well if it is less than that: parts of a limit that are too small for a task anywhere
-    /// need a transfer from each of their holders.
+    /// Returns the amount to give to a controller that lacks `wanted`. If less than `wanted`
+    /// would remain to spare, that is given as well: quota in pieces too small for a task
+    /// would need a transfer from each controller that has one.
     pub fn grant(&self, wanted: &Quota) -> Quota {
         let spare = self.spare();
-        let part = |wanted: f64, spare: f64| {
+        let amount = |wanted: f64, spare: f64| {
             if wanted <= 0.0 {
                 return 0.0;
             }
-            let given = wanted.max(spare * GENEROSITY).min(spare);
+            let given = wanted.max(spare * MIN_GRANT_FRACTION).min(spare);
             if spare - given < wanted { spare } else { given }
         };
         Quota {
-            cpus: part(wanted.cpus, spare.cpus),
-            gpus: part(wanted.gpus, spare.gpus),
+            cpus: amount(wanted.cpus, spare.cpus),
+            gpus: amount(wanted.gpus, spare.gpus),
         }
     }
 }
 
-/// The newest request of a controller's process.
+/// Identifies the latest accepted request of a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Newest {
-    process: u64,
+struct LatestRequest {
+    incarnation: u64,
     number: u64,
 }
 
-/// Requests that a controller has received and not yet decided.
+/// Queue of the transfer requests that a controller has accepted and not yet decided.
 #[derive(Clone, Debug)]
 pub struct Donor<C, T> {
     controllers: BTreeSet<C>,
     teams: BTreeSet<T>,
-    newest: BTreeMap<C, Newest>,
+    latest: BTreeMap<C, LatestRequest>,
     waiting: VecDeque<TransferRequest<C, T>>,
 }
 
 impl<C: Clone + Ord, T: Clone + Ord> Donor<C, T> {
-    /// A donor that serves these other controllers, and knows these teams.
+    /// Returns a donor that accepts requests from these other controllers for these teams.
     pub fn new(
         controllers: impl IntoIterator<Item = C>,
         teams: impl IntoIterator<Item = T>,
@@ -74,39 +76,39 @@
         Self {
             controllers: controllers.into_iter().collect(),
             teams: teams.into_iter().collect(),
-            newest: BTreeMap::new(),
+            latest: BTreeMap::new(),
             waiting: VecDeque::new(),
         }
     }
 
-    /// Takes a request in, to be decided with the next commit.
+    /// Checks a request and queues it, to be decided at the donor's next commit.
     pub fn receive(&mut self, request: TransferRequest<C, T>) -> Result<(), Refusal> {
         self.check(&request)?;
-        let newest = self.newest.get(&request.recipient);
-        let is_old = newest.is_some_and(|newest| {
-            newest.process == request.process && newest.number >= request.number
+        let latest = self.latest.get(&request.recipient);
+        let is_outdated = latest.is_some_and(|latest| {
+            latest.incarnation == request.incarnation && latest.number >= request.number
         });
-        if is_old {
+        if is_outdated {
             return Err(Refusal::Outdated);
         }
-        if self.waiting.len() >= PENDING_REQUESTS {
+        if self.waiting.len() >= MAX_PENDING_REQUESTS {
             return Err(Refusal::Busy);
         }
-        let newest = Newest {
-            process: request.process,
+        let latest = LatestRequest {
+            incarnation: request.incarnation,
             number: request.number,
         };
-        self.newest.insert(request.recipient.clone(), newest);
+        self.latest.insert(request.recipient.clone(), latest);
         self.waiting.push_back(request);
         Ok(())
     }
 
-    /// The request that waits longest, if any.
+    /// Removes and returns the request that has waited longest.
     pub fn next_request(&mut self) -> Option<TransferRequest<C, T>> {
         self.waiting.pop_front()
     }
 
-    /// Whether a request waits to be decided.
+    /// Whether any request is queued.
     pub fn has_requests(&self) -> bool {
         !self.waiting.is_empty()
     }
@@ -122,7 +124,7 @@
             if !self.teams.contains(team) {
                 return Err(Refusal::UnknownTeam);
             }
-            if !amount.is_askable() {
+            if !amount.is_requestable() {
                 return Err(Refusal::InvalidAmount);
             }
         }
--- a/crates/quota/src/request.rs
+++ b/crates/quota/src/request.rs
@@ -1,49 +1,50 @@
-//! What a controller that lacks quota asks of another one.
+//! Requests for quota from one controller to another, and the reasons to refuse them.
 
 use std::collections::BTreeMap;
 
 use crate::Quota;
 
-/// A request for parts of the receiver's allocations. `C` names a controller and `T` a
-/// team.
+/// A request to the donor to transfer parts of its allocations to the recipient. `C` is the
+/// type of controller names and `T` that of team names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TransferRequest<C, T> {
-    /// The controller that asks.
+    /// The controller that sends the request and lacks the quota.
     pub recipient: C,
-    /// The process of that controller: a restarted one is another recipient.
-    pub process: u64,
-    /// Rises with every request of the process to any donor.
+    /// The incarnation (process) of that controller: a restarted controller counts as another
+    /// recipient.
+    pub incarnation: u64,
+    /// Increases with every request of the incarnation, to whichever donor.
     pub number: u64,
-    /// What it lacks.
+    /// The amounts that the recipient lacks, by team.
     pub wanted: BTreeMap<T, Quota>,
 }
 
-/// Why a request changes nothing.
+/// Reason why a donor refused a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Refusal {
-    /// A team that the settings do not name.
+    /// The settings contain no such team.
     #[error("unknown team")]
     UnknownTeam,
-    /// A controller that the settings do not name, or the donor itself.
+    /// The settings contain no such controller, or it is the donor itself.
     #[error("unknown controller")]
     UnknownController,
-    /// Nothing is asked for, or an amount that is negative or no number.
+    /// The request is empty, or contains an amount that is zero, negative or not finite.
     #[error("invalid amount")]
     InvalidAmount,
-    /// The same or a later request of this process is known, or the process holds its
-    /// controller's allocations no longer.
+    /// The donor has received the same or a later request of this incarnation, or the
+    /// incarnation no longer owns its controller's allocations.
     #[error("outdated request")]
     Outdated,
-    /// Too many requests wait already.
+    /// The donor's queue of requests is full.
     #[error("too many requests")]
     Busy,
-    /// All that the donor holds is used or about to be.
+    /// The donor uses or needs its whole allocation.
     #[error("nothing to spare")]
     NothingToSpare,
-    /// The donor cannot commit now, or not every controller understands transfers.
+    /// The donor cannot commit now, or not every controller supports transfers.
     #[error("not ready")]
     NotReady,
-    /// One of the records has changed: ask again.
+    /// One of the records has changed; the recipient may retry.
     #[error("conflicting change")]
     Conflict,
 }
@@ -61,7 +62,7 @@
         Refusal::Conflict,
     ];
 
-    /// A number for messages between controllers.
+    /// Returns the number that represents this refusal in messages between controllers.
     pub fn code(self) -> u8 {
         Self::ALL
             .iter()
@@ -69,14 +70,14 @@
             .unwrap_or(0) as u8
     }
 
-    /// The refusal that a message names.
-    pub fn of_code(code: u8) -> Option<Self> {
+    /// Returns the refusal for a number from a message, or none if it is unknown.
+    pub fn from_code(code: u8) -> Option<Self> {
         Self::ALL.get(usize::from(code)).copied()
     }
 
-    /// Whether the request itself is wrong: such ones are logged, and repeating them is
-    /// of no use.
-    pub fn is_fault(self) -> bool {
+    /// Whether the request itself is invalid. Such requests are logged, and retrying them is
+    /// useless.
+    pub fn is_invalid_request(self) -> bool {
         matches!(
             self,
             Self::UnknownTeam | Self::UnknownController | Self::InvalidAmount
--- a/crates/quota/src/shares.rs
+++ b/crates/quota/src/shares.rs
@@ -1,83 +1,87 @@
-//! How much each team gets at each controller, of one kind of amount (CPUs or GPUs).
+//! Divides the capacity of the controllers' machines among teams, for one resource (CPUs or
+//! GPUs).
 
 use std::time::Duration;
 
 use crate::{
-    linear::{self, LinearLimits, NotSolved},
-    plain,
+    fallback,
+    linear::{self, NotSolved, SolverLimits},
 };
 
-/// What a team may use.
+/// A team's guarantee and limit of one resource.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct TeamTerms {
-    /// It need not wait for other teams up to this.
+pub struct TeamLimits {
+    /// Up to this amount, the team's demand has priority over demand of other teams above
+    /// their guarantees.
     pub guaranteed: f64,
-    /// It never uses more than this.
+    /// Maximum amount that the team may use.
     pub limit: f64,
 }
 
-/// Demand and room of one kind of amount. The first index of a matrix is the team, the
-/// second the controller.
+/// Demand and capacity of one resource. The first index of a matrix is the team, the second
+/// one the controller.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ShareProblem {
-    /// The teams' terms.
-    pub teams: Vec<TeamTerms>,
-    /// What each controller's machines have for these teams' tasks, running ones included.
-    pub room: Vec<f64>,
-    /// What each team could use at each controller, running tasks included.
+    /// The teams' guarantees and limits.
+    pub teams: Vec<TeamLimits>,
+    /// What the machines of each controller can provide to these teams, including what their
+    /// running tasks use.
+    pub capacity: Vec<f64>,
+    /// What each team could use at each controller, including what its running tasks use.
     pub demand: Vec<Vec<f64>>,
 }
 
-/// How shares were found.
+/// The method by which shares were computed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Method {
-    /// By a linear program.
+    /// Linear programming.
     Linear,
-    /// By the plain rule, as the linear program was not solved.
-    Plain(NotSolved),
+    /// The fallback rule, used because the linear program was not solved.
+    Fallback(NotSolved),
 }
 
-/// What each team gets at each controller: never more than its demand there, its limit or
-/// the controller's room.
+/// The amount for each team at each controller. It never exceeds the team's demand there; the
+/// sums never exceed the team's limit nor the controller's capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shares {
-    /// By team and controller.
+    /// Shares by team and controller.
     pub served: Vec<Vec<f64>>,
-    /// How they were found.
+    /// The method by which they were computed.
     pub method: Method,
 }
 
 impl ShareProblem {
-    /// What a team could use in all, within its limit.
+    /// Returns a team's total demand, capped by its limit.
     pub fn demand_of(&self, team: usize) -> f64 {
         let sum: f64 = self.demand[team].iter().sum();
         sum.min(self.teams[team].limit)
     }
 
-    /// The part of a team's demand that its guarantee covers.
+    /// Returns the part of a team's demand that its guarantee covers.
     pub fn guaranteed_demand(&self, team: usize) -> f64 {
         self.demand_of(team).min(self.teams[team].guaranteed)
     }
 
-    /// How much the extra of a team weighs against that of others: what it may borrow.
+    /// Returns the weight of a team in the division above the guarantees: the difference between
+    /// its limit and its guarantee, within bounds.
     pub fn weight(&self, team: usize) -> f64 {
-        let terms = &self.teams[team];
-        (terms.limit - terms.guaranteed).clamp(LEAST_WEIGHT, MOST_WEIGHT)
+        let limits = &self.teams[team];
+        (limits.limit - limits.guaranteed).clamp(MIN_WEIGHT, MAX_WEIGHT)
     }
 
-    /// Demands and rooms that are negative or no number count as nothing.
-    fn cleaned(&self) -> Self {
+    /// Returns the problem with all numbers that are negative or not finite replaced by zero.
+    fn sanitized(&self) -> Self {
         let amount = |n: &f64| if n.is_finite() { n.max(0.0) } else { 0.0 };
         Self {
             teams: self
                 .teams
                 .iter()
-                .map(|terms| TeamTerms {
-                    guaranteed: amount(&terms.guaranteed),
-                    limit: amount(&terms.limit),
+                .map(|limits| TeamLimits {
+                    guaranteed: amount(&limits.guaranteed),
+                    limit: amount(&limits.limit),
                 })
                 .collect(),
-            room: self.room.iter().map(amount).collect(),
+            capacity: self.capacity.iter().map(amount).collect(),
             demand: self
                 .demand
                 .iter()
@@ -87,30 +91,30 @@
     }
 }
 
-/// Bounds of a team's weight: a team without anything to borrow still counts, and one
-/// without a limit does not take all.
-const LEAST_WEIGHT: f64 = 1.0;
-const MOST_WEIGHT: f64 = 1e5;
+/// Bounds of a team's weight. The lower one gives some weight to a team whose limit is its
+/// guarantee; the upper one keeps a team without a limit from taking everything.
+const MIN_WEIGHT: f64 = 1.0;
+const MAX_WEIGHT: f64 = 1e5;
 
-/// Divides room among teams: guarantees first, then max-min fair above them, by the part
-/// of what each team may borrow. If the linear program is too large, late or fails, the
-/// plain rule decides.
-pub fn divide(problem: &ShareProblem, limits: &LinearLimits) -> Shares {
-    let problem = problem.cleaned();
+/// Divides the capacity among teams: guarantees first, then weighted max-min fair above them
+/// (see [`ShareProblem::weight`]). If the linear program is too large, times out or fails, the
+/// fallback rule of progressive filling is used.
+pub fn divide_capacity(problem: &ShareProblem, limits: &SolverLimits) -> Shares {
+    let problem = problem.sanitized();
     match linear::solve(&problem, limits) {
         Ok(served) => Shares {
-            served: within_bounds(&problem, served),
+            served: clamp_to_bounds(&problem, served),
             method: Method::Linear,
         },
         Err(error) => Shares {
-            served: plain::fill(&problem),
-            method: Method::Plain(error),
+            served: fallback::fill(&problem),
+            method: Method::Fallback(error),
         },
     }
 }
 
-/// A solver's results keep their bounds only up to its tolerance.
-fn within_bounds(problem: &ShareProblem, mut served: Vec<Vec<f64>>) -> Vec<Vec<f64>> {
+/// Reduces shares that exceed their bounds: the solver observes them only up to its tolerance.
+fn clamp_to_bounds(problem: &ShareProblem, mut served: Vec<Vec<f64>>) -> Vec<Vec<f64>> {
     for (team, row) in served.iter_mut().enumerate() {
         for (controller, part) in row.iter_mut().enumerate() {
             *part = part.clamp(0.0, problem.demand[team][controller]);
@@ -121,23 +125,23 @@
             row.iter_mut().for_each(|part| *part *= limit / sum);
         }
     }
-    for controller in 0..problem.room.len() {
+    for controller in 0..problem.capacity.len() {
         let sum: f64 = served.iter().map(|row| row[controller]).sum();
-        let room = problem.room[controller];
-        if sum > room {
+        let capacity = problem.capacity[controller];
+        if sum > capacity {
             served
                 .iter_mut()
-                .for_each(|row| row[controller] *= room / sum);
+                .for_each(|row| row[controller] *= capacity / sum);
         }
     }
     served
 }
 
-impl Default for LinearLimits {
+impl Default for SolverLimits {
     fn default() -> Self {
         Self {
-            variables: 160,
-            time: Duration::from_millis(40),
+            max_variables: 160,
+            time_limit: Duration::from_millis(40),
         }
     }
 }
--- a/crates/quota/src/targets.rs
+++ b/crates/quota/src/targets.rs
@@ -1,106 +1,109 @@
-//! Targets: what each controller's allocation of each team's limit should be.
+//! Computes targets: how large each controller's allocation of each team's limit should be.
 
 use std::collections::BTreeMap;
 
 use crate::{
     AMOUNT_SLACK, Quota,
-    linear::LinearLimits,
-    shares::{Method, ShareProblem, TeamTerms, divide},
+    linear::SolverLimits,
+    shares::{Method, ShareProblem, TeamLimits, divide_capacity},
 };
 
-/// Tasks that some controllers have room for and that wait for quota.
+/// Tasks of one job that controllers have free capacity for, and some of which wait for quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskDemand<C> {
-    /// How many tasks each controller has room for.
-    pub parts: Vec<(C, u32)>,
-    /// What one of them takes.
+    /// The number of tasks that each controller has free capacity for.
+    pub tasks_by_controller: Vec<(C, u32)>,
+    /// Amount that each task uses.
     pub per_task: Quota,
-    /// They begin together or not at all, so that a part of the quota is of no use.
-    pub is_whole: bool,
+    /// Whether the tasks form a gang: they start together or not at all, so that quota for
+    /// only some of them is useless.
+    pub is_gang: bool,
 }
 
-/// What a team may use, uses and holds now.
+/// A team's guarantee and limit, its use and allocations, and its tasks that wait for quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamDemand<C: Ord> {
-    /// Guaranteed to the team.
+    /// Amount guaranteed to the team.
     pub guaranteed: Quota,
-    /// Its limit, less what tasks on machines of no controller use.
+    /// The team's limit, less what its tasks use on machines that no controller owns.
     pub limit: Quota,
-    /// What it uses at each controller, or is about to.
-    pub fixed: BTreeMap<C, Quota>,
-    /// Each controller's allocation.
+    /// What the team uses at each controller, including placements in flight. Targets are
+    /// never lower.
+    pub used_or_in_flight: BTreeMap<C, Quota>,
+    /// Each controller's current allocation of the team's limit.
     pub allocated: BTreeMap<C, Quota>,
-    /// What waits, the most pressing first.
-    pub wanted: Vec<TaskDemand<C>>,
+    /// Tasks that wait for quota, the most urgent first.
+    pub waiting_tasks: Vec<TaskDemand<C>>,
 }
 
-/// All that targets depend on.
+/// The input of [`plan_targets`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetProblem<C: Ord, T: Ord> {
-    /// What each controller's machines have for these teams, running tasks included.
-    pub room: BTreeMap<C, Quota>,
-    /// The teams of which some controller lacks quota.
+    /// What the machines of each controller can provide to these teams, including what their
+    /// running tasks use.
+    pub capacity: BTreeMap<C, Quota>,
+    /// The teams whose quota some controller lacks.
     pub teams: BTreeMap<T, TeamDemand<C>>,
 }
 
-/// The targets, and how they were found.
+/// The planned targets, and the methods by which their shares were computed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Division<C: Ord, T: Ord> {
-    /// By team and controller.
+pub struct TargetPlan<C: Ord, T: Ord> {
+    /// Targets by team and controller.
     pub targets: BTreeMap<T, BTreeMap<C, Quota>>,
-    /// How the shares of CPUs and of GPUs were found.
+    /// The methods for the shares of CPUs and of GPUs, in this order.
     pub methods: [Method; 2],
 }
 
-/// Divides each team's limit by guarantee, demand and room. Quota is given in whole tasks,
-/// the most pressing ones first: an even division of what is left of a limit would leave
-/// every controller with less than one task takes. Of what nobody waits for, controllers
-/// keep what they have.
+/// Divides each team's limit among controllers by guarantee, demand and capacity. Quota is
+/// assigned for whole tasks, the most urgent ones first: dividing the rest of a limit evenly
+/// could leave every controller with less than one task needs. Quota that no task waits for
+/// stays with the controllers that have it.
 pub fn plan_targets<C: Clone + Ord, T: Clone + Ord>(
     problem: &TargetProblem<C, T>,
-    limits: &LinearLimits,
-) -> Division<C, T> {
-    let (cpus, by_cpus) = shares_of(problem, limits, |quota| quota.cpus);
-    let (gpus, by_gpus) = shares_of(problem, limits, |quota| quota.gpus);
+    limits: &SolverLimits,
+) -> TargetPlan<C, T> {
+    let (cpus, cpus_method) = resource_shares(problem, limits, |quota| quota.cpus);
+    let (gpus, gpus_method) = resource_shares(problem, limits, |quota| quota.gpus);
     let shares = cpus.into_iter().zip(gpus);
     let targets = problem
         .teams
         .iter()
         .zip(shares)
         .map(|((team, demand), (cpus, gpus))| {
-            let shares = problem.room.keys().zip(cpus.into_iter().zip(gpus));
+            let shares = problem.capacity.keys().zip(cpus.into_iter().zip(gpus));
             let shares = shares.map(|(c, (cpus, gpus))| (c.clone(), Quota { cpus, gpus }));
             let assignment = Assignment::new(demand, shares.collect());
             (team.clone(), assignment.targets())
         })
         .collect();
-    Division {
+    TargetPlan {
         targets,
-        methods: [by_cpus, by_gpus],
+        methods: [cpus_method, gpus_method],
     }
 }
 
-/// Fluid shares of one kind of amount, by team and controller.
-fn shares_of<C: Clone + Ord, T: Ord>(
+/// Computes the shares of one resource by team and controller, not rounded to whole tasks.
+fn resource_shares<C: Clone + Ord, T: Ord>(
     problem: &TargetProblem<C, T>,
-    limits: &LinearLimits,
-    kind: impl Fn(&Quota) -> f64,
+    limits: &SolverLimits,
+    resource: impl Fn(&Quota) -> f64,
 ) -> (Vec<Vec<f64>>, Method) {
     let teams = problem.teams.values();
     let demand = |team: &TeamDemand<C>| -> Vec<f64> {
-        let controllers = problem.room.keys();
-        controllers.map(|c| kind(&team.demand_at(c))).collect()
+        let controllers = problem.capacity.keys();
+        controllers.map(|c| resource(&team.demand_at(c))).collect()
     };
-    let shares = divide(
+    let shares = divide_capacity(
         &ShareProblem {
             teams: teams
                 .clone()
-                .map(|team| TeamTerms {
-                    guaranteed: kind(&team.guaranteed),
-                    limit: kind(&team.limit),
+                .map(|team| TeamLimits {
+                    guaranteed: resource(&team.guaranteed),
+                    limit: resource(&team.limit),
                 })
                 .collect(),
-            room: problem.room.values().map(&kind).collect(),
+            capacity: problem.capacity.values().map(&resource).collect(),
             demand: teams.map(demand).collect(),
         },
         limits,
@@ -109,125 +112,148 @@
 }
 
 impl<C: Clone + Ord> TeamDemand<C> {
-    fn fixed_at(&self, controller: &C) -> Quota {
-        self.fixed.get(controller).copied().unwrap_or_default()
+    fn used_or_in_flight_at(&self, controller: &C) -> Quota {
+        self.used_or_in_flight
+            .get(controller)
+            .copied()
+            .unwrap_or_default()
     }
 
-    /// What the team uses and could use at a controller.
+    /// Returns the team's demand at a controller: what it uses there, and what its waiting tasks
+    /// could use.
     fn demand_at(&self, controller: &C) -> Quota {
-        self.wanted
+        self.waiting_tasks
             .iter()
-            .flat_map(|wanted| wanted.parts.iter().map(move |part| (wanted, part)))
-            .filter(|(_, (at, _))| at == controller)
-            .map(|(wanted, (_, tasks))| wanted.per_task.times(f64::from(*tasks)))
-            .fold(self.fixed_at(controller), |sum, quota| sum.plus(&quota))
+            .flat_map(|demand| {
+                demand
+                    .tasks_by_controller
+                    .iter()
+                    .map(move |entry| (demand, entry))
+            })
+            .filter(|(_, (other, _))| other == controller)
+            .map(|(demand, (_, tasks))| demand.per_task.times(f64::from(*tasks)))
+            .fold(self.used_or_in_flight_at(controller), |sum, quota| {
+                sum.plus(&quota)
+            })
     }
 }
 
-/// How one team's limit is assigned.
+/// Assignment of one team's limit to controllers, in progress.
 struct Assignment<'a, C: Ord> {
     demand: &'a TeamDemand<C>,
-    /// What each controller is to get, if whole tasks allow it.
+    /// The computed share of each controller, not rounded to whole tasks.
     shares: BTreeMap<C, Quota>,
-    /// What each controller gets.
+    /// The amount assigned to each controller so far.
     targets: BTreeMap<C, Quota>,
-    /// Tasks of each wanted part that are yet without quota.
-    waiting: Vec<Vec<u32>>,
-    /// Of the limit.
-    left: Quota,
+    /// Tasks without assigned quota, by index into `TeamDemand::waiting_tasks` and
+    /// `TaskDemand::tasks_by_controller`.
+    unassigned: Vec<Vec<u32>>,
+    /// The part of the limit that is not assigned.
+    unassigned_limit: Quota,
 }
 
 impl<'a, C: Clone + Ord> Assignment<'a, C> {
     fn new(demand: &'a TeamDemand<C>, shares: BTreeMap<C, Quota>) -> Self {
         let targets: BTreeMap<C, Quota> = shares
             .keys()
-            .map(|controller| (controller.clone(), demand.fixed_at(controller)))
+            .map(|controller| (controller.clone(), demand.used_or_in_flight_at(controller)))
             .collect();
-        let fixed = targets
+        let used_or_in_flight = targets
             .values()
             .fold(Quota::default(), |sum, quota| sum.plus(quota));
-        let waiting = demand
-            .wanted
+        let unassigned = demand
+            .waiting_tasks
             .iter()
-            .map(|wanted| wanted.parts.iter().map(|(_, tasks)| *tasks).collect())
+            .map(|demand| {
+                demand
+                    .tasks_by_controller
+                    .iter()
+                    .map(|(_, tasks)| *tasks)
+                    .collect()
+            })
             .collect();
         Self {
             demand,
             shares,
             targets,
-            waiting,
-            left: demand.limit.minus(&fixed).at_least_zero(),
+            unassigned,
+            unassigned_limit: demand.limit.minus(&used_or_in_flight).at_least_zero(),
         }
     }
 
     fn targets(mut self) -> BTreeMap<C, Quota> {
         self.assign(true);
-        // What fairness between teams leaves of this team's own limit is still its own.
+        // The shares may be lower than this team's limit, because of fairness between teams. The
+        // rest of the limit remains usable by this team.
         self.assign(false);
-        self.keep_the_rest();
+        self.retain_allocated();
         self.targets
     }
 
-    /// Gives quota to what waits, in order; within the shares or without regard to them.
-    fn assign(&mut self, by_shares: bool) {
+    /// Assigns quota to waiting tasks, in order, either within the shares or regardless of
+    /// them.
+    fn assign(&mut self, within_shares: bool) {
         let demand = self.demand;
-        for (at, wanted) in demand.wanted.iter().enumerate() {
-            if wanted.is_whole {
-                self.assign_whole(at, wanted);
+        for (index, demand) in demand.waiting_tasks.iter().enumerate() {
+            if demand.is_gang {
+                self.assign_gang(index, demand);
                 continue;
             }
-            for (part, (controller, _)) in wanted.parts.iter().enumerate() {
-                let mut fitting =
-                    self.waiting[at][part].min(tasks_in(&self.left, &wanted.per_task));
-                if by_shares {
-                    fitting = fitting.min(self.tasks_in_share(controller, &wanted.per_task));
+            for (entry, (controller, _)) in demand.tasks_by_controller.iter().enumerate() {
+                let mut tasks = self.unassigned[index][entry]
+                    .min(tasks_fitting(&self.unassigned_limit, &demand.per_task));
+                if within_shares {
+                    tasks = tasks.min(self.tasks_within_share(controller, &demand.per_task));
                 }
-                self.give(controller, &wanted.per_task, fitting);
-                self.waiting[at][part] -= fitting;
+                self.give(controller, &demand.per_task, tasks);
+                self.unassigned[index][entry] -= tasks;
             }
         }
     }
 
-    fn assign_whole(&mut self, at: usize, wanted: &TaskDemand<C>) {
-        let tasks: u32 = self.waiting[at].iter().sum();
-        if tasks == 0 || tasks_in(&self.left, &wanted.per_task) < tasks {
+    /// Assigns quota to all tasks of a gang, or to none if the limit does not suffice.
+    fn assign_gang(&mut self, index: usize, demand: &TaskDemand<C>) {
+        let tasks: u32 = self.unassigned[index].iter().sum();
+        if tasks == 0 || tasks_fitting(&self.unassigned_limit, &demand.per_task) < tasks {
             return;
         }
-        for (part, (controller, _)) in wanted.parts.iter().enumerate() {
-            let tasks = std::mem::take(&mut self.waiting[at][part]);
-            self.give(controller, &wanted.per_task, tasks);
+        for (entry, (controller, _)) in demand.tasks_by_controller.iter().enumerate() {
+            let tasks = std::mem::take(&mut self.unassigned[index][entry]);
+            self.give(controller, &demand.per_task, tasks);
         }
     }
 
-    /// How many more tasks a controller's share has place for; a part of one counts whole.
-    fn tasks_in_share(&self, controller: &C, per_task: &Quota) -> u32 {
+    /// Returns how many more tasks to assign to a controller within its share, rounded up: a
+    /// remaining part of a task counts as a whole one.
+    fn tasks_within_share(&self, controller: &C, per_task: &Quota) -> u32 {
         let share = self.shares.get(controller).copied().unwrap_or_default();
         let target = self.targets.get(controller).copied().unwrap_or_default();
         let free = share.minus(&target).at_least_zero();
-        let almost_one = per_task.times(1.0 - PART_OF_A_TASK);
-        tasks_in(&free.plus(&almost_one), per_task)
+        let almost_one = per_task.times(1.0 - ROUNDING_TOLERANCE);
+        tasks_fitting(&free.plus(&almost_one), per_task)
     }
 
     fn give(&mut self, controller: &C, per_task: &Quota, tasks: u32) {
         let quota = per_task.times(f64::from(tasks));
         if let Some(target) = self.targets.get_mut(controller) {
             *target = target.plus(&quota);
-            self.left = self.left.minus(&quota).at_least_zero();
+            self.unassigned_limit = self.unassigned_limit.minus(&quota).at_least_zero();
         }
     }
 
-    /// What nobody waits for stays where it is, as far as it lasts.
-    fn keep_the_rest(&mut self) {
-        let left = self.left;
-        self.keep_kind(left.cpus, |quota| &mut quota.cpus);
-        self.keep_kind(left.gpus, |quota| &mut quota.gpus);
+    /// Leaves the unassigned part of the limit with the controllers that have it now.
+    fn retain_allocated(&mut self) {
+        let unassigned = self.unassigned_limit;
+        self.retain_resource(unassigned.cpus, |quota| &mut quota.cpus);
+        self.retain_resource(unassigned.gpus, |quota| &mut quota.gpus);
     }
 
-    /// What is taken comes from those who have most beyond their targets: from each in
-    /// proportion, every want would need transfers by all, ever smaller ones as targets are
-    /// planned anew between them.
-    fn keep_kind(&mut self, left: f64, kind: impl Fn(&mut Quota) -> &mut f64) {
-        let mut beyond: Vec<(f64, C)> = Vec::new();
+    /// Raises the targets towards the current allocations, as far as `unassigned` suffices. What
+    /// is missing is taken from the controllers whose allocations exceed their targets most.
+    /// Taking it from all of them in proportion would make every deficit need transfers from
+    /// all controllers, and smaller and smaller ones as targets are replanned in between.
+    fn retain_resource(&mut self, unassigned: f64, resource: impl Fn(&mut Quota) -> &mut f64) {
+        let mut excesses: Vec<(f64, C)> = Vec::new();
         for (controller, target) in &mut self.targets {
             let mut allocated = self
                 .demand
@@ -235,32 +261,32 @@
                 .get(controller)
                 .copied()
                 .unwrap_or_default();
-            let more = *kind(&mut allocated) - *kind(target);
-            beyond.push((more.max(0.0), controller.clone()));
+            let excess = *resource(&mut allocated) - *resource(target);
+            excesses.push((excess.max(0.0), controller.clone()));
         }
-        let sum: f64 = beyond.iter().map(|(more, _)| more).sum();
-        let mut taken = (sum - left).max(0.0);
-        beyond.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
-        for (more, controller) in beyond {
-            let part = more.min(taken);
-            taken -= part;
+        let sum: f64 = excesses.iter().map(|(excess, _)| excess).sum();
+        let mut to_take = (sum - unassigned).max(0.0);
+        excesses.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
+        for (excess, controller) in excesses {
+            let taken = excess.min(to_take);
+            to_take -= taken;
             if let Some(target) = self.targets.get_mut(&controller) {
-                *kind(target) += more - part;
+                *resource(target) += excess - taken;
             }
         }
     }
 }
 
-/// A share's rest of less than this part of a task gives no task.
-const PART_OF_A_TASK: f64 = 1e-3;
+/// Fraction of a task below which the remainder of a share is rounded down instead of up.
+const ROUNDING_TOLERANCE: f64 = 1e-3;
 
-/// How many tasks fit into an amount side by side.
-fn tasks_in(amount: &Quota, per_task: &Quota) -> u32 {
-    let part = |have: f64, each: f64| {
+/// Returns how many tasks fit into an amount together.
+fn tasks_fitting(amount: &Quota, per_task: &Quota) -> u32 {
+    let count = |available: f64, each: f64| {
         if each <= AMOUNT_SLACK {
             return u32::MAX;
         }
-        ((have + AMOUNT_SLACK) / each).floor().max(0.0) as u32
+        ((available + AMOUNT_SLACK) / each).floor().max(0.0) as u32
     };
-    part(amount.cpus, per_task.cpus).min(part(amount.gpus, per_task.gpus))
+    count(amount.cpus, per_task.cpus).min(count(amount.gpus, per_task.gpus))
 }
--- a/crates/quota/src/transfer.rs
+++ b/crates/quota/src/transfer.rs
@@ -1,60 +1,64 @@
-//! A transfer between two controllers, as one change of both of their records.
+//! Transfers of quota between two controllers, each a single change of both their records.
 
 use std::collections::BTreeMap;
 
 use crate::{AMOUNT_SLACK, Holding, Quota, Refusal, TransferRequest};
 
-/// The allocation record of one controller: what it may use of each team's limit.
+/// The allocation record of one controller: how much of each team's limit it may use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Allocations<T> {
-    /// The process that holds them; nobody: they were taken back.
-    pub process: Option<u64>,
+    /// Incarnation of the controller that owns the allocations; none if the leader has
+    /// withdrawn them.
+    pub owner: Option<u64>,
     /// Revision of the record.
     pub revision: u64,
-    /// By team.
+    /// Budget of each team.
     pub budgets: BTreeMap<T, Quota>,
 }
 
-/// What must not have changed for a transfer to take effect. Each names a record and the
-/// revision that it had when the donor decided.
+/// A record that must not have changed for a transfer to take effect, with the revision that
+/// it had when the donor decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// The donor's allocations: what it places meanwhile is planned on the same ones, and
-    /// machines that come to it with tasks change them.
+    /// The donor's allocations. The donor plans its placements on the same revision, and moving
+    /// machines with tasks to the donor changes it. Without this condition a transfer could
+    /// give away quota that those tasks use.
     Donor(u64),
-    /// The recipient's allocations, which the transfer writes anew.
+    /// The recipient's allocations, which the transfer overwrites.
     Recipient(u64),
-    /// The leader's claim. A leader of a version that moves machines without the
-    /// allocation for their tasks ends all transfers under way by its election.
+    /// The leader's claim, the record of the current leadership. A leader of an older version
+    /// moves machines without the allocation for their tasks; its election makes all
+    /// uncommitted transfers fail.
     Leader(u64),
-    /// The donor's registration: of a donor that is cut off or stands still nothing takes
-    /// effect once its lease is over.
+    /// The donor's registration: a transfer of a partitioned or paused donor cannot take
+    /// effect after the donor's lease has expired.
     Registration(u64),
 }
 
-/// A decided transfer: both records as they are to be written.
+/// A transfer that the donor has decided, with the new contents of both records.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transfer<C, T> {
-    /// The controller that gains.
+    /// The controller that receives the quota.
     pub recipient: C,
-    /// What moves, by team.
+    /// The transferred amounts, by team.
     pub amounts: BTreeMap<T, Quota>,
-    /// The donor's budgets afterwards.
+    /// The donor's budgets after the transfer.
     pub donor_budgets: BTreeMap<T, Quota>,
-    /// The recipient's budgets afterwards.
+    /// The recipient's budgets after the transfer.
     pub recipient_budgets: BTreeMap<T, Quota>,
-    /// What the commit is conditional on.
+    /// The conditions of the commit.
     pub conditions: Vec<Condition>,
 }
 
-/// Less than this is no amount, but the rounding of sums. It is above [`AMOUNT_SLACK`]: a
-/// controller that lacks more than that slack cannot place its task, however little it is.
-const LEAST_TRANSFER: f64 = 4.0 * AMOUNT_SLACK;
+/// Only larger amounts are transferred: smaller ones come from the rounding of sums. It is
+/// above [`AMOUNT_SLACK`]: a controller that lacks more than that cannot place its task,
+/// however small the deficit is.
+const MIN_TRANSFER: f64 = 4.0 * AMOUNT_SLACK;
 
 impl<C: Clone, T: Clone + Ord> Transfer<C, T> {
-    /// Decides a request. `holding` tells what the donor has of a team's limit; it must
-    /// count every placement that the donor has committed, or may have. `leader` and
-    /// `registration` are the revisions of the leader's claim and the donor's
+    /// Decides a request. `holding` returns the donor's holding of a team's limit; its `used`
+    /// must include every placement that the donor has committed or may have committed.
+    /// `leader` and `registration` are the revisions of the leader's claim and of the donor's
     /// registration.
     pub fn decide(
         request: &TransferRequest<C, T>,
@@ -64,14 +68,14 @@
         leader: u64,
         registration: u64,
     ) -> Result<Self, Refusal> {
-        if recipient.process != Some(request.process) {
+        if recipient.owner != Some(request.incarnation) {
             return Err(Refusal::Outdated);
         }
         let amounts: BTreeMap<T, Quota> = request
             .wanted
             .iter()
             .map(|(team, wanted)| (team.clone(), holding(team).grant(wanted)))
-            .filter(|(_, amount)| amount.exceeds(LEAST_TRANSFER))
+            .filter(|(_, amount)| amount.exceeds(MIN_TRANSFER))
             .collect();
         if amounts.is_empty() {
             return Err(Refusal::NothingToSpare);
@@ -79,10 +83,10 @@
         let mut donor_budgets = donor.budgets.clone();
         let mut recipient_budgets = recipient.budgets.clone();
         for (team, amount) in &amounts {
-            let given = donor_budgets.entry(team.clone()).or_default();
-            *given = given.minus(amount).at_least_zero();
-            let gained = recipient_budgets.entry(team.clone()).or_default();
-            *gained = gained.plus(amount);
+            let donor_budget = donor_budgets.entry(team.clone()).or_default();
+            *donor_budget = donor_budget.minus(amount).at_least_zero();
+            let recipient_budget = recipient_budgets.entry(team.clone()).or_default();
+            *recipient_budget = recipient_budget.plus(amount);
         }
         Ok(Self {
             recipient: request.recipient.clone(),
--- a/crates/simulator/src/scenario/parser.rs
+++ b/crates/simulator/src/scenario/parser.rs
@@ -107,7 +107,7 @@
             cpus: words.number("guaranteed", 0.0),
             gpus: 0.0,
         },
-        limit: Quota::of_limit(words.number("limit", 0.0), 0.0),
+        limit: Quota::from_limit(words.number("limit", 0.0), 0.0),
     }
 }
 
--- a/src/coordination/leader/routing/unplaced.rs
+++ b/src/coordination/leader/routing/unplaced.rs
@@ -21,9 +21,9 @@
     /// Notes tasks that owners have room for, of which some lack quota.
     fn demand_quota(&mut self, spec: &JobSpec, parts: Vec<(ControllerName, u32)>) {
         let tasks = ::quota::TaskDemand {
-            parts,
+            tasks_by_controller: parts,
             per_task: Quota::from(&spec.per_task),
-            is_whole: spec.kind == JobKind::Gang,
+            is_gang: spec.kind == JobKind::Gang,
         };
         let team = spec.team.clone();
         self.demand.push(QuotaDemand { team, tasks });
--- a/src/coordination/leader/shards/quota_division.rs
+++ b/src/coordination/leader/shards/quota_division.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use quota::{LinearLimits, Method, NotSolved, TargetProblem, TeamDemand, plan_targets};
+use quota::{Method, NotSolved, SolverLimits, TargetProblem, TeamDemand, plan_targets};
 
 use super::{ShardPlan, ShardPlanInputs};
 use crate::storage::{ControllerName, MachineId, Quota, Team, TeamName, records::AllocationRecord};
@@ -232,9 +232,9 @@
         let mut demand = TeamDemand {
             guaranteed: team.guaranteed,
             limit: team.limit.minus(&used.outside(name)).at_least_zero(),
-            fixed: BTreeMap::new(),
+            used_or_in_flight: BTreeMap::new(),
             allocated: BTreeMap::new(),
-            wanted: inputs
+            waiting_tasks: inputs
                 .demand
                 .iter()
                 .filter(|demand| demand.team == *name)
@@ -248,7 +248,7 @@
                 .of(controller, name)
                 .plus(&in_flight.copied().unwrap_or_default());
             demand.allocated.insert(controller.clone(), budget);
-            demand.fixed.insert(controller.clone(), fixed);
+            demand.used_or_in_flight.insert(controller.clone(), fixed);
         }
         demand
     }
@@ -263,7 +263,7 @@
             let free = inputs.free.get(controller).copied().unwrap_or_default();
             let fixed = teams
                 .values()
-                .filter_map(|demand| demand.fixed.get(controller));
+                .filter_map(|demand| demand.used_or_in_flight.get(controller));
             fixed.fold(free, |sum, quota| sum.plus(quota))
         };
         let room = self
@@ -271,12 +271,13 @@
             .keys()
             .map(|controller| (controller.clone(), room_of(controller)));
         let problem = TargetProblem {
-            room: room.collect(),
+            capacity: room.collect(),
             teams,
         };
-        let division = plan_targets(&problem, &LinearLimits::default());
+        let division = plan_targets(&problem, &SolverLimits::default());
         for method in &division.methods {
-            if let Method::Plain(reason @ (NotSolved::Late | NotSolved::Failed(_))) = method {
+            if let Method::Fallback(reason @ (NotSolved::TimedOut | NotSolved::Failed(_))) = method
+            {
                 tracing::info!(%reason, "quota targets by the fallback rule");
             }
         }
--- a/src/coordination/leader/shards/tests/quota.rs
+++ b/src/coordination/leader/shards/tests/quota.rs
@@ -63,9 +63,9 @@
     inputs.demand.push(QuotaDemand {
         team: key.1.clone(),
         tasks: ::quota::TaskDemand {
-            parts: vec![(key.0.clone(), 5)],
+            tasks_by_controller: vec![(key.0.clone(), 5)],
             per_task: quota(4.0),
-            is_whole: false,
+            is_gang: false,
         },
     });
     let next = plan(&cache, &teams, &inputs);
--- a/src/coordination/quota_exchange/mod.rs
+++ b/src/coordination/quota_exchange/mod.rs
@@ -70,7 +70,7 @@
             Ok(answer) => answer,
             Err(refusal) => {
                 lock(&self.state).counts.refused += 1;
-                if refusal.is_fault() {
+                if refusal.is_invalid_request() {
                     tracing::warn!(%recipient, %refusal, "quota request refused");
                 }
                 return QuotaResponse::Refused(refusal);
--- a/src/coordination/quota_exchange/requests.rs
+++ b/src/coordination/quota_exchange/requests.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use quota::{Addressed, DonorView, Outcome, Refusal};
+use quota::{DonorView, Outcome, OutgoingRequest, Refusal};
 use tokio::time::Instant;
 
 use super::QuotaExchange;
@@ -36,7 +36,7 @@
     fn next_request(
         &self,
         owner_deficit: &BTreeMap<TeamName, Quota>,
-    ) -> Option<Addressed<ControllerName, TeamName>> {
+    ) -> Option<OutgoingRequest<ControllerName, TeamName>> {
         let cache = self.context.store.cache();
         let allocation = self.context.own_allocation(&cache)?;
         let mut exchange = lock(&self.state);
@@ -106,7 +106,7 @@
                 exchange.counts.unserved += 1;
             }
             let now = Instant::now().into_std();
-            exchange.deficits.answered(number, &outcome, now);
+            exchange.deficits.record_outcome(number, &outcome, now);
         }
         self.context.owner_wakeup.notify_one();
     }
--- a/src/coordination/quota_exchange/state.rs
+++ b/src/coordination/quota_exchange/state.rs
@@ -110,15 +110,15 @@
 
     /// The counts since the last call, and for how long the oldest deficit has lasted.
     pub(super) fn take_counts(&mut self, now: Instant) -> (QuotaCounts, Option<Duration>) {
-        let oldest = self.deficits.oldest(now.into_std());
+        let oldest = self.deficits.oldest_age(now.into_std());
         (std::mem::take(&mut self.counts), oldest)
     }
 
     /// Notes how much quota of a team we lack now.
     pub(super) fn note_deficit(&mut self, team: &TeamName, deficit: Quota, now: StdInstant) {
         if deficit.exceeds(MIN_DEFICIT) {
-            self.deficits.note(team, deficit, now);
-        } else if let Some(lasted) = self.deficits.met(team, now) {
+            self.deficits.report(team, deficit, now);
+        } else if let Some(lasted) = self.deficits.clear(team, now) {
             tracing::debug!(%team, ms = lasted.as_millis() as u64, "quota deficit met");
         }
     }
--- a/src/coordination/quota_exchange/transfers.rs
+++ b/src/coordination/quota_exchange/transfers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use quota::{Allocations, Condition, Holding, PENDING_REQUESTS, Refusal, Transfer};
+use quota::{Allocations, Condition, Holding, MAX_PENDING_REQUESTS, Refusal, Transfer};
 use tokio::time::Instant;
 
 use super::QuotaExchange;
@@ -65,7 +65,7 @@
         &self,
         offered: impl Fn(&StateCache) -> BTreeMap<TeamName, Quota>,
     ) -> bool {
-        for _ in 0..PENDING_REQUESTS {
+        for _ in 0..MAX_PENDING_REQUESTS {
             if self
                 .context
                 .store
@@ -225,7 +225,7 @@
 
 fn allocations(allocation: &Versioned<AllocationRecord>) -> Allocations<TeamName> {
     Allocations {
-        process: allocation.value.owner.map(|owner| owner.0),
+        owner: allocation.value.owner.map(|owner| owner.0),
         revision: allocation.revision.0,
         budgets: allocation.value.budgets.clone(),
     }
--- a/src/protocol/peer_frames/request.rs
+++ b/src/protocol/peer_frames/request.rs
@@ -136,7 +136,7 @@
     fn from(request: QuotaRequest) -> Self {
         Self {
             recipient: request.recipient.to_string(),
-            process: request.process,
+            process: request.incarnation,
             number: request.number,
             wanted: quotas_to_frames(request.wanted),
         }
@@ -147,7 +147,7 @@
     fn from(frame: QuotaRequestFrame) -> Self {
         Self {
             recipient: ControllerName::new(frame.recipient),
-            process: frame.process,
+            incarnation: frame.process,
             number: frame.number,
             wanted: quotas_from_frames(frame.wanted),
         }
--- a/src/protocol/peer_frames/response.rs
+++ b/src/protocol/peer_frames/response.rs
@@ -80,7 +80,7 @@
             }
             // A later version's refusal is a refusal.
             ResponseFrame::QuotaRefused(code) => Self::Quota(QuotaResponse::Refused(
-                Refusal::of_code(code).unwrap_or(Refusal::NotReady),
+                Refusal::from_code(code).unwrap_or(Refusal::NotReady),
             )),
             ResponseFrame::QuotaUndecided => Self::Quota(QuotaResponse::Undecided),
         }
--- a/src/protocol/peer_frames/tests.rs
+++ b/src/protocol/peer_frames/tests.rs
@@ -89,7 +89,7 @@
     )]);
     let request = PeerRequest::RequestQuota(QuotaRequest {
         recipient: ControllerName::new("n-1"),
-        process: 7,
+        incarnation: 7,
         number: 3,
         wanted: quotas.clone(),
     });
@@ -144,7 +144,7 @@
     ]);
     let request = encode_request(PeerRequest::RequestQuota(QuotaRequest {
         recipient: ControllerName::new("n-1"),
-        process: 7,
+        incarnation: 7,
         number: 3,
         wanted: quotas.clone(),
     }));
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -242,7 +242,7 @@
                 cpus: team.cpus,
                 gpus: team.gpus,
             },
-            limit: Quota::of_limit(team.cpus_max, team.gpus_max),
+            limit: Quota::from_limit(team.cpus_max, team.gpus_max),
         }
     }
 }
