--- a/crates/quota/tests/exchange.rs
+++ b/crates/quota/tests/exchange.rs
@@ -680,7 +680,9 @@
         number: 1,
         wanted: BTreeMap::from([(TEAM, cpus(6.0))]),
     };
-    let transfer = model.plan(1, &request).expect("six CPUs that are not used");
+    let transfer = model
+        .plan(1, &request)
+        .expect("the donor has six unused CPUs");
     model.store.revision += 1;
     model.store.leader = model.store.revision;
     model.store.is_old_leader = true;
@@ -746,7 +748,8 @@
     }
 }
 
-/// Invalid, outdated and excess requests are refused, each with the proper reason.
+/// Invalid, outdated and excess requests are refused, each with the proper reason, and change
+/// nothing.
 #[test]
 fn invalid_requests_are_refused() {
     let request = |recipient, number, team, amount| TransferRequest {
--- a/crates/quota/tests/targets.rs
+++ b/crates/quota/tests/targets.rs
@@ -110,7 +110,10 @@
         let first = plan_targets(&problem, &ample_limits());
         for (team, demand) in &problem.teams {
             let targets = &first.targets[team];
-            prop_assert!(total(targets) <= demand.limit.cpus.max(total(&demand.used_or_in_flight)) + SLACK);
+            prop_assert!(
+                total(targets)
+                    <= demand.limit.cpus.max(total(&demand.used_or_in_flight)) + SLACK
+            );
             for (controller, used) in &demand.used_or_in_flight {
                 prop_assert!(targets[controller].cpus >= used.cpus - SLACK);
             }
