--- a/src/coordination/leader/routing/unplaced.rs
+++ b/src/coordination/leader/routing/unplaced.rs
@@ -22,9 +22,9 @@
     /// Adds tasks that owners have capacity for, but may lack quota.
     fn demand_quota(&mut self, spec: &JobSpec, parts: Vec<(ControllerName, u32)>) {
         let tasks = ::quota::TaskDemand {
-            parts,
+            tasks_by_controller: parts,
             per_task: Quota::from(&spec.per_task),
-            is_whole: spec.kind == JobKind::Gang,
+            is_gang: spec.kind == JobKind::Gang,
         };
         let team = spec.team.clone();
         self.demand.push(QuotaDemand { team, tasks });
--- a/src/coordination/quota_exchange/state.rs
+++ b/src/coordination/quota_exchange/state.rs
@@ -113,15 +113,15 @@
 
     /// Returns the counts since the last call, and for how long the oldest deficit has lasted.
     pub(super) fn take_counts(&mut self, now: Instant) -> (QuotaCounts, Option<Duration>) {
-        let oldest = self.deficits.oldest(now.into_std());
+        let oldest = self.deficits.oldest_age(now.into_std());
         (std::mem::take(&mut self.counts), oldest)
     }
 
     /// Records this controller's current deficit of a team's quota.
     pub(super) fn record_deficit(&mut self, team: &TeamName, deficit: Quota, now: StdInstant) {
         if deficit.exceeds(MIN_DEFICIT) {
-            self.deficits.note(team, deficit, now);
-        } else if let Some(lasted) = self.deficits.met(team, now) {
+            self.deficits.report(team, deficit, now);
+        } else if let Some(lasted) = self.deficits.clear(team, now) {
             tracing::debug!(%team, ms = lasted.as_millis() as u64, "quota deficit met");
         }
     }
--- a/src/protocol/peer_frames/response.rs
+++ b/src/protocol/peer_frames/response.rs
@@ -80,7 +80,7 @@
             }
             // An unknown code comes from a later version and still means a refusal.
             ResponseFrame::QuotaRefused(code) => Self::Quota(QuotaResponse::Refused(
-                Refusal::of_code(code).unwrap_or(Refusal::NotReady),
+                Refusal::from_code(code).unwrap_or(Refusal::NotReady),
             )),
             ResponseFrame::QuotaUndecided => Self::Quota(QuotaResponse::Undecided),
         }
--- a/src/protocol/peer_frames/tests.rs
+++ b/src/protocol/peer_frames/tests.rs
@@ -89,7 +89,7 @@
     )]);
     let request = PeerRequest::RequestQuota(QuotaRequest {
         recipient: ControllerName::new("n-1"),
-        process: 7,
+        incarnation: 7,
         number: 3,
         wanted: quotas.clone(),
     });
@@ -145,7 +145,7 @@
     ]);
     let request = encode_request(PeerRequest::RequestQuota(QuotaRequest {
         recipient: ControllerName::new("n-1"),
-        process: 7,
+        incarnation: 7,
         number: 3,
         wanted: quotas.clone(),
     }));
