--- a/src/coordination/leader/fleet/autoscaler.rs
+++ b/src/coordination/leader/fleet/autoscaler.rs
@@ -91,21 +91,21 @@
         let is_remedial_due = fleet
             .last_remedial_evaluation
             .is_none_or(|at| now.duration_since(at) >= REMEDIAL_INTERVAL);
-        let mut wanted: Vec<WantedMachines> = Vec::new();
+        let mut wanted_machines: Vec<WantedMachines> = Vec::new();
         if is_round_due {
             fleet.last_band_evaluation = Some(now);
             let machines = used_machines(cache, tuning.paid_periods, now_ms, |id| up.contains(id));
-            wanted = self.evaluate_band(&options, fleet, miss_rate, &need, machines);
+            wanted_machines = self.evaluate_band(&options, fleet, miss_rate, &need, machines);
             tracing::info!(?routing_counts, "waiting tasks");
         } else if is_remedial_due {
             fleet.last_remedial_evaluation = Some(now);
             let unfilled = std::mem::take(&mut fleet.unfilled_machines);
-            wanted = evaluate_remedial(&options, need, unfilled, tuning);
+            wanted_machines = evaluate_remedial(&options, need, unfilled, tuning);
         }
-        if !wanted.is_empty() {
+        if !wanted_machines.is_empty() {
             fleet.draining_machines.clear();
         }
-        provision_plans(&options, wanted)
+        provision_plans(&options, wanted_machines)
     }
 }
 
@@ -174,7 +174,7 @@
     .max(unfilled);
     // Exception to section 5.4, see docs/DESIGN.md: no more machines than the waiting tasks
     // would fill.
-    let mut wanted = Vec::new();
+    let mut wanted_machines = Vec::new();
     while remaining > 0
         && let Some((pool, machines)) = greatest_need(&by_pool)
     {
@@ -183,9 +183,9 @@
         by_pool.remove(&pool);
         tracing::info!(%pool, count, jobs = unplaced.len(),
             booting = booting_count, "remedial scale-out");
-        wanted.push(WantedMachines { pool, count });
+        wanted_machines.push(WantedMachines { pool, count });
     }
-    wanted
+    wanted_machines
 }
 
 /// Returns the pool with the greatest number of needed machines, and that number.
@@ -201,10 +201,10 @@
 /// requests.
 fn provision_plans(
     options: &ProvisioningOptions<'_>,
-    wanted: Vec<WantedMachines>,
+    wanted_machines: Vec<WantedMachines>,
 ) -> Vec<ProvisionPlan> {
     let mut plans = Vec::new();
-    for WantedMachines { pool, count } in wanted {
+    for WantedMachines { pool, count } in wanted_machines {
         for share in options.split_by_zone(&pool, count) {
             let mut remaining = share.count;
             while remaining > 0 && plans.len() < MAX_REQUESTS_PER_PASS {
--- a/src/coordination/leader/fleet/provisioning.rs
+++ b/src/coordination/leader/fleet/provisioning.rs
@@ -125,13 +125,13 @@
     /// Sends one request to the cloud and records its response, or schedules a retry.
     async fn provision(&self, request: &NamedRequest) {
         let NamedRequest { name, record } = request;
-        let wanted = ProvisionRequest {
+        let machine_request = ProvisionRequest {
             machine_type: record.machine_type.clone(),
             zone: record.zone.clone(),
             spot: record.spot,
             count: record.count,
         };
-        let answer = self.context.cloud.provision(name, &wanted).await;
+        let response = self.context.cloud.provision(name, &machine_request).await;
         let revision = {
             let cache = self.context.store.cache();
             match cache.provision_requests.get(name) {
@@ -139,7 +139,7 @@
                 None => return,
             }
         };
-        match answer {
+        match response {
             Ok(machines) => self.record_provisioned(request, revision, machines).await,
             Err(CloudError::NoCapacity) => {
                 tracing::info!(%name, kind = %record.machine_type, zone = %record.zone,
--- a/src/coordination/leader/routing/offers.rs
+++ b/src/coordination/leader/routing/offers.rs
@@ -33,13 +33,13 @@
                 return false;
             };
             let mut expired_owner = None;
-            tasks.retain(|task, offered| {
+            tasks.retain(|task, offer| {
                 let is_waiting = job.placement(*task).is_none() && !job.is_task_done(*task);
-                let is_outstanding = now.duration_since(offered.offered_at) < ttl;
+                let is_outstanding = now.duration_since(offer.offered_at) < ttl;
                 if is_waiting && !is_outstanding {
-                    tracing::debug!(job = %id, task, owner = %offered.controller,
-                        machine = %offered.machine, "offer expired");
-                    expired_owner = Some(offered.controller.clone());
+                    tracing::debug!(job = %id, task, owner = %offer.controller,
+                        machine = %offer.machine, "offer expired");
+                    expired_owner = Some(offer.controller.clone());
                 }
                 is_waiting && is_outstanding
             });
@@ -62,13 +62,13 @@
                 continue;
             };
             let quota = Quota::from(&spec.per_task);
-            for offered in tasks.values() {
-                if let Some(owner) = capacity.owner_index(&offered.controller) {
+            for offer in tasks.values() {
+                if let Some(owner) = capacity.owner_index(&offer.controller) {
                     used.add(owner, &spec.team, &quota);
                 }
                 // The owner chooses the machine itself, by the same rule as the trial
                 // placement.
-                if let Some(index) = index_of.get(&offered.machine) {
+                if let Some(index) = index_of.get(&offer.machine) {
                     capacity.candidates[*index].place_task(spec);
                 }
             }
@@ -86,7 +86,7 @@
         result.offered += 1;
         let candidate = &self.free_capacity.candidates[candidate];
         let controller = self.free_capacity.controllers[candidate.owner].clone();
-        let offered = OutstandingOffer {
+        let offer = OutstandingOffer {
             controller: controller.clone(),
             machine: candidate.machine.clone(),
             offered_at: self.now,
@@ -94,7 +94,7 @@
         self.outstanding_offers
             .entry(id.clone())
             .or_default()
-            .insert(task, offered);
+            .insert(task, offer);
         let offers = result.offers.entry(controller).or_default();
         match offers.iter_mut().find(|offer| offer.job == *id) {
             Some(offer) => offer.tasks.push(task),
--- a/src/coordination/leader/routing/records.rs
+++ b/src/coordination/leader/routing/records.rs
@@ -29,9 +29,9 @@
                 }
             }
         }
-        for (task, offered) in self.outstanding_offers.get(id).into_iter().flatten() {
+        for (task, offer) in self.outstanding_offers.get(id).into_iter().flatten() {
             if task / keys::TASKS_PER_RUN_RECORD == record {
-                controllers.insert(&offered.controller);
+                controllers.insert(&offer.controller);
             }
         }
         let controllers = controllers.into_iter();
--- a/src/coordination/leader/routing/unplaced.rs
+++ b/src/coordination/leader/routing/unplaced.rs
@@ -19,10 +19,11 @@
 const MIN_CPUS_PER_TASK: f64 = 0.01;
 
 impl RoutingResult {
-    /// Adds tasks that owners have capacity for, but may lack quota.
-    fn demand_quota(&mut self, spec: &JobSpec, parts: Vec<(ControllerName, u32)>) {
+    /// Adds a job's tasks for which owners have capacity, but may lack quota. `tasks_by_controller`
+    /// has the number of tasks that each owner has capacity for.
+    fn demand_quota(&mut self, spec: &JobSpec, tasks_by_controller: Vec<(ControllerName, u32)>) {
         let tasks = ::quota::TaskDemand {
-            tasks_by_controller: parts,
+            tasks_by_controller,
             per_task: Quota::from(&spec.per_task),
             is_gang: spec.kind == JobKind::Gang,
         };
@@ -114,7 +115,7 @@
         result: &mut RoutingResult,
     ) {
         let quota = Quota::from(&spec.per_task);
-        let mut parts: Vec<(ControllerName, u32)> = Vec::new();
+        let mut tasks_by_controller: Vec<(ControllerName, u32)> = Vec::new();
         let mut has_deficit = false;
         let mut remaining = tasks;
         while remaining > 0
@@ -126,7 +127,7 @@
                 .min(remaining);
             let missing = fitting.saturating_sub(self.budget_left(owner, spec, used));
             let controller = &self.free_capacity.controllers[owner];
-            parts.push((controller.clone(), fitting as u32));
+            tasks_by_controller.push((controller.clone(), fitting as u32));
             if missing > 0 {
                 has_deficit = true;
                 let quota = quota.times(missing as f64);
@@ -136,7 +137,7 @@
             remaining -= fitting;
         }
         if has_deficit {
-            result.demand_quota(spec, parts);
+            result.demand_quota(spec, tasks_by_controller);
         }
     }
 
@@ -194,9 +195,10 @@
             *tasks_by_owner.entry(owner).or_default() += 1;
         }
         let name_of = |owner: usize| &self.free_capacity.controllers[owner];
-        let parts = tasks_by_owner.iter();
-        let parts = parts.map(|(owner, tasks)| (name_of(*owner).clone(), *tasks as u32));
-        result.demand_quota(spec, parts.collect());
+        let tasks_by_controller = tasks_by_owner.iter();
+        let tasks_by_controller =
+            tasks_by_controller.map(|(owner, tasks)| (name_of(*owner).clone(), *tasks as u32));
+        result.demand_quota(spec, tasks_by_controller.collect());
         let quota = Quota::from(&spec.per_task);
         for (owner, tasks) in tasks_by_owner {
             let controller = name_of(owner);
--- a/src/coordination/leader/routing/zone_bound.rs
+++ b/src/coordination/leader/routing/zone_bound.rs
@@ -123,8 +123,8 @@
             return;
         }
         let outstanding = self.outstanding_offers.get(queued.id);
-        for (task, offered) in outstanding.into_iter().flatten() {
-            if let Some(record) = self.cache.machines.get(&offered.machine)
+        for (task, offer) in outstanding.into_iter().flatten() {
+            if let Some(record) = self.cache.machines.get(&offer.machine)
                 && counts(*task)
             {
                 constraint.add(&record.zone);
--- a/src/coordination/leader/shards/quota_division.rs
+++ b/src/coordination/leader/shards/quota_division.rs
@@ -253,11 +253,13 @@
         for (controller, allocation) in &self.allocations {
             let budget = allocation.budgets.get(name).copied().unwrap_or_default();
             let in_flight = inputs.in_flight.get(&(controller.clone(), name.clone()));
-            let fixed = used
+            let used_or_in_flight = used
                 .by(controller, name)
                 .plus(&in_flight.copied().unwrap_or_default());
             demand.allocated.insert(controller.clone(), budget);
-            demand.used_or_in_flight.insert(controller.clone(), fixed);
+            demand
+                .used_or_in_flight
+                .insert(controller.clone(), used_or_in_flight);
         }
         demand
     }
@@ -268,34 +270,34 @@
         teams: BTreeMap<TeamName, TeamDemand<ControllerName>>,
         inputs: &ShardPlanInputs,
     ) -> Targets {
-        let room_of = |controller: &ControllerName| {
+        let capacity_of = |controller: &ControllerName| {
             let free = inputs
                 .free_quota
                 .get(controller)
                 .copied()
                 .unwrap_or_default();
-            let fixed = teams
+            let used_or_in_flight = teams
                 .values()
                 .filter_map(|demand| demand.used_or_in_flight.get(controller));
-            fixed.fold(free, |sum, quota| sum.plus(quota))
+            used_or_in_flight.fold(free, |sum, quota| sum.plus(quota))
         };
-        let room = self
+        let capacities = self
             .allocations
             .keys()
-            .map(|controller| (controller.clone(), room_of(controller)));
+            .map(|controller| (controller.clone(), capacity_of(controller)));
         let problem = TargetProblem {
-            capacity: room.collect(),
+            capacity: capacities.collect(),
             teams,
         };
-        let division = plan_targets(&problem, &SolverLimits::default());
-        for method in &division.methods {
+        let solution = plan_targets(&problem, &SolverLimits::default());
+        for method in &solution.methods {
             if let Method::Fallback(reason @ (NotSolved::TimedOut | NotSolved::Failed(_))) = method
             {
                 tracing::info!(%reason, "quota targets computed by the fallback rule");
             }
         }
         let mut targets = Targets::new();
-        for (team, by_controller) in division.targets {
+        for (team, by_controller) in solution.targets {
             for (controller, quota) in by_controller {
                 targets
                     .entry(controller)
--- a/src/coordination/owner/candidates.rs
+++ b/src/coordination/owner/candidates.rs
@@ -36,8 +36,8 @@
                 if *usage == MachineUse::Cordoned || !self.may_take_tasks(state, agent, now) {
                     return None;
                 }
-                let room = free_resources(machine_type, agent, cache.machine_loads.get(id));
-                if room.cpus < AMOUNT_SLACK {
+                let free = free_resources(machine_type, agent, cache.machine_loads.get(id));
+                if free.cpus < AMOUNT_SLACK {
                     return None;
                 }
                 let age = Duration::from_millis(now_ms.saturating_sub(record.provisioned_ms));
@@ -47,7 +47,7 @@
                     machine_type: record.machine_type.clone(),
                     zone: record.zone.clone(),
                     spot: record.spot,
-                    free: room,
+                    free,
                     size: machine_type.size,
                     fetch_gb_per_s: machine_type.fetch_gb_per_s,
                     speed: agent.speed,
@@ -83,10 +83,10 @@
     agent: &AgentState,
     load: Option<&MachineLoad>,
 ) -> Resources {
-    let mut room = machine_type.size;
+    let mut free = machine_type.size;
     if let Some(load) = load {
-        room -= load.used_resources;
-        room += agent.freed_resources(load);
+        free -= load.used_resources;
+        free += agent.freed_resources(load);
     }
-    room
+    free
 }
--- a/src/coordination/owner/mod.rs
+++ b/src/coordination/owner/mod.rs
@@ -91,7 +91,7 @@
 impl OwnerState {
     /// Quota of the offered tasks that are not placed yet, by team.
     fn offered_quota(&self, cache: &StateCache) -> BTreeMap<TeamName, Quota> {
-        let mut offered: BTreeMap<TeamName, Quota> = BTreeMap::new();
+        let mut quota_by_team: BTreeMap<TeamName, Quota> = BTreeMap::new();
         for (id, offer) in &self.offers {
             let Some(job) = cache.jobs.get(id) else {
                 continue;
@@ -101,10 +101,10 @@
                 |task: &&u32| job.placement(**task).is_none() && !job.is_task_done(**task);
             let count = offer.tasks.iter().filter(is_waiting).count();
             let quota = Quota::from(&spec.per_task).times(count as f64);
-            let sum = offered.entry(spec.team.clone()).or_default();
+            let sum = quota_by_team.entry(spec.team.clone()).or_default();
             *sum = sum.plus(&quota);
         }
-        offered
+        quota_by_team
     }
 
     /// Whether the machine itself is probably the cause of the task failures on it.
--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -68,9 +68,9 @@
     if tasks == 0 || budget.covers(&used.plus(&next_quota)) {
         return;
     }
-    let wanted = used.plus(&quota.times(tasks as f64));
+    let needed = used.plus(&quota.times(tasks as f64));
     let deficit = state.deficit.entry(spec.team.clone()).or_default();
-    *deficit = deficit.max(&wanted.minus(&budget).at_least_zero());
+    *deficit = deficit.max(&needed.minus(&budget).at_least_zero());
 }
 
 /// The machine on which a task is to be placed.
--- a/src/coordination/policy/zone_constraint.rs
+++ b/src/coordination/policy/zone_constraint.rs
@@ -72,8 +72,8 @@
     }
 
     /// Returns the constraint of one run record without any placed task.
-    pub fn of_record(spec: &JobSpec, record: u32) -> Self {
-        let first = record * keys::TASKS_PER_RUN_RECORD;
+    pub fn of_record(spec: &JobSpec, record_index: u32) -> Self {
+        let first = record_index * keys::TASKS_PER_RUN_RECORD;
         let tasks = spec
             .tasks
             .saturating_sub(first)
--- a/src/coordination/zone_usage.rs
+++ b/src/coordination/zone_usage.rs
@@ -27,7 +27,7 @@
     cache: &'a StateCache,
     job: &'a state_cache::Job,
     spec: Option<&'a JobSpec>,
-    /// Records and zones in which the record has more tasks than its own limit: it was written
+    /// Indices of records and zones in which the record has more tasks than its own limit: it was written
     /// by the rule for the whole job, before the state service's limits were lowered. The other
     /// records place no more tasks in these zones, to keep the limit of the whole job.
     exceeded: Vec<(u32, ZoneName)>,
@@ -52,33 +52,33 @@
             return Vec::new();
         };
         let mut exceeded = Vec::new();
-        for (record, entry) in &self.job.run_records {
+        for (record_index, entry) in &self.job.run_records {
             if entry.value.placed.len() > keys::TASKS_PER_RUN_RECORD as usize / 2 {
-                let constraint = self.current_constraint(spec, *record);
+                let constraint = self.current_constraint(spec, *record_index);
                 let zones = constraint.overfull_zones().cloned();
-                exceeded.extend(zones.map(|zone| (*record, zone)));
+                exceeded.extend(zones.map(|zone| (*record_index, zone)));
             }
         }
         exceeded
     }
 
-    fn current_constraint(&self, spec: &JobSpec, record: u32) -> ZoneConstraint {
-        let mut constraint = ZoneConstraint::of_record(spec, record);
-        if let Some(entry) = self.job.run_records.get(&record) {
+    fn current_constraint(&self, spec: &JobSpec, record_index: u32) -> ZoneConstraint {
+        let mut constraint = ZoneConstraint::of_record(spec, record_index);
+        if let Some(entry) = self.job.run_records.get(&record_index) {
             count_placed_tasks(self.cache, &entry.value, &mut constraint);
         }
         constraint
     }
 
     /// Returns the constraint for the next task of this record.
-    pub(super) fn for_record(&self, record: u32) -> ZoneConstraint {
+    pub(super) fn for_record(&self, record_index: u32) -> ZoneConstraint {
         let Some(spec) = self.spec else {
             return ZoneConstraint::default();
         };
-        let mut constraint = self.current_constraint(spec, record);
+        let mut constraint = self.current_constraint(spec, record_index);
         confine_to_assigned_zone(&mut constraint, spec);
         for (other, zone) in &self.exceeded {
-            if *other != record {
+            if *other != record_index {
                 constraint.exclude_zone(zone.clone());
             }
         }
@@ -119,10 +119,10 @@
         return vec![(tasks, job_constraint(cache, job))];
     }
     let constraints = RecordConstraints::new(cache, job);
-    let record_of = |task: u32| task / keys::TASKS_PER_RUN_RECORD;
+    let record_index_of = |task: u32| task / keys::TASKS_PER_RUN_RECORD;
     tasks
-        .chunk_by(|a, b| record_of(*a) == record_of(*b))
-        .map(|part| (part, constraints.for_record(record_of(part[0]))))
+        .chunk_by(|a, b| record_index_of(*a) == record_index_of(*b))
+        .map(|part| (part, constraints.for_record(record_index_of(part[0]))))
         .collect()
 }
 
