--- a/src/coordination/leader/fleet/machine_inspection.rs
+++ b/src/coordination/leader/fleet/machine_inspection.rs
@@ -251,7 +251,7 @@
     }
 
     fn record_indirect_contact(&mut self, machine: InspectedMachine<'a>, contact: IndirectContact) {
-        match self.judge_indirect_contact(machine.id, &contact) {
+        match self.evaluate_indirect_contact(machine.id, &contact) {
             IndirectVerdict::Undecided => {}
             IndirectVerdict::OwnerUnreachable => {
                 self.findings
@@ -273,7 +273,7 @@
         }
     }
 
-    fn judge_indirect_contact(
+    fn evaluate_indirect_contact(
         &self,
         machine: &MachineId,
         contact: &IndirectContact,
--- a/src/coordination/leader/routing/preemption.rs
+++ b/src/coordination/leader/routing/preemption.rs
@@ -45,7 +45,7 @@
     /// Index of the candidate machine.
     candidate: usize,
     victims: Vec<TaskId>,
-    /// The machine lacks the replica's image.
+    /// Whether the machine lacks the replica's image.
     lacks_image: bool,
     /// Lowest age rank among the victims.
     youngest: u64,
@@ -164,7 +164,7 @@
             self.pending_preemptions.insert(victim.clone(), self.now);
         }
         let candidate = &self.free_capacity.candidates[preemption.candidate];
-        // The freed resources are not deducted from the free capacity: they are meant for the
+        // The freed resources are not added to the free capacity: they are meant for the
         // waiting task, and the remainder is small.
         tracing::debug!(job = %id, task, machine = %candidate.machine, victims = victims.len(),
             "preempting for capacity");
--- a/src/coordination/leader/routing/queue_order.rs
+++ b/src/coordination/leader/routing/queue_order.rs
@@ -19,7 +19,8 @@
 pub(super) struct QueueRank {
     /// Priority of the job, raised by its age.
     pub(super) priority: Reverse<Priority>,
-    /// One more task of the job would exceed the guarantee of its team.
+    /// Whether one more task of the job would exceed the guarantee of its team. False once the
+    /// job has aged for one interval, see [`AGING_INTERVAL`].
     pub(super) borrows: bool,
     /// Time of day at which the job was accepted plus its deadline, if any, in milliseconds.
     pub(super) due_ms: u64,
--- a/src/coordination/leader/routing/reclaim.rs
+++ b/src/coordination/leader/routing/reclaim.rs
@@ -97,8 +97,8 @@
         if !may_reclaim || tasks == 0 {
             return 0;
         }
-        let outstanding = self.reclaiming.pending_tasks(queued.id);
-        if outstanding >= tasks {
+        let pending = self.reclaiming.pending_tasks(queued.id);
+        if pending >= tasks {
             return tasks;
         }
         let mut machines = match self.reclaiming.machines.take() {
@@ -107,7 +107,7 @@
         };
         let mut found = 0;
         for machine in &mut machines {
-            while outstanding + found < tasks
+            while pending + found < tasks
                 && result.reclaimed < MAX_RECLAIMED_TASKS_PER_PASS
                 && self.reclaim_one(queued, machine, result)
             {
@@ -116,14 +116,14 @@
         }
         self.reclaiming.machines = Some(machines);
         if found > 0 {
-            tracing::debug!(job = %queued.id, tasks = found, "preempting idle work for capacity");
-            let reclaimed = ReclaimRequest {
-                tasks: outstanding + found,
+            tracing::debug!(job = %queued.id, tasks = found, "preempting best-effort tasks for capacity");
+            let request = ReclaimRequest {
+                tasks: pending + found,
                 since: self.now,
             };
-            self.reclaiming.jobs.insert(queued.id.clone(), reclaimed);
+            self.reclaiming.jobs.insert(queued.id.clone(), request);
         }
-        outstanding + found
+        pending + found
     }
 
     /// Returns the candidate machines with tasks that may be preempted. The last tasks of the
--- a/src/coordination/leader/routing/records.rs
+++ b/src/coordination/leader/routing/records.rs
@@ -18,11 +18,11 @@
 };
 
 impl RoutingPass<'_> {
-    /// Returns the indices of the owners that write this run record, since they run or have
-    /// been offered tasks of it.
-    pub(super) fn writers(&self, id: &JobId, job: &Job, record: u32) -> Vec<usize> {
+    /// Returns the indices of the owners that write the run record with this index, since they
+    /// run or have been offered tasks of it.
+    pub(super) fn writers(&self, id: &JobId, job: &Job, record_index: u32) -> Vec<usize> {
         let mut controllers: BTreeSet<&ControllerName> = BTreeSet::new();
-        if let Some(entry) = job.run_records.get(&record) {
+        if let Some(entry) = job.run_records.get(&record_index) {
             for placement in entry.value.placed.values() {
                 if let Some((_, shard)) = self.cache.shard_of(&placement.machine) {
                     controllers.insert(&shard.value.controller);
@@ -30,7 +30,7 @@
             }
         }
         for (task, offer) in self.outstanding_offers.get(id).into_iter().flatten() {
-            if task / keys::TASKS_PER_RUN_RECORD == record {
+            if task / keys::TASKS_PER_RUN_RECORD == record_index {
                 controllers.insert(&offer.controller);
             }
         }
@@ -87,10 +87,10 @@
     ) {
         let QueuedJob { id, spec, job, .. } = queued;
         let run_time_factor = (self.run_time_factor)(&spec.class);
-        let record = tasks[0] / keys::TASKS_PER_RUN_RECORD;
-        let waits_for_writers = self.waits_for_writers(queued, record);
+        let record_index = tasks[0] / keys::TASKS_PER_RUN_RECORD;
+        let waits_for_writers = self.waits_for_writers(queued, record_index);
         let mut remaining = tasks;
-        let mut writers = self.writers(id, job, record);
+        let mut writers = self.writers(id, job, record_index);
         let candidates = &self.free_capacity.candidates;
         let mut fits = compare_owners(spec, candidates, run_time_factor, remaining.len());
         if let Some(owner) = self.owner_with_expired_offers(id, job, remaining) {
@@ -103,7 +103,7 @@
             };
             if waits_for_writers && !writers.is_empty() && !writers.contains(&owner) {
                 let now = self.now;
-                let key = ((*id).clone(), record);
+                let key = ((*id).clone(), record_index);
                 self.record_affinity.entry(key).or_insert(now);
                 return;
             }
@@ -123,8 +123,8 @@
     /// Whether tasks of the record wait for capacity at the owners that already write it. A second
     /// writer would cost two changes for each of its results, one of which conflicts. Array tasks
     /// end all the time and free capacity at the owner; replicas do not wait for that.
-    fn waits_for_writers(&self, queued: &QueuedJob<'_>, record: u32) -> bool {
-        let since = self.record_affinity.get(&(queued.id.clone(), record));
+    fn waits_for_writers(&self, queued: &QueuedJob<'_>, record_index: u32) -> bool {
+        let since = self.record_affinity.get(&(queued.id.clone(), record_index));
         let affinity_expired =
             since.is_some_and(|since| self.now.duration_since(*since) >= RECORD_AFFINITY_TIMEOUT);
         queued.spec.kind == JobKind::Array && !affinity_expired
--- a/src/coordination/leader/routing/zone_bound.rs
+++ b/src/coordination/leader/routing/zone_bound.rs
@@ -55,11 +55,11 @@
         let has_capacity = capacity
             .get(assigned_zone)
             .is_some_and(|tasks| *tasks >= needed);
-        let unassigns = is_unplaced && !has_capacity && zone_with_capacity.is_some();
-        if unassigns {
+        let revokes_assignment = is_unplaced && !has_capacity && zone_with_capacity.is_some();
+        if revokes_assignment {
             result.zone_assignments.push(assignment(None));
         }
-        unassigns
+        revokes_assignment
     }
 
     /// Returns how many tasks of the job fit in each zone that it allows, regardless of its
@@ -88,7 +88,7 @@
     /// placed.
     pub(super) fn constraint(&self, queued: &QueuedJob<'_>) -> ZoneConstraint {
         let mut constraint = zone_usage::job_constraint(self.cache, queued.job);
-        self.count_offered(queued, &mut constraint, |_| true);
+        self.count_outstanding_offers(queued, &mut constraint, |_| true);
         constraint
     }
 
@@ -102,18 +102,18 @@
         let scope = self.scope(queued.spec);
         let mut parts = zone_usage::constrained_parts(self.cache, queued.job, scope, tasks);
         for (part, constraint) in &mut parts {
-            let record = part
+            let record_index = part
                 .first()
                 .map_or(0, |task| task / keys::TASKS_PER_RUN_RECORD);
-            self.count_offered(queued, constraint, |task| {
-                scope == ZoneScope::WholeJob || task / keys::TASKS_PER_RUN_RECORD == record
+            self.count_outstanding_offers(queued, constraint, |task| {
+                scope == ZoneScope::WholeJob || task / keys::TASKS_PER_RUN_RECORD == record_index
             });
         }
         parts
     }
 
     /// Counts the job's outstanding offers as placed, for those tasks that `counts` accepts.
-    fn count_offered(
+    fn count_outstanding_offers(
         &self,
         queued: &QueuedJob<'_>,
         constraint: &mut ZoneConstraint,
--- a/src/coordination/leader/shards/machine_assignment.rs
+++ b/src/coordination/leader/shards/machine_assignment.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns a shard of this controller with space for a machine of the zone, or the id of a
-    /// new shard if there is none.
+    /// new shard if there is none. Returns `None` if the controller has no live process.
     pub(super) fn shard_with_space(
         &self,
         controller: &ControllerName,
--- a/src/coordination/leader/shards/mod.rs
+++ b/src/coordination/leader/shards/mod.rs
@@ -143,7 +143,7 @@
     }
 
     /// Returns the zone of a shard's machines, which are only added to a shard of their own zone;
-    /// none if no machine of the shard is known.
+    /// `None` if no machine of the shard is known.
     fn zone_of(&self, id: ShardId) -> Option<ZoneName> {
         let shard = self.shards.get(&id)?;
         let machine = shard
--- a/src/coordination/leader/shards/ownership.rs
+++ b/src/coordination/leader/shards/ownership.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Returns the new owner of a shard that a fenced process of this controller owned, or none
+    /// Returns the new owner of a shard that a fenced process of this controller owned, or `None`
     /// while the allocation is still being assigned to another process in this pass.
     fn new_owner(&self, id: ShardId, controller: ControllerName) -> Option<NewOwner> {
         let allocated_to = self
--- a/src/coordination/owner/commands.rs
+++ b/src/coordination/owner/commands.rs
@@ -133,7 +133,7 @@
                 self.context.owner_wakeup.notify_one();
             }
             Err(error) => {
-                tracing::debug!(%machine, %error, "commands unanswered");
+                tracing::debug!(%machine, %error, "no response to commands");
                 if sent.has_starts {
                     agent.note_start_in_doubt(*token, now);
                 }
--- a/src/coordination/owner/commits.rs
+++ b/src/coordination/owner/commits.rs
@@ -277,8 +277,8 @@
         }
     }
 
-    /// Learns from the task ends that are committed now, and sends the starts of the placements
-    /// that are committed now.
+    /// Learns from the task ends and sends the starts of the placements that have just been
+    /// committed.
     fn dispatch_starts(self: &Arc<Self>, group: Vec<PlannedWrite>) {
         let mut starts: BTreeMap<(MachineId, AgentEpoch), Vec<Command>> = BTreeMap::new();
         {
--- a/src/coordination/owner/offered_jobs.rs
+++ b/src/coordination/owner/offered_jobs.rs
@@ -53,15 +53,15 @@
                 .then_some(OfferedJob { id, spec, job })
         })
         .collect();
-    jobs.sort_by_key(|offered| {
-        let spec = offered.spec;
+    jobs.sort_by_key(|offered_job| {
+        let spec = offered_job.spec;
         (
             std::cmp::Reverse(spec.priority),
             spec.accepted_ms
                 + spec
                     .deadline
                     .map_or(0, |deadline| deadline.as_millis() as u64),
-            offered.id.clone(),
+            offered_job.id.clone(),
         )
     });
     jobs
--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -104,20 +104,27 @@
             candidates: self.candidates(state, cache, now),
             used: cache.quota_used(machines),
         };
-        for offered in offered_jobs(state, cache) {
-            let mut tasks = offered.unplaced(state, changes);
-            if state.failing.is_on_probation(offered.id, now) {
-                tasks.truncate(usize::from(offered.job.present_tasks() == 0));
+        for offered_job in offered_jobs(state, cache) {
+            let mut tasks = offered_job.unplaced(state, changes);
+            if state.failing.is_on_probation(offered_job.id, now) {
+                tasks.truncate(usize::from(offered_job.job.present_tasks() == 0));
             }
-            if offered.spec.kind == JobKind::Gang
-                && (tasks.is_empty() || !offered.job.can_place_waiting_gang_tasks())
+            if offered_job.spec.kind == JobKind::Gang
+                && (tasks.is_empty() || !offered_job.job.can_place_waiting_gang_tasks())
             {
                 continue;
             }
-            let chosen = self.place_job(state, cache, allocation, &offered, &tasks, &mut free);
+            let chosen = self.place_job(state, cache, allocation, &offered_job, &tasks, &mut free);
             let unplaced = tasks.len() - chosen.len();
-            note_deficit(state, allocation, offered.spec, unplaced, &free);
-            self.note_placements(state, cache, &offered, chosen, &free.candidates, changes);
+            note_deficit(state, allocation, offered_job.spec, unplaced, &free);
+            self.note_placements(
+                state,
+                cache,
+                &offered_job,
+                chosen,
+                &free.candidates,
+                changes,
+            );
         }
     }
 
@@ -128,11 +135,11 @@
         state: &OwnerState,
         cache: &StateCache,
         allocation: &Versioned<AllocationRecord>,
-        offered: &OfferedJob<'_>,
+        offered_job: &OfferedJob<'_>,
         tasks: &[u32],
         free: &mut FreeResources,
     ) -> Vec<ChosenMachine> {
-        let OfferedJob { spec, job, .. } = *offered;
+        let OfferedJob { spec, job, .. } = *offered_job;
         let scope = ZoneScope::of(spec, self.context.config.state_limits.txn_ops);
         if zone_usage::needs_zone_assignment(spec, scope) {
             return Vec::new();
@@ -148,11 +155,11 @@
         for (tasks, constraint) in zone_usage::constrained_parts(cache, job, scope, tasks) {
             let candidates = &mut free.candidates;
             let part = if is_gang && spec.one_zone && constraint.has_no_zone() {
-                self.choose_zone(&state.agents, offered, tasks, candidates, &mut team)
+                self.choose_zone(&state.agents, offered_job, tasks, candidates, &mut team)
             } else {
                 self.choose_candidates(
                     &state.agents,
-                    offered,
+                    offered_job,
                     tasks,
                     candidates,
                     &mut team,
@@ -178,12 +185,12 @@
         &self,
         state: &OwnerState,
         cache: &StateCache,
-        offered: &OfferedJob<'_>,
+        offered_job: &OfferedJob<'_>,
         chosen: Vec<ChosenMachine>,
         candidates: &[CandidateMachine],
         changes: &mut PlannedChanges,
     ) {
-        let OfferedJob { id, spec, job } = *offered;
+        let OfferedJob { id, spec, job } = *offered_job;
         for ChosenMachine { task, candidate } in chosen {
             let machine = &candidates[candidate].machine;
             let (Some(agent), Some((shard, entry))) = (
@@ -219,7 +226,7 @@
     fn choose_zone(
         &self,
         agents: &BTreeMap<MachineId, AgentState>,
-        offered: &OfferedJob<'_>,
+        offered_job: &OfferedJob<'_>,
         tasks: &[u32],
         candidates: &mut Vec<CandidateMachine>,
         team: &mut TeamQuotaUse,
@@ -230,10 +237,10 @@
             .collect();
         for zone in zones {
             let initial = (candidates.clone(), team.used);
-            let mut constraint = ZoneConstraint::of_job(offered.spec);
+            let mut constraint = ZoneConstraint::of_job(offered_job.spec);
             constraint.confine_to(zone);
             let chosen =
-                self.choose_candidates(agents, offered, tasks, candidates, team, constraint);
+                self.choose_candidates(agents, offered_job, tasks, candidates, team, constraint);
             if chosen.len() == tasks.len() {
                 return chosen;
             }
@@ -264,13 +271,13 @@
     fn choose_candidates(
         &self,
         agents: &BTreeMap<MachineId, AgentState>,
-        offered: &OfferedJob<'_>,
+        offered_job: &OfferedJob<'_>,
         tasks: &[u32],
         candidates: &mut [CandidateMachine],
         team: &mut TeamQuotaUse,
         mut constraint: ZoneConstraint,
     ) -> Vec<ChosenMachine> {
-        let OfferedJob { id, spec, job } = *offered;
+        let OfferedJob { id, spec, job } = *offered_job;
         let now = Instant::now();
         let factor = lock(&self.context.estimator).factor(&spec.class);
         let quota = Quota::from(&spec.per_task);
