--- a/src/coordination/leader/routing/gangs.rs
+++ b/src/coordination/leader/routing/gangs.rs
@@ -50,8 +50,8 @@
 impl RoutingPass<'_> {
     /// Whether a gang's waiting tasks may be placed now. If tasks remain of an attempt that cannot
     /// be completed, they are preempted. Without that they would end only when they notice that
-    /// other tasks of the gang are gone, or, if they wait for the rest of the gang, after the agents'
-    /// timeout `gang_wait_s`.
+    /// other tasks of the gang are gone, or, if they wait for the rest of the gang, after the
+    /// agents' timeout `gang_wait_s`.
     pub(super) fn may_route_gang(
         &mut self,
         queued: &QueuedJob<'_>,
--- a/src/coordination/leader/routing/mod.rs
+++ b/src/coordination/leader/routing/mod.rs
@@ -57,7 +57,7 @@
 
 /// One pass over the queue: its inputs and the state kept between passes.
 pub struct RoutingPass<'a> {
-    /// The leader's replica of the jobs, machines and shards.
+    /// The leader's state cache.
     pub cache: &'a StateCache,
     /// All teams with their guarantees and limits.
     pub teams: &'a [Team],
--- a/src/coordination/leader/routing/reclaim.rs
+++ b/src/coordination/leader/routing/reclaim.rs
@@ -116,7 +116,8 @@
         }
         self.reclaiming.machines = Some(machines);
         if found > 0 {
-            tracing::debug!(job = %queued.id, tasks = found, "preempting best-effort tasks for capacity");
+            tracing::debug!(job = %queued.id, tasks = found,
+                "preempting best-effort tasks for capacity");
             let request = ReclaimRequest {
                 tasks: pending + found,
                 since: self.now,
--- a/src/coordination/leader/shards/ownership.rs
+++ b/src/coordination/leader/shards/ownership.rs
@@ -104,7 +104,8 @@
     }
 
     /// Returns the live controller for machines of this zone: preferably not one that recently
-    /// lost machines, then one in the zone, then the one with the fewest machines.
+    /// lost contact with its machines, then one in the zone, then the one with the fewest
+    /// machines.
     pub(super) fn owner_for_zone(&self, zone: &ZoneName) -> Option<ControllerName> {
         let is_in_zone = |controller: &ControllerName| {
             let record = self.cache.controllers.get(controller);
--- a/src/coordination/owner/commits.rs
+++ b/src/coordination/owner/commits.rs
@@ -263,8 +263,8 @@
         transaction
     }
 
-    /// Looks up the outcomes of the jobs among the conflicting keys, which are over, and drops
-    /// the offers of their tasks.
+    /// Looks up the outcomes of the jobs whose outcome key is among the conflicting keys: these
+    /// jobs are over. Drops the offers of their tasks.
     async fn look_up_outcomes(&self, failed_keys: &[String]) {
         self.context.store.read_barrier().await;
         for key in failed_keys {
--- a/src/coordination/owner/failing_jobs.rs
+++ b/src/coordination/owner/failing_jobs.rs
@@ -81,8 +81,8 @@
     }
 
     /// Determines which jobs are crash-looping. Failures on other owners' machines are counted
-    /// by the job's run records: there are some if more attempts have ended there than tasks
-    /// have failed on this owner's machines.
+    /// by the job's run records: there are some if, according to the records, more attempts have
+    /// ended than tasks have failed on this owner's machines.
     pub(super) fn detect_crash_loops(&mut self, cache: &StateCache) {
         for (id, failing) in self
             .0
--- a/src/coordination/owner/placement.rs
+++ b/src/coordination/owner/placement.rs
@@ -279,7 +279,7 @@
     ) -> Vec<ChosenMachine> {
         let OfferedJob { id, spec, job } = *offered_job;
         let now = Instant::now();
-        let factor = lock(&self.context.estimator).factor(&spec.class);
+        let run_time_factor = lock(&self.context.estimator).factor(&spec.class);
         let quota = Quota::from(&spec.per_task);
         let mut admits = |candidate: &CandidateMachine| {
             let after = team.used.plus(&quota);
@@ -301,9 +301,11 @@
         let mut chosen = Vec::with_capacity(tasks.len());
         for task in placed_before {
             let task_id = TaskId::new(id.clone(), task);
-            let candidate = placement::best_candidate(spec, candidates, factor, |candidate| {
-                !lists_task(agents, candidate, &task_id) && allows_job(agents, candidate, id, now)
-            });
+            let candidate =
+                placement::best_candidate(spec, candidates, run_time_factor, |candidate| {
+                    !lists_task(agents, candidate, &task_id)
+                        && allows_job(agents, candidate, id, now)
+                });
             if let Some(candidate) = candidate
                 && admits(&candidates[candidate])
             {
@@ -311,7 +313,13 @@
                 chosen.push(ChosenMachine { task, candidate });
             }
         }
-        let filled = placement::place_tasks(spec, candidates, factor, never_placed.len(), admits);
+        let filled = placement::place_tasks(
+            spec,
+            candidates,
+            run_time_factor,
+            never_placed.len(),
+            admits,
+        );
         let filled = never_placed.into_iter().zip(filled);
         chosen.extend(filled.map(|(task, candidate)| ChosenMachine { task, candidate }));
         chosen
--- a/src/coordination/policy/zone_constraint.rs
+++ b/src/coordination/policy/zone_constraint.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns the constraint of one run record without any placed task.
+    /// Returns the constraint of the run record with this index, without any placed task.
     pub fn of_record(spec: &JobSpec, record_index: u32) -> Self {
         let first = record_index * keys::TASKS_PER_RUN_RECORD;
         let tasks = spec
--- a/src/coordination/zone_usage.rs
+++ b/src/coordination/zone_usage.rs
@@ -70,7 +70,7 @@
         constraint
     }
 
-    /// Returns the constraint for the next task of this record.
+    /// Returns the constraint for the next task of the run record with this index.
     pub(super) fn for_record(&self, record_index: u32) -> ZoneConstraint {
         let Some(spec) = self.spec else {
             return ZoneConstraint::default();
