--- a/src/coordination/owner/commits.rs
+++ b/src/coordination/owner/commits.rs
@@ -263,8 +263,8 @@
         transaction
     }
 
-    /// Looks up the outcomes of the jobs among the conflicting keys, which are over, and drops
-    /// the offers of their tasks.
+    /// Looks up the outcomes of the jobs whose outcome key is among the conflicting keys: these
+    /// jobs are over. Drops the offers of their tasks.
     async fn look_up_outcomes(&self, failed_keys: &[String]) {
         self.context.store.read_barrier().await;
         for key in failed_keys {
@@ -277,8 +277,8 @@
         }
     }
 
-    /// Learns from the task ends that are committed now, and sends the starts of the placements
-    /// that are committed now.
+    /// Learns from the task ends and sends the starts of the placements that have just been
+    /// committed.
     fn dispatch_starts(self: &Arc<Self>, group: Vec<PlannedWrite>) {
         let mut starts: BTreeMap<(MachineId, AgentEpoch), Vec<Command>> = BTreeMap::new();
         {
