--- a/crates/quota/src/deficit.rs
+++ b/crates/quota/src/deficit.rs
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Returns the full deficits of all teams of which the donor is estimated to have unused
+    /// Returns the full deficits of all teams for which the donor is estimated to have unused
     /// quota. They are not capped by the estimate: the donor knows best what it can give.
     fn wanted_from(&self, view: &DonorView<C, T>) -> BTreeMap<T, Quota> {
         self.deficits
--- a/crates/quota/src/request.rs
+++ b/crates/quota/src/request.rs
@@ -13,7 +13,8 @@
     /// The incarnation (process) of that controller: a restarted controller counts as another
     /// recipient.
     pub incarnation: u64,
-    /// Increases with every request of the incarnation, to whichever donor.
+    /// Sequence number of the request; increases with every request of the incarnation to any
+    /// donor.
     pub number: u64,
     /// The amounts that the recipient lacks, by team.
     pub wanted: BTreeMap<T, Quota>,
--- a/crates/quota/src/shares.rs
+++ b/crates/quota/src/shares.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// Reduces shares that exceed their bounds: the solver observes them only up to its tolerance.
+/// Clamps the shares to their bounds, since the solver satisfies those only within its tolerance.
 fn clamp_to_bounds(problem: &ShareProblem, mut served: Vec<Vec<f64>>) -> Vec<Vec<f64>> {
     for (team, row) in served.iter_mut().enumerate() {
         for (controller, part) in row.iter_mut().enumerate() {
--- a/crates/quota/src/targets.rs
+++ b/crates/quota/src/targets.rs
@@ -8,7 +8,7 @@
     shares::{Method, ShareProblem, TeamLimits, divide_capacity},
 };
 
-/// Tasks of one job that controllers have free capacity for, and some of which wait for quota.
+/// Tasks of one job that controllers have free capacity for. Some of them wait for quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskDemand<C> {
     /// The number of tasks that each controller has free capacity for.
@@ -56,7 +56,7 @@
 }
 
 /// Divides each team's limit among controllers by guarantee, demand and capacity. Quota is
-/// assigned for whole tasks, the most urgent ones first: dividing the rest of a limit evenly
+/// assigned for whole tasks, the most urgent ones first: dividing the remaining limit evenly
 /// could leave every controller with less than one task needs. Quota that no task waits for
 /// stays with the controllers that have it.
 pub fn plan_targets<C: Clone + Ord, T: Clone + Ord>(
@@ -250,8 +250,8 @@
 
     /// Raises the targets towards the current allocations, as far as `unassigned` suffices. What
     /// is missing is taken from the controllers whose allocations exceed their targets most.
-    /// Taking it from all of them in proportion would make every deficit need transfers from
-    /// all controllers, and smaller and smaller ones as targets are replanned in between.
+    /// If it were taken from all of them in proportion, covering a deficit would need transfers
+    /// from all controllers, and ever smaller ones, since targets are replanned between them.
     fn retain_resource(&mut self, unassigned: f64, resource: impl Fn(&mut Quota) -> &mut f64) {
         let mut excesses: Vec<(f64, C)> = Vec::new();
         for (controller, target) in &mut self.targets {
--- a/crates/quota/tests/exchange.rs
+++ b/crates/quota/tests/exchange.rs
@@ -290,7 +290,7 @@
     }
 
     /// Rewrites the controller's allocation record if a commit had an unknown outcome, so that a
-    /// delayed change of its own can no longer be applied. Returns whether it may go on.
+    /// delayed change of its own can no longer be applied. Returns whether it may continue.
     fn rewrite_first(&mut self, c: usize) -> bool {
         if !self.controllers[c].must_rewrite {
             return true;
--- a/crates/simulator/src/rules/service_levels.rs
+++ b/crates/simulator/src/rules/service_levels.rs
@@ -81,7 +81,7 @@
     }
 
     /// Returns the jobs that had to be served by now. An unserved job is excluded if its team's
-    /// limit leaves no room for it: services keep their share of the limit until cancelled.
+    /// limit leaves no quota for it: services keep their share of the limit until cancelled.
     fn eligible_jobs(&self, at: Duration) -> Vec<EligibleJob<'_>> {
         let used = self.used_cpus();
         let submitted = self.jobs.iter().filter_map(|(id, history)| {
--- a/crates/simulator/src/simulation/cloud.rs
+++ b/crates/simulator/src/simulation/cloud.rs
@@ -278,7 +278,7 @@
         id
     }
 
-    /// Waits for the boot time, then runs the machine unless it was terminated meanwhile.
+    /// Waits for the boot time, then runs the machine unless it has been terminated.
     async fn boot_machine(self: Arc<Self>, machine: Arc<Machine>, boot_time: Duration) {
         tokio::time::sleep(boot_time).await;
         if !self.note_booted(&machine.id) {
--- a/src/coordination/agent_state.rs
+++ b/src/coordination/agent_state.rs
@@ -62,7 +62,8 @@
     pub since: Instant,
 }
 
-/// A fencing token that was sent to the agent and that no message of it has reported yet.
+/// A fencing token that was sent to the agent, and that no message from the agent has reported
+/// yet.
 #[derive(Clone, Copy, Debug)]
 struct UnconfirmedToken {
     token: FencingToken,
--- a/src/coordination/clients/agents.rs
+++ b/src/coordination/clients/agents.rs
@@ -91,7 +91,7 @@
     Stop {
         /// The task.
         task: TaskId,
-        /// The attempt to stop; any other attempt goes on.
+        /// The attempt to stop. Other attempts of the task are not affected.
         attempt: Attempt,
         /// Maximum time for the task to save its progress.
         grace: Duration,
--- a/src/coordination/clients/peers.rs
+++ b/src/coordination/clients/peers.rs
@@ -80,7 +80,7 @@
     pub owned: Vec<OwnedMachine>,
     /// Heartbeats that it received of machines that it does not own.
     pub indirect_heartbeats: Vec<IndirectHeartbeat>,
-    /// Jobs whose tasks fail on several machines, with the rest of their backoff.
+    /// Jobs whose tasks fail on several machines, with the remaining time of their backoff.
     pub failing: Vec<(JobId, Duration)>,
 }
 
@@ -112,7 +112,7 @@
 pub struct QuotaTargets {
     /// Revision of the leader record under which they were planned.
     pub leader: Revision,
-    /// Target budget by team; contains the teams for which some controller lacks quota.
+    /// Target budget by team, for the teams for which some controller has a deficit.
     pub budgets: BTreeMap<TeamName, Quota>,
 }
 
--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -33,15 +33,16 @@
     pub start_target: Duration,
     /// Time window over which the miss rate is computed.
     pub miss_rate_window: Duration,
-    /// Weight of a machine type's share of the misses in its demand, 0 to 1; its share of the
-    /// queue has the rest of the weight.
+    /// Weight of a machine type's share of the misses in its demand, 0 to 1. The weight of its
+    /// share of the queue is one minus this.
     pub miss_weight: f64,
     /// Demand for a machine type below which no machines of it are provisioned.
     pub demand_threshold: f64,
     /// Scale-out provisions a machine type only if its least-used machine is at or above this
     /// utilisation. Scale-in of a mixed fleet drains only machines below it.
     pub utilisation_threshold: f64,
-    /// Weight of speed in the suitability of a machine type; cost has the rest of the weight.
+    /// Weight of speed in the suitability of a machine type, 0 to 1. The weight of cost is one
+    /// minus this.
     pub suitability_k: f64,
     /// Threshold θ of the remedial rule, which provisions machines between two evaluations.
     /// Higher values provision fewer machines.
@@ -131,8 +132,8 @@
 /// Number of tracked machines per MiB of memory. At about 2 KiB per machine they take at most
 /// a quarter of the memory.
 const TRACKED_MACHINES_PER_MIB: f64 = 128.0;
-/// Minimum number of tracked machines, whatever the memory limit: somewhat more than one and a
-/// half times the largest supported fleet.
+/// Minimum number of tracked machines, regardless of the memory limit: somewhat more than one
+/// and a half times the largest supported fleet.
 const MIN_TRACKED_MACHINES: usize = 8_192;
 /// Maximum number of tracked machines, and the number without a memory limit.
 const MAX_TRACKED_MACHINES: usize = 65_536;
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -173,10 +173,10 @@
         tracing::info!(given, refused, received, unserved, deficit_ms, "quota");
     }
 
-    /// Background task: logs process pauses, in which all threads were stopped while the clocks ran
-    /// on. It only logs them: messages of the time of the pause are not processed yet, so each
-    /// component confirms with the state service that it still has its role before it decides
-    /// anything.
+    /// Background task: logs process pauses, in which all threads were stopped while the clocks
+    /// advanced. It only logs them: messages that arrived during the pause are not processed yet,
+    /// so each component confirms with the state service that it still has its role before it
+    /// decides anything.
     async fn detect_process_pause(&self) {
         let mut last_check = Instant::now();
         while self
--- a/src/coordination/leader/rebalance.rs
+++ b/src/coordination/leader/rebalance.rs
@@ -38,7 +38,7 @@
     target_load: usize,
 }
 
-/// A shard of which its owner cannot reach a large part.
+/// A shard whose owner cannot reach a large part of its machines.
 struct LostShard {
     /// Number of its machines that the owner cannot reach.
     lost_machines: usize,
@@ -141,8 +141,8 @@
     Some(&record.zone)
 }
 
-/// Starts moves of shards of which their owner cannot reach a large part, as a whole, to the
-/// controller that reaches the most of these machines. Moved one by one, each machine would
+/// If an owner cannot reach a large part of a shard's machines, starts a move of the whole shard to
+/// the controller that reaches the most of these machines. Moved one by one, each machine would
 /// need two changes of its shard, and each change a new fencing token for all of the shard's
 /// machines. Returns the machines that are to be moved individually.
 pub(super) fn move_lost_shards(
--- a/src/coordination/leader/state.rs
+++ b/src/coordination/leader/state.rs
@@ -40,7 +40,7 @@
     pub(super) owned: BTreeMap<MachineId, OwnedMachine>,
     /// Heartbeats that the controller received from machines that it does not own.
     pub(super) indirect_heartbeats: BTreeMap<MachineId, IndirectHeartbeat>,
-    /// Crash-looping jobs, each with the rest of its backoff.
+    /// Crash-looping jobs, each with the remaining time of its backoff.
     pub(super) failing: Vec<(JobId, Duration)>,
 }
 
@@ -104,7 +104,7 @@
     pub(super) reclaiming: routing::Reclaiming,
     /// Run records whose tasks wait for capacity at the owner that writes the record.
     pub(super) record_affinity: routing::RecordAffinity,
-    /// Gangs of which only a part is placed.
+    /// Gangs that are only partly placed.
     pub(super) gangs: routing::PartialGangs,
     /// Offers that expired, by job.
     pub(super) expired_offers: routing::ExpiredOffersByJob,
--- a/src/coordination/policy/band.rs
+++ b/src/coordination/policy/band.rs
@@ -19,9 +19,9 @@
 /// Parameters of periodic scaling out, from the operators' settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
-    /// Miss rate from which machines are provisioned (β).
+    /// Minimum miss rate at which machines are provisioned (β).
     pub beta: f64,
-    /// Weight of the miss share against the queue share, 0 to 1 (k).
+    /// Weight of the miss share, 0 to 1 (k). The weight of the queue share is one minus this.
     pub miss_weight: f64,
     /// Minimum demand for a pool at which machines are provisioned.
     pub demand: f64,
--- a/src/coordination/policy/scale_in.rs
+++ b/src/coordination/policy/scale_in.rs
@@ -28,7 +28,7 @@
     pub alpha: f64,
     /// Minimum evenness of machine types for the fleet to count as mixed.
     pub evenness: f64,
-    /// Utilisation from which machines of a mixed fleet are kept.
+    /// Minimum utilisation at which a machine of a mixed fleet is not drained.
     pub utilisation: f64,
 }
 
--- a/src/protocol/agents/tests.rs
+++ b/src/protocol/agents/tests.rs
@@ -27,9 +27,8 @@
     assert!(matches!(error, HeartbeatError::TaskState(state) if state == "dancing"));
 }
 
-/// A gang task that waits for the gang's other tasks is not running yet. The exit of one whose
-/// other tasks have ended or did not arrive must not count as a failure of its machine or its
-/// job.
+/// A gang task that waits for the gang's other tasks is not running yet. If it exits because those
+/// have ended or did not arrive, that must not count as a failure of its machine or its job.
 #[test]
 fn gang_task_states_are_parsed() {
     let request: HeartbeatRequest = serde_json::from_str(
--- a/src/protocol/key_value_store.rs
+++ b/src/protocol/key_value_store.rs
@@ -179,7 +179,7 @@
     pub revision: u64,
 }
 
-/// Response to a transaction of which a condition did not hold.
+/// Response to a transaction that was not applied because a condition did not hold.
 #[derive(Debug, Deserialize)]
 pub struct ConflictResponse {
     /// Keys whose revision differs from the expected one.
--- a/src/protocol/peer_frames/status.rs
+++ b/src/protocol/peer_frames/status.rs
@@ -58,8 +58,8 @@
     age_ms: u64,
 }
 
-/// A failing job's id with the rest of its backoff in milliseconds, or [`VERSION_ENTRY`] with the
-/// protocol version.
+/// A failing job's id with the remaining time of its backoff in milliseconds, or
+/// [`VERSION_ENTRY`] with the protocol version.
 #[derive(Archive, Serialize, Deserialize, Debug)]
 struct FailingEntry {
     name: String,
--- a/src/storage/model.rs
+++ b/src/storage/model.rs
@@ -22,11 +22,11 @@
 }
 
 impl Resources {
-    /// Whether this amount fits into `room`, up to rounding errors.
-    pub fn fits_in(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + AMOUNT_SLACK
-            && self.gpus <= room.gpus + AMOUNT_SLACK
-            && self.memory <= room.memory + AMOUNT_SLACK
+    /// Whether this amount does not exceed `available`, within [`AMOUNT_SLACK`].
+    pub fn fits_in(&self, available: &Resources) -> bool {
+        self.cpus <= available.cpus + AMOUNT_SLACK
+            && self.gpus <= available.gpus + AMOUNT_SLACK
+            && self.memory <= available.memory + AMOUNT_SLACK
     }
 
     /// Multiplies each amount by `n`.
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Returns how many times this amount fits into `room`.
-    pub fn count_in(&self, room: &Resources) -> u32 {
+    /// Returns how many times this amount fits into `available`.
+    pub fn count_in(&self, available: &Resources) -> u32 {
         let count = |available: f64, needed: f64| {
             if needed <= AMOUNT_SLACK {
                 u32::MAX as f64
@@ -56,9 +56,9 @@
                 ((available + AMOUNT_SLACK) / needed).floor().max(0.0)
             }
         };
-        count(room.cpus, self.cpus)
-            .min(count(room.gpus, self.gpus))
-            .min(count(room.memory, self.memory)) as u32
+        count(available.cpus, self.cpus)
+            .min(count(available.gpus, self.gpus))
+            .min(count(available.memory, self.memory)) as u32
     }
 }
 
@@ -151,10 +151,10 @@
     pub checkpoint: Duration,
     /// How long a task takes to save its progress when it is stopped.
     pub save: Duration,
-    /// Time from its acceptance within which it should be done.
+    /// Time after the job's acceptance within which the job should be done.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Duration>,
-    /// When it was accepted, in Unix milliseconds by the clock of the accepting controller.
+    /// When the job was accepted, in Unix milliseconds by the clock of the accepting controller.
     pub accepted_ms: u64,
     /// The zone that the leader has assigned to the job. Set if all its tasks must be in one
     /// zone and it has too many run records for a placement to be conditional on all of them.
--- a/src/storage/state_cache/changes.rs
+++ b/src/storage/state_cache/changes.rs
@@ -207,8 +207,8 @@
         }
     }
 
-    /// Sets a record of which there is only one, if the change is newer. An unreadable value
-    /// clears it.
+    /// Sets a record that has a single key, such as the leader record, if the change is newer. An
+    /// unreadable value clears it.
     fn set_single<T: DeserializeOwned>(self, known: &mut Option<Versioned<T>>) {
         if is_newer(known.as_ref(), self.revision) {
             *known = self.read_versioned();
--- a/src/transport/admission.rs
+++ b/src/transport/admission.rs
@@ -24,7 +24,8 @@
 const INCREASE_FACTOR: f64 = 1.25;
 /// Minimum length of a window, after which its response times are evaluated.
 const WINDOW: Duration = Duration::from_millis(1000);
-/// Response time that is acceptable in any case, whatever the best median is.
+/// Response time that is always acceptable, even if it exceeds the acceptable multiple of the
+/// best median.
 const ACCEPTABLE_RESPONSE_TIME: Duration = Duration::from_millis(400);
 /// Multiple of the best median up to which response times are acceptable.
 const ACCEPTABLE_MULTIPLE: f64 = 4.0;
--- a/src/transport/network_clients/cloud.rs
+++ b/src/transport/network_clients/cloud.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// Returns the response if the cloud executed the request, or the error of its status.
+/// Returns the response if the cloud executed the request, or the error for its status.
 fn check_status(response: HttpResponse) -> Result<HttpResponse, CloudError> {
     match response.status {
         status::OK => Ok(response),
--- a/src/transport/peer_connections.rs
+++ b/src/transport/peer_connections.rs
@@ -104,7 +104,7 @@
     pub async fn exchange(&self, address: &str, frame: Vec<u8>) -> Result<Vec<u8>, SendError> {
         let frame = Bytes::from(frame);
         // An idle connection may have been closed, for example by a restart of the peer. Then the
-        // next idle connection is tried, and at last a new one.
+        // next idle connection is tried, and finally a new one.
         while let Some(mut connection) = self.take(address) {
             if let Ok(response) = connection.exchange(frame.clone()).await {
                 self.put(address, connection);
--- a/src/transport/sockets.rs
+++ b/src/transport/sockets.rs
@@ -131,7 +131,8 @@
         })
     }
 
-    /// Returns whether so many sockets are in use that no idle connections should be kept.
+    /// Returns whether so many sockets are in use that connections should be closed instead of
+    /// kept idle.
     pub fn is_under_pressure(&self) -> bool {
         self.0.has_reached(PRESSURE_SHARE)
     }
