--- a/crates/quota/src/transfer.rs
+++ b/crates/quota/src/transfer.rs
@@ -26,7 +26,7 @@
     Donor(u64),
     /// The recipient's allocations, which the transfer overwrites.
     Recipient(u64),
-    /// The leader's claim, the record of the current leadership. A leader of an older version
+    /// The leader record, which every election rewrites. A leader of an older version
     /// moves machines without the allocation for their tasks; its election makes all
     /// uncommitted transfers fail.
     Leader(u64),
@@ -58,7 +58,7 @@
 impl<C: Clone, T: Clone + Ord> Transfer<C, T> {
     /// Decides a request. `holding` returns the donor's holding of a team's limit; its `used`
     /// must include every placement that the donor has committed or may have committed.
-    /// `leader` and `registration` are the revisions of the leader's claim and of the donor's
+    /// `leader` and `registration` are the revisions of the leader record and of the donor's
     /// registration.
     pub fn decide(
         request: &TransferRequest<C, T>,
--- a/crates/simulator/src/agent/stage.rs
+++ b/crates/simulator/src/agent/stage.rs
@@ -8,7 +8,7 @@
 pub(super) struct TaskAttempt {
     /// The task.
     pub(super) task: TaskId,
-    /// Number of the placement, as counted by the controllers.
+    /// Attempt number, as assigned by the controllers.
     pub(super) attempt: u64,
 }
 
--- a/crates/simulator/src/gangs.rs
+++ b/crates/simulator/src/gangs.rs
@@ -15,8 +15,8 @@
 /// Also the time that all tasks of a stopped gang have to save their checkpoints, from the first
 /// stop command.
 const MEMBER_TIMEOUT: Duration = Duration::from_secs(4);
-/// A task of a running gang that was last seen longer ago than this is lost; the other tasks
-/// exit after the same time again.
+/// A task of a running gang that was last seen longer ago than this is lost. The other tasks exit
+/// this long after the loss is noticed.
 const LOSS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One attempt to run a gang.
@@ -34,7 +34,7 @@
     saved: BTreeSet<u32>,
     /// Whether all tasks have saved their checkpoints.
     is_saved: bool,
-    /// Whether the attempt has ended; no task may join it any more.
+    /// Whether the attempt has ended, so that no task may join it.
     is_over: bool,
 }
 
--- a/crates/simulator/src/rules/events.rs
+++ b/crates/simulator/src/rules/events.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug)]
 pub struct UserAnswer {
     /// When the request was sent, since the start of the scenario. Answers may arrive out of
-    /// order: one may be older than another that arrived while it was under way.
+    /// order: one may be older than another that arrived while it was in flight.
     pub requested_at: Duration,
     /// The job that the request was about.
     pub job: JobId,
--- a/crates/simulator/src/rules/placement.rs
+++ b/crates/simulator/src/rules/placement.rs
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Whether no task of the job may be on a machine any more, because its user was informed of
-    /// its cancellation more than the maximum time ago.
+    /// Whether no task of the job may remain on a machine, because its user was informed of its
+    /// cancellation more than the maximum time ago.
     fn is_past_cancellation(&self, at: Duration, job: &JobId) -> bool {
         self.jobs[job]
             .reported_cancelled_at
--- a/crates/simulator/src/rules/violations.rs
+++ b/crates/simulator/src/rules/violations.rs
@@ -21,7 +21,7 @@
     /// A job is reported cancelled without a request of its user, or in another state after a
     /// final one.
     WentBack,
-    /// An accepted job is unknown to the controllers, or gets no answers any more.
+    /// An accepted job is unknown to the controllers, or requests about it are no longer answered.
     Forgotten,
     /// A job waits too long although there is capacity and quota for it.
     Waited,
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -109,8 +109,8 @@
     Loopback,
 }
 
-/// Actions that do not count as faults and do not defer the time from which all faults are over.
-/// That includes faults of the cloud. All other actions count, also polls and invalid requests.
+/// Actions that do not count as faults and do not delay the end of all faults. Faults of the cloud
+/// are among them. All other actions count as faults, including polls and invalid requests.
 const NON_FAULT_ACTIONS: [&str; 6] = ["submit", "stream", "resubmit", "cancel", "expect", "cloud"];
 /// Default duration of a fault, in seconds.
 const DEFAULT_FAULT_S: f64 = 5.0;
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -163,7 +163,7 @@
 /// Maximum time that tasks may stay on machines after their user was informed that the job is
 /// cancelled.
 const MAX_CANCEL_TIME: Duration = Duration::from_secs(40);
-/// The cloud's list of machines is this stale.
+/// Age of the data in the cloud's list of machines.
 const LIST_LAG: Duration = Duration::from_secs(6);
 
 /// Initial configuration of the simulated cluster, as stated by a scenario.
--- a/crates/simulator/src/simulation/cloud.rs
+++ b/crates/simulator/src/simulation/cloud.rs
@@ -152,7 +152,7 @@
         self.cloud.lock().expect("cloud lock").machines.len()
     }
 
-    /// Returns a machine that has booted, even if it is terminated by now.
+    /// Returns a machine that has booted, even if it has been terminated since.
     pub(super) fn machine(&self, id: &str) -> Option<Arc<Machine>> {
         let cloud = self.cloud.lock().expect("cloud lock");
         let provisioned = cloud.machines.get(id)?;
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -239,8 +239,8 @@
         }
     }
 
-    /// Returns the limits whose sizes a version respects: the oldest one does not know the
-    /// announced limits.
+    /// Returns the size limits that controllers of a version respect: the announced ones, or the
+    /// defaults for the oldest version, which does not know the announced limits.
     pub(super) fn limits_of(&self, version: Version) -> Limits {
         match version {
             Version::BeforeGangs => Limits::default(),
--- a/crates/simulator/src/simulation/network_faults.rs
+++ b/crates/simulator/src/simulation/network_faults.rs
@@ -42,7 +42,7 @@
             .retain(|other| other != partition);
     }
 
-    /// Returns a partition that separates the owners of these tags, if there is one.
+    /// Returns a partition that separates two members with these tags, if there is one.
     pub(super) fn partition_between(&self, from: &[String], to: &[String]) -> Option<Partition> {
         let partitions = self.partitions.lock().expect("partitions lock");
         partitions
--- a/src/coordination/agent_state.rs
+++ b/src/coordination/agent_state.rs
@@ -43,7 +43,7 @@
     Direct,
 }
 
-/// Number of different jobs with failed tasks from which a machine is quarantined.
+/// A machine is quarantined once tasks of this many different jobs have failed on it.
 const QUARANTINE_AFTER_JOBS: usize = 2;
 /// Maximum number of failures remembered for one machine.
 const MAX_FAILURES: usize = 16;
@@ -95,7 +95,7 @@
     pub last_heartbeat: Instant,
     /// Whether a heartbeat has arrived since this owner acquired the machine.
     pub has_heartbeat: bool,
-    /// The last probe failed, and no message has arrived since.
+    /// Whether the last probe failed and no message has arrived since.
     pub unreachable: bool,
     /// When the agent was probed last.
     pub probed_at: Option<Instant>,
@@ -138,7 +138,7 @@
 const LEASE_LOSS_WINDOW: Duration = Duration::from_secs(90);
 
 impl AgentState {
-    /// The state of an agent that has sent no message yet, on a machine that was acquired
+    /// Creates the state of an agent that has sent no message yet, on a machine that was acquired
     /// with this token.
     pub fn new(acquisition_token: FencingToken, now: Instant) -> Self {
         Self {
--- a/src/coordination/leader/cleanup.rs
+++ b/src/coordination/leader/cleanup.rs
@@ -185,7 +185,7 @@
 }
 
 /// Removes placements of tasks whose machines are terminated. A machine's record is removed
-/// only after the release of the machine was answered, so that nothing runs on it any more.
+/// only after the release of the machine was answered, so that nothing runs on it.
 /// Such a task counts as waiting at once, and its next placement replaces the old one. If it is
 /// not placed within [`LOST_TASK_TIMEOUT`], the old placement, which uses quota for nothing, is
 /// removed here.
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -35,8 +35,8 @@
     }
 
     /// Rewrites the leader record, so that commits of this process that are still in flight
-    /// fail: they are conditional on its old revision. Returns whether no commit is in doubt
-    /// any more.
+    /// fail: they are conditional on its old revision. Returns whether no commit remains in
+    /// doubt.
     pub(super) async fn resolve_commit_in_doubt(&self) -> bool {
         let Some(lease) = lock(&self.state).lease else {
             return false;
--- a/src/coordination/leader/rebalance.rs
+++ b/src/coordination/leader/rebalance.rs
@@ -177,8 +177,8 @@
     owner_unreachable
 }
 
-/// Returns the shard's loss if its owner cannot reach so many of its machines that the whole
-/// shard is to be moved.
+/// Returns the number of machines that the shard's owner cannot reach, with the controller that
+/// the shard is to be moved to, or none if there are too few of them to move the whole shard.
 fn lost_shard(
     shard: &ShardRecord,
     owner_unreachable: &BTreeMap<MachineId, ControllerName>,
--- a/src/coordination/leader/state.rs
+++ b/src/coordination/leader/state.rs
@@ -60,7 +60,7 @@
     pub(super) since_heartbeat: Duration,
 }
 
-/// The newest heartbeat of a machine that reached a controller other than its owner.
+/// The newest heartbeat of a machine that arrived at a controller that does not own it.
 #[derive(Debug)]
 pub(super) struct IndirectContact {
     /// The controller that received it.
@@ -164,8 +164,8 @@
         self.fleet.provision_count = provision_count;
     }
 
-    /// Records the lease of a leader record whose commit got no response, so that the process
-    /// learned of its election from the cache. Marks a commit as in doubt, so that the leader
+    /// Records the lease of the leader record if the process found its election only in the cache,
+    /// since the commit of that record got no response. Marks a commit as in doubt, so that the leader
     /// record is rewritten with this lease before the next decision. Without the lease, the process
     /// could never rewrite its record, and so could not act after its first commit that got no
     /// response.
@@ -314,7 +314,7 @@
             .collect();
     }
 
-    /// Clears the results of the last routing pass, since no task is waiting any more.
+    /// Clears the results of the last routing pass, since no task is waiting.
     pub(super) fn clear_routing(&mut self) {
         self.outstanding_offers.clear();
         self.unplaced.clear();
--- a/src/coordination/peer_exchange.rs
+++ b/src/coordination/peer_exchange.rs
@@ -150,7 +150,7 @@
 
     /// Fetches the cancellations that peers know of beyond the applied revision. A controller
     /// that is cut off from the state service can then stop the tasks of these jobs and keep
-    /// renewing leases, so that all other tasks go on. Information from a peer only stops
+    /// renewing leases, so that all other tasks continue to run. Information from a peer only stops
     /// tasks; it never starts one. Returns whether all cancellations that these peers know of
     /// are now known.
     async fn learn_cancellations(
--- a/src/coordination/peer_liveness.rs
+++ b/src/coordination/peer_liveness.rs
@@ -14,7 +14,7 @@
     storage::{ControllerName, StateCache},
 };
 
-/// Age from which a status does not show any more whether the peer reaches the state service.
+/// Age at which a status no longer shows whether the peer reaches the state service.
 const REACHABILITY_TTL: Duration = Duration::from_secs(3);
 
 /// The part of a peer's last status that concerns its liveness.
--- a/src/coordination/quota_exchange/transfers.rs
+++ b/src/coordination/quota_exchange/transfers.rs
@@ -144,8 +144,8 @@
             .context
             .own_allocation(cache)
             .ok_or(Refusal::NotReady)?;
-        // Tasks that came with the last change of the allocation are known only once the cache
-        // has reached its revision.
+        // The last change of the allocation may have moved machines with running tasks here. These
+        // tasks are known only once the cache has reached the revision of that change.
         if cache.revision < allocation.revision {
             return Err(Refusal::Conflict);
         }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -44,9 +44,9 @@
     /// Unique name of the type.
     #[serde(rename = "label")]
     pub name: String,
-    /// Processor cores.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// Accelerators.
+    /// Number of GPUs.
     #[serde(default)]
     pub gpus: f64,
     /// Memory, in GB.
--- a/src/protocol/peer_frames/status.rs
+++ b/src/protocol/peer_frames/status.rs
@@ -43,7 +43,7 @@
     sequence: u64,
     images: Vec<String>,
     speed: f64,
-    /// Processor cores, accelerators and memory, in this order.
+    /// CPUs, GPUs and memory, in this order.
     freed_resources: [f64; 3],
 }
 
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -93,14 +93,14 @@
 pub struct TeamSettings {
     /// Name of the team.
     pub name: String,
-    /// Guaranteed cores.
+    /// Guaranteed number of CPUs.
     pub cpus: f64,
-    /// Limit of cores.
+    /// Maximum number of CPUs.
     pub cpus_max: f64,
-    /// Guaranteed accelerators.
+    /// Guaranteed number of GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Limit of accelerators.
+    /// Maximum number of GPUs.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -140,8 +140,8 @@
     pub value_kb: f64,
     /// Maximum number of operations in a transaction.
     pub txn_ops: u32,
-    /// Limits that the store will have from a later time on, which is not announced. Parsed field
-    /// by field, so that a mistake in them does not prevent a process from starting.
+    /// Limits that the store will have from a later time that is not announced. Parsed field by
+    /// field, so that a mistake in them does not prevent a process from starting.
     #[serde(default)]
     pub next: Value,
 }
--- a/src/storage/client/key_value_store.rs
+++ b/src/storage/client/key_value_store.rs
@@ -22,7 +22,7 @@
     /// most `write_rps`.
     pub next_write_rps: f64,
     /// Maximum size of a value in bytes: the lower of the current and the announced limit. The
-    /// announced one is observed from the start, since the time at which it takes effect is not
+    /// announced one is applied from the start, since the time at which it takes effect is not
     /// announced.
     pub value_bytes: usize,
     /// Maximum number of changes in one transaction: the lower of the current and the announced
@@ -66,7 +66,7 @@
     pub revision: Revision,
 }
 
-/// The operations of the state service. The implementation bounds each call in time.
+/// The operations of the state service. Each call has a timeout.
 pub trait KeyValueStore: Send + Sync {
     /// Reads one key; `None` if it is absent.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<KeyValue>, StateError>>;
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -109,7 +109,7 @@
     JobOutcome(JobId),
     /// See [`CLEANUP`].
     Cleanup(JobId),
-    /// See [`RUN`]; with the number of the range of tasks.
+    /// See [`RUN`]; with the index of the record.
     Run(JobId, u32),
     /// See [`ALLOCATION`].
     Allocation(ControllerName),
--- a/src/storage/model.rs
+++ b/src/storage/model.rs
@@ -13,9 +13,9 @@
 /// Amounts of resources, such as those that a task needs or that a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Processor cores.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// Graphics processors.
+    /// Number of GPUs.
     pub gpus: f64,
     /// Memory, in GB.
     pub memory: f64,
--- a/src/storage/rate_limiter.rs
+++ b/src/storage/rate_limiter.rs
@@ -68,7 +68,7 @@
 const GROWTH_PAUSE: Duration = Duration::from_secs(2);
 
 /// Bounds of the wait before a delayed call tries again. The wait is only an estimate, since
-/// other calls may take from the bucket in between.
+/// other calls may take from the bucket during the wait.
 const MIN_WAIT_SECONDS: f64 = 0.005;
 const MAX_WAIT_SECONDS: f64 = 0.25;
 
--- a/src/storage/state_cache/job.rs
+++ b/src/storage/state_cache/job.rs
@@ -31,7 +31,7 @@
     /// Number of completed tasks.
     pub completed_tasks: u32,
     /// Placed tasks whose machines are terminated. A machine is removed from its machine group only
-    /// after the cloud has confirmed its release, or when it is known not to exist any more.
+    /// after the cloud has confirmed its release, or when it is known that it no longer exists.
     pub lost_tasks: BTreeSet<u32>,
 }
 
--- a/src/storage/state_cache/tests.rs
+++ b/src/storage/state_cache/tests.rs
@@ -148,7 +148,8 @@
 }
 
 /// Guards against tasks of a removed machine that are placed elsewhere only after a separate change
-/// of their run record, which would say no more than that the machine is terminated.
+/// of their run record. That change would only record that the machine is terminated, which its
+/// removal from the machine group already shows.
 #[test]
 fn tasks_of_a_machine_that_is_gone_wait_at_once() {
     let mut cache = StateCache::default();
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -20,7 +20,8 @@
     pub const GONE: u16 = 410;
     /// The request exceeds the request limit and was not executed.
     pub const TOO_MANY_REQUESTS: u16 = 429;
-    /// Lowest of the codes that leave open whether the request was executed.
+    /// Lowest of the codes after which it is unknown whether the request was executed, with the
+    /// exception of [`SERVICE_UNAVAILABLE`].
     pub const INTERNAL_SERVER_ERROR: u16 = 500;
     /// The request was not executed.
     pub const SERVICE_UNAVAILABLE: u16 = 503;
--- a/src/transport/network_clients/key_value_store.rs
+++ b/src/transport/network_clients/key_value_store.rs
@@ -63,7 +63,7 @@
             Ok(response) => match response.status {
                 status::TOO_MANY_REQUESTS => Err(StateError::Throttled),
                 status::SERVICE_UNAVAILABLE => Err(StateError::Unavailable),
-                // These codes leave open whether the request was executed.
+                // After these codes it is unknown whether the request was executed.
                 status::INTERNAL_SERVER_ERROR.. => Err(StateError::NoResponse),
                 _ => Ok(response),
             },
--- a/src/transport/sockets.rs
+++ b/src/transport/sockets.rs
@@ -32,13 +32,13 @@
     Service,
 }
 
-/// Share of the budget in use from which on connections are closed after use.
+/// Share of the budget in use at which connections start to be closed after use.
 const PRESSURE_SHARE: f64 = 0.7;
-/// Share of the budget in use from which on no connections to agents are made.
+/// Share of the budget in use at which no more connections to agents are made.
 const AGENT_SHARE: f64 = 0.85;
-/// Share of the budget in use from which on no inbound connections are accepted.
+/// Share of the budget in use at which no more inbound connections are accepted.
 const INBOUND_SHARE: f64 = 0.94;
-/// Share of the budget in use from which on no connections to services and between controllers
+/// Share of the budget in use at which no more connections to services and between controllers
 /// are made.
 const SERVICE_SHARE: f64 = 1.0;
 /// Sockets reserved for listeners, the log and the runtime.
