--- a/crates/quota/src/donor.rs
+++ b/crates/quota/src/donor.rs
@@ -28,8 +28,8 @@
     /// Returns the quota that may be given away, so that what remains is never less than what
     /// tasks use, nor less than what is reserved.
     pub fn spare(&self) -> Quota {
-        let kept = self.used.max(&self.reserved);
-        self.allocated.minus(&kept).at_least_zero()
+        let needed = self.used.max(&self.reserved);
+        self.allocated.minus(&needed).at_least_zero()
     }
 
     /// Returns the amount to give to a controller that lacks `wanted`. If less than `wanted`
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -184,9 +184,9 @@
             .sleep_unless_stopped(PAUSE_CHECK_INTERVAL)
             .await
         {
-            let late = last_check.elapsed().saturating_sub(PAUSE_CHECK_INTERVAL);
-            if late > PAUSE_THRESHOLD {
-                let for_ms = late.as_millis() as u64;
+            let pause = last_check.elapsed().saturating_sub(PAUSE_CHECK_INTERVAL);
+            if pause > PAUSE_THRESHOLD {
+                let for_ms = pause.as_millis() as u64;
                 let leads = self.context.leadership().is_some();
                 tracing::info!(for_ms, leads, "process paused");
             }
--- a/src/coordination/leader/cleanup.rs
+++ b/src/coordination/leader/cleanup.rs
@@ -79,14 +79,14 @@
     /// at the first failure, and when the rate limit is reached.
     async fn commit_cleanup(&self, transactions: Vec<Transaction>) {
         let max_operations = self.context.config.state_limits.txn_ops;
-        let has_room = |batch: &Transaction, next: &Transaction| {
+        let fits_in_commit = |batch: &Transaction, next: &Transaction| {
             batch.operations.len() + next.operations.len() <= max_operations.min(MAX_OPS_PER_COMMIT)
                 && batch.conditions.len() + next.conditions.len()
                     < CONDITIONS_PER_OPERATION * max_operations
         };
         let mut transactions = transactions.into_iter().peekable();
         while let Some(mut batch) = transactions.next() {
-            while let Some(next) = transactions.next_if(|next| has_room(&batch, next)) {
+            while let Some(next) = transactions.next_if(|next| fits_in_commit(&batch, next)) {
                 batch.merge(next);
             }
             let committed = self
--- a/src/coordination/leader/shard_leasing.rs
+++ b/src/coordination/leader/shard_leasing.rs
@@ -86,8 +86,8 @@
     /// check, a leader elected after an earlier process of the same controller could grant quota
     /// that a late commit of that process has already granted.
     fn has_applied_election(&self, cache: &StateCache) -> bool {
-        let claim = cache.leader.as_ref().map(|entry| entry.revision);
-        claim.is_some_and(|claim| cache.revision >= claim)
+        let leader_revision = cache.leader.as_ref().map(|entry| entry.revision);
+        leader_revision.is_some_and(|revision| cache.revision >= revision)
     }
 
     /// Returns the inputs of this pass's plan. Takes the quota deficits out of the state, so
--- a/src/coordination/leader/state.rs
+++ b/src/coordination/leader/state.rs
@@ -165,10 +165,10 @@
     }
 
     /// Records the lease of the leader record if the process found its election only in the cache,
-    /// since the commit of that record got no response. Marks a commit as in doubt, so that the leader
-    /// record is rewritten with this lease before the next decision. Without the lease, the process
-    /// could never rewrite its record, and so could not act after its first commit that got no
-    /// response.
+    /// since the commit of that record got no response. Marks a commit as in doubt, so that the
+    /// leader record is rewritten with this lease before the next decision. Without the lease, the
+    /// process could never rewrite its record, and so could not act after its first commit that
+    /// got no response.
     pub(super) fn adopt_lease(&mut self, lease: LeaseId) {
         if self.lease != Some(lease) {
             self.lease = Some(lease);
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -89,14 +89,14 @@
     /// Sets this process's share of the state service's limits, by the number of registered
     /// controllers.
     fn share_limits(&self) {
-        let living = self.context.store.cache().controllers.len();
+        let controllers = self.context.store.cache().controllers.len();
         // The lower limits that are announced for later may take effect as soon as all
         // controllers support them.
         let announced_limits_apply = self.context.all_controllers_support(ProtocolVersion::GANGS);
         let leads = self.context.leadership().is_some();
         self.context
             .store
-            .share_limits(living, leads, announced_limits_apply);
+            .share_limits(controllers, leads, announced_limits_apply);
     }
 
     /// Obtains a lease and registers this process under it. Returns none if that fails.
--- a/src/coordination/peer_exchange.rs
+++ b/src/coordination/peer_exchange.rs
@@ -140,7 +140,7 @@
         if is_confirmed && !peers_ahead.is_empty() {
             is_confirmed = !any_reaches_state_service
                 && self
-                    .learn_cancellations(applied_revision, peers_ahead)
+                    .fetch_cancellations(applied_revision, peers_ahead)
                     .await;
         }
         if is_confirmed {
@@ -153,7 +153,7 @@
     /// renewing leases, so that all other tasks continue to run. Information from a peer only stops
     /// tasks; it never starts one. Returns whether all cancellations that these peers know of
     /// are now known.
-    async fn learn_cancellations(
+    async fn fetch_cancellations(
         &self,
         applied_revision: Revision,
         peers_ahead: Vec<&ControllerName>,
@@ -185,13 +185,13 @@
         is_complete
     }
 
-    /// Returns the jobs that are cancelled by changes after this revision, as far as this
-    /// controller knows.
+    /// Returns the jobs that are cancelled by changes after this revision, or no list if this
+    /// controller may not know all of them or if there are too many for a response.
     fn cancelled_since(&self, revision: Revision) -> Cancellations {
         let highest_revision = self.context.store.highest_revision();
-        let knows_all =
+        let is_list_complete =
             self.context.store.is_loaded() && self.context.store.has_applied_looked_up_outcomes();
-        let jobs = knows_all.then(|| self.context.store.cache().cancelled_since(revision));
+        let jobs = is_list_complete.then(|| self.context.store.cache().cancelled_since(revision));
         let jobs = jobs.filter(|jobs| jobs.len() <= MAX_CANCELLATIONS_PER_RESPONSE);
         Cancellations {
             highest_revision,
--- a/src/coordination/policy/placement.rs
+++ b/src/coordination/policy/placement.rs
@@ -234,7 +234,7 @@
             image_holders.push(index);
         }
     }
-    // There are fewer machines than tasks, so the limit of one task per machine is lifted.
+    // Each candidate was tried once. If tasks remain, the limit of one task per machine is lifted.
     for index in image_holders {
         let remaining = count - chosen.len();
         let placed = place_on_candidate(spec, &mut candidates[index], remaining, &mut admits);
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -231,9 +231,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStateMessage {
-    /// The job is accepted; none of its tasks is running.
+    /// The job is accepted; none of its tasks is placed now.
     Queued,
-    /// A task is running.
+    /// Some of its tasks are placed.
     Running,
     /// All tasks are done.
     Done,
@@ -264,7 +264,7 @@
     /// Number of tasks that are done.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Number of running tasks.
+    /// Number of tasks that are placed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
--- a/src/storage/ids.rs
+++ b/src/storage/ids.rs
@@ -95,8 +95,8 @@
     ImageName
 );
 name_type!(
-    /// The name of a provision request, and of the record of the machines that it provisioned.
-    /// Names are never reused.
+    /// The name of a provision request or of a machine group. A group that a request provisioned
+    /// has the name of the request. Names are never reused.
     ProvisionId
 );
 
--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -19,7 +19,7 @@
 pub const ALLOCATION: &str = "seat/";
 /// Prefix of shards, followed by the shard's number.
 pub const SHARD: &str = "block/";
-/// Prefix of machine groups, followed by the provision request.
+/// Prefix of machine groups, followed by the group's name.
 pub const MACHINE_GROUP: &str = "machine/";
 /// Prefix of provision requests, followed by the request.
 pub const PROVISION_REQUEST: &str = "rent/";
@@ -85,7 +85,7 @@
     format!("{SHARD}{shard}")
 }
 
-/// The key of the machines that one request provisioned.
+/// The key of a machine group.
 pub fn machine_group(provision_id: &ProvisionId) -> String {
     format!("{MACHINE_GROUP}{provision_id}")
 }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -171,8 +171,8 @@
     pub machine_group: ProvisionId,
 }
 
-/// The machines provisioned by one request. They share a record because the state service
-/// limits the rate of changes.
+/// Machines that were provisioned by one request, or adopted together after they were found
+/// without a record. They share a record because the state service limits the rate of changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineGroupRecord {
     /// The machine type of all machines in the group.
--- a/src/storage/state_cache/mod.rs
+++ b/src/storage/state_cache/mod.rs
@@ -64,7 +64,7 @@
     pub allocations: BTreeMap<ControllerName, Versioned<AllocationRecord>>,
     /// The shards, each with its owner.
     pub shards: BTreeMap<ShardId, Versioned<ShardRecord>>,
-    /// The machine groups, by the request that provisioned them.
+    /// The machine groups, by the name of their record.
     pub machine_groups: BTreeMap<ProvisionId, Versioned<MachineGroupRecord>>,
     /// The machines of all machine groups.
     pub machines: BTreeMap<MachineId, MachineRecord>,
--- a/src/storage/state_cache/queries.rs
+++ b/src/storage/state_cache/queries.rs
@@ -16,8 +16,8 @@
         Some((id, self.shards.get(&id)?))
     }
 
-    /// The revision of the change that gave the machine to its present owner. Commands of earlier owners
-    /// carry a lower fencing token.
+    /// The revision of the change that gave the machine to its present owner. Commands of earlier
+    /// owners carry a lower fencing token.
     pub fn owned_since(&self, machine: &MachineId) -> Revision {
         self.leases
             .get(machine)
--- a/src/storage/state_cache/tests.rs
+++ b/src/storage/state_cache/tests.rs
@@ -34,10 +34,10 @@
     assert!(cache.own_deletions.is_empty());
 }
 
-/// Guards against treating a machine that left its owner and came back as owned without a break:
+/// Guards against treating a machine that returned to an earlier owner as continuously owned:
 /// commands of the owner in between may still be in flight.
 #[test]
-fn a_machine_that_came_back_is_owned_anew() {
+fn a_returned_machine_is_owned_since_its_return() {
     let mut cache = StateCache::default();
     let shard = |controller: &str, owner: u64, machines: &[&str]| {
         let machines: serde_json::Map<String, Value> = machines
@@ -151,7 +151,7 @@
 /// of their run record. That change would only record that the machine is terminated, which its
 /// removal from the machine group already shows.
 #[test]
-fn tasks_of_a_machine_that_is_gone_wait_at_once() {
+fn tasks_of_a_removed_machine_wait_at_once() {
     let mut cache = StateCache::default();
     let machine_group = |machines: &[&str]| {
         let machines: serde_json::Map<String, Value> = machines
