--- a/crates/quota/tests/exchange.rs
+++ b/crates/quota/tests/exchange.rs
@@ -32,7 +32,7 @@
     RecipientRevision,
     /// A transfer is conditional on the leader record, and is never decided under a leader
     /// that moves machines without the quota for their tasks.
-    LeaderRecord,
+    LeaderClaim,
     /// A leader that supports transfers moves machines together with the quota for their tasks.
     QuotaMovesWithMachines,
     /// After a commit with an unknown outcome, the controller rewrites its allocation record
@@ -344,7 +344,7 @@
                     || self.store.allocations[recipient].revision == *revision
             }
             Condition::Leader(revision) => {
-                !self.is_enabled(Guard::LeaderRecord) || self.store.leader == *revision
+                !self.is_enabled(Guard::LeaderClaim) || self.store.leader == *revision
             }
             Condition::Registration(revision) => self.store.registrations[donor] == *revision,
         });
@@ -481,7 +481,7 @@
         // Without a leader, transfers are refused: two periods without a leader look the same,
         // and a leader that does not support transfers may have moved machines between them.
         let may_transfer = replica.leader > 0 && !replica.is_old_leader;
-        if !may_transfer && self.is_enabled(Guard::LeaderRecord) {
+        if !may_transfer && self.is_enabled(Guard::LeaderClaim) {
             return Err(Refusal::NotReady);
         }
         let used: f64 = replica
@@ -695,7 +695,7 @@
 #[test]
 fn no_transfer_takes_effect_under_a_leader_without_support_for_transfers() {
     assert!(transfer_meets_old_leader(None) <= LIMIT_CPUS + 1e-3);
-    assert!(transfer_meets_old_leader(Some(Guard::LeaderRecord)) > LIMIT_CPUS + 1.0);
+    assert!(transfer_meets_old_leader(Some(Guard::LeaderClaim)) > LIMIT_CPUS + 1.0);
     let mut model = Model::new(1, None);
     model.store.is_old_leader = true;
     (0..CONTROLLERS).for_each(|c| model.refresh(c));
