--- a/crates/quota/tests/exchange.rs
+++ b/crates/quota/tests/exchange.rs
@@ -30,7 +30,7 @@
     DonorRevision,
     /// A transfer is conditional on the recipient's allocations, which it overwrites.
     RecipientRevision,
-    /// A transfer is conditional on the leader's claim, and is never decided under a leader
+    /// A transfer is conditional on the leader record, and is never decided under a leader
     /// that moves machines without the quota for their tasks.
     LeaderClaim,
     /// A leader that supports transfers moves machines together with the quota for their tasks.
@@ -65,7 +65,7 @@
     allocations: Vec<Allocation>,
     machines: Vec<Machine>,
     registrations: Vec<u64>,
-    /// Revision of the leader's claim; zero if there is no leader.
+    /// Revision of the leader record; zero if there is no leader.
     leader: u64,
     /// Whether the leader is of an older version, which moves machines without the quota for
     /// their tasks.
@@ -290,7 +290,7 @@
     }
 
     /// Rewrites the controller's allocation record if a commit had an unknown outcome, so that a
-    /// delayed change of its own can no longer be applied. Returns whether it may go on.
+    /// delayed change of its own can no longer be applied. Returns whether it may continue.
     fn rewrite_first(&mut self, c: usize) -> bool {
         if !self.controllers[c].must_rewrite {
             return true;
--- a/crates/simulator/src/simulation/cloud.rs
+++ b/crates/simulator/src/simulation/cloud.rs
@@ -152,7 +152,7 @@
         self.cloud.lock().expect("cloud lock").machines.len()
     }
 
-    /// Returns a machine that has booted, even if it is terminated by now.
+    /// Returns a machine that has booted, even if it has been terminated since.
     pub(super) fn machine(&self, id: &str) -> Option<Arc<Machine>> {
         let cloud = self.cloud.lock().expect("cloud lock");
         let provisioned = cloud.machines.get(id)?;
@@ -278,7 +278,7 @@
         id
     }
 
-    /// Waits for the boot time, then runs the machine unless it was terminated meanwhile.
+    /// Waits for the boot time, then runs the machine unless it has been terminated.
     async fn boot_machine(self: Arc<Self>, machine: Arc<Machine>, boot_time: Duration) {
         tokio::time::sleep(boot_time).await;
         if !self.note_booted(&machine.id) {
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -173,10 +173,10 @@
         tracing::info!(given, refused, received, unserved, deficit_ms, "quota");
     }
 
-    /// Background task: logs process pauses, in which all threads were stopped while the clocks ran
-    /// on. It only logs them: messages of the time of the pause are not processed yet, so each
-    /// component confirms with the state service that it still has its role before it decides
-    /// anything.
+    /// Background task: logs process pauses, in which all threads were stopped while the clocks
+    /// advanced. It only logs them: messages that arrived during the pause are not processed yet,
+    /// so each component confirms with the state service that it still has its role before it
+    /// decides anything.
     async fn detect_process_pause(&self) {
         let mut last_check = Instant::now();
         while self
@@ -184,9 +184,9 @@
             .sleep_unless_stopped(PAUSE_CHECK_INTERVAL)
             .await
         {
-            let late = last_check.elapsed().saturating_sub(PAUSE_CHECK_INTERVAL);
-            if late > PAUSE_THRESHOLD {
-                let for_ms = late.as_millis() as u64;
+            let pause = last_check.elapsed().saturating_sub(PAUSE_CHECK_INTERVAL);
+            if pause > PAUSE_THRESHOLD {
+                let for_ms = pause.as_millis() as u64;
                 let leads = self.context.leadership().is_some();
                 tracing::info!(for_ms, leads, "process paused");
             }
--- a/src/coordination/leader/cleanup.rs
+++ b/src/coordination/leader/cleanup.rs
@@ -79,14 +79,14 @@
     /// at the first failure, and when the rate limit is reached.
     async fn commit_cleanup(&self, transactions: Vec<Transaction>) {
         let max_operations = self.context.config.state_limits.txn_ops;
-        let has_room = |batch: &Transaction, next: &Transaction| {
+        let fits_in_commit = |batch: &Transaction, next: &Transaction| {
             batch.operations.len() + next.operations.len() <= max_operations.min(MAX_OPS_PER_COMMIT)
                 && batch.conditions.len() + next.conditions.len()
                     < CONDITIONS_PER_OPERATION * max_operations
         };
         let mut transactions = transactions.into_iter().peekable();
         while let Some(mut batch) = transactions.next() {
-            while let Some(next) = transactions.next_if(|next| has_room(&batch, next)) {
+            while let Some(next) = transactions.next_if(|next| fits_in_commit(&batch, next)) {
                 batch.merge(next);
             }
             let committed = self
@@ -185,7 +185,7 @@
 }
 
 /// Removes placements of tasks whose machines are terminated. A machine's record is removed
-/// only after the release of the machine was answered, so that nothing runs on it any more.
+/// only after the release of the machine was answered, so that nothing runs on it.
 /// Such a task counts as waiting at once, and its next placement replaces the old one. If it is
 /// not placed within [`LOST_TASK_TIMEOUT`], the old placement, which uses quota for nothing, is
 /// removed here.
--- a/src/protocol/peer_frames/status.rs
+++ b/src/protocol/peer_frames/status.rs
@@ -43,7 +43,7 @@
     sequence: u64,
     images: Vec<String>,
     speed: f64,
-    /// Processor cores, accelerators and memory, in this order.
+    /// CPUs, GPUs and memory, in this order.
     freed_resources: [f64; 3],
 }
 
@@ -58,8 +58,8 @@
     age_ms: u64,
 }
 
-/// A failing job's id with the rest of its backoff in milliseconds, or [`VERSION_ENTRY`] with the
-/// protocol version.
+/// A failing job's id with the remaining time of its backoff in milliseconds, or
+/// [`VERSION_ENTRY`] with the protocol version.
 #[derive(Archive, Serialize, Deserialize, Debug)]
 struct FailingEntry {
     name: String,
